--- a/internal/evacuation/book.go
+++ b/internal/evacuation/book.go
@@ -26,10 +26,10 @@
 }
 
 // word is an order as it is kept.
-type word struct {
+type record struct {
 	revision int64
 	lifted   bool
-	learned  time.Time
+	learnedAt  time.Time
 }
 
 // Book keeps the orders about all failure domains. Lifted ones are kept, too: late news
@@ -41,13 +41,13 @@
 	clock clockwork.Clock
 
 	mu    sync.Mutex
-	known bool
-	words map[string]word
+	loaded bool
+	records map[string]record
 }
 
 // NewBook returns a book that knows nothing yet.
 func NewBook(clock clockwork.Clock) *Book {
-	return &Book{clock: clock, words: map[string]word{}}
+	return &Book{clock: clock, records: map[string]record{}}
 }
 
 // Known reports whether all orders of some moment are known. Until then any failure
@@ -55,22 +55,22 @@
 func (b *Book) Known() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.known
+	return b.loaded
 }
 
 // Learn takes in orders and returns those that were news.
 func (b *Book) Learn(orders []Order) []Order {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.learn(orders)
+	return b.merge(orders)
 }
 
 // LearnAll takes in all orders that another daemon knows, lifted ones included.
 func (b *Book) LearnAll(orders []Order) []Order {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.known = true
-	return b.learn(orders)
+	b.loaded = true
+	return b.merge(orders)
 }
 
 // Replace takes in all evacuations in force at a revision of the store. Older ones that
@@ -78,12 +78,12 @@
 func (b *Book) Replace(inForce []Order, revision int64) []Order {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.known = true
-	news := b.learn(inForce)
-	for domain, w := range b.words {
+	b.loaded = true
+	news := b.merge(inForce)
+	for domain, w := range b.records {
 		listed := slices.ContainsFunc(inForce, func(o Order) bool { return o.FailureDomain == domain })
 		if !listed && !w.lifted && w.revision <= revision {
-			news = append(news, b.learn([]Order{{FailureDomain: domain, Revision: revision, Lifted: true}})...)
+			news = append(news, b.merge([]Order{{FailureDomain: domain, Revision: revision, Lifted: true}})...)
 		}
 	}
 	return news
@@ -95,24 +95,24 @@
 func (b *Book) Confirm(inForce []Order) []Order {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.known = true
-	return b.learn(slices.DeleteFunc(slices.Clone(inForce), func(o Order) bool {
-		old, known := b.words[o.FailureDomain]
+	b.loaded = true
+	return b.merge(slices.DeleteFunc(slices.Clone(inForce), func(o Order) bool {
+		old, known := b.records[o.FailureDomain]
 		return known && old.lifted != o.Lifted
 	}))
 }
 
 // learn returns the orders that say something new of whether a failure domain is
 // evacuated. The lock is held.
-func (b *Book) learn(orders []Order) []Order {
+func (b *Book) merge(orders []Order) []Order {
 	var news []Order
 	for _, o := range orders {
-		old, ok := b.words[o.FailureDomain]
+		old, ok := b.records[o.FailureDomain]
 		if ok && old.revision >= o.Revision {
 			continue
 		}
-		w := word{revision: o.Revision, lifted: o.Lifted, learned: b.clock.Now().Add(-o.Age)}
-		b.words[o.FailureDomain] = w
+		w := record{revision: o.Revision, lifted: o.Lifted, learnedAt: b.clock.Now().Add(-o.Age)}
+		b.records[o.FailureDomain] = w
 		if was := ok && !old.lifted; was == o.Lifted {
 			news = append(news, o)
 		}
@@ -124,9 +124,9 @@
 func (b *Book) Orders() []Order {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := make([]Order, 0, len(b.words))
-	for domain, w := range b.words {
-		out = append(out, Order{FailureDomain: domain, Revision: w.revision, Lifted: w.lifted, Age: b.clock.Since(w.learned)})
+	out := make([]Order, 0, len(b.records))
+	for domain, w := range b.records {
+		out = append(out, Order{FailureDomain: domain, Revision: w.revision, Lifted: w.lifted, Age: b.clock.Since(w.learnedAt)})
 	}
 	slices.SortFunc(out, func(x, y Order) int { return cmp.Compare(x.FailureDomain, y.FailureDomain) })
 	return out
@@ -138,7 +138,7 @@
 }
 
 // noneInForce is the sum of a book without evacuations.
-const noneInForce = 1
+const emptyChecksum = 1
 
 // Sum is equal at daemons that know the same evacuations in force; 0 is not known. The
 // revision at which one was lifted is left out: a daemon that reads all rows knows only
@@ -147,7 +147,7 @@
 	if !b.Known() {
 		return 0
 	}
-	sum := uint64(noneInForce)
+	sum := uint64(emptyChecksum)
 	for _, o := range b.InForce() {
 		h := xxhash.New()
 		_, _ = h.WriteString(o.FailureDomain)
--- a/internal/evacuation/book_test.go
+++ b/internal/evacuation/book_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func evacuated(b *Book) []string {
+func evacuatedDomains(b *Book) []string {
 	var out []string
 	for _, o := range b.InForce() {
 		out = append(out, o.FailureDomain)
@@ -18,26 +18,26 @@
 }
 
 // Guards against late news that brings back an evacuation which has been lifted.
-func TestLateNewsDoesNotEvacuateAgain(t *testing.T) {
+func TestOldOrderDoesNotRestoreALiftedEvacuation(t *testing.T) {
 	b := NewBook(clockwork.NewFakeClock())
 	require.Len(t, b.Learn([]Order{{FailureDomain: "hall-b", Revision: 74}}), 1)
 	require.Len(t, b.Learn([]Order{{FailureDomain: "hall-b", Revision: 105, Lifted: true}}), 1)
 	require.Empty(t, b.Learn([]Order{{FailureDomain: "hall-b", Revision: 74}}))
-	require.Empty(t, evacuated(b))
+	require.Empty(t, evacuatedDomains(b))
 }
 
 // Guards against an evacuation that stays in force because its end was in a part of the
 // store's history that is gone.
-func TestWholeReadLiftsWhatIsNotListed(t *testing.T) {
+func TestReplaceLiftsOlderEvacuationsThatAreNotListed(t *testing.T) {
 	b := NewBook(clockwork.NewFakeClock())
 	b.Learn([]Order{{FailureDomain: "hall-a", Revision: 10}, {FailureDomain: "hall-b", Revision: 20}, {FailureDomain: "hall-c", Revision: 50}})
 	news := b.Replace([]Order{{FailureDomain: "hall-b", Revision: 20}}, 40)
 	require.Equal(t, []Order{{FailureDomain: "hall-a", Revision: 40, Lifted: true}}, news)
-	require.Equal(t, []string{"hall-b", "hall-c"}, evacuated(b), "hall-c is newer than what was read")
+	require.Equal(t, []string{"hall-b", "hall-c"}, evacuatedDomains(b), "hall-c is newer than what was read")
 }
 
 // Guards against a daemon that serves before it knows which failure domains are evacuated.
-func TestNothingIsKnownFromSingleOrders(t *testing.T) {
+func TestSingleOrdersDoNotMakeTheStateKnown(t *testing.T) {
 	b := NewBook(clockwork.NewFakeClock())
 	b.Learn([]Order{{FailureDomain: "hall-a", Revision: 10}})
 	require.False(t, b.Known())
@@ -49,7 +49,7 @@
 
 // Guards against daemons that hold different evacuations for the same: whatever the order
 // and number of the messages, equal sums mean equal evacuations, and all come to the newest.
-func TestAllOrdersOfNewsLeadToTheSame(t *testing.T) {
+func TestOrdersConvergeInAnySequence(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		var log []Order
@@ -66,7 +66,7 @@
 			require.Equal(t, equalInForce(first, second), first.Sum() == second.Sum())
 		}
 		require.Equal(t, first.Sum(), second.Sum())
-		require.Equal(t, evacuated(first), evacuated(second))
+		require.Equal(t, evacuatedDomains(first), evacuatedDomains(second))
 	}
 }
 
@@ -85,7 +85,7 @@
 
 // An operator is told for how long a failure domain has been evacuated, also by a daemon
 // that heard of it from another one.
-func TestAgeGoesWithTheOrder(t *testing.T) {
+func TestAgeIncludesTheSendersAge(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	first, second := NewBook(clock), NewBook(clock)
 	first.Learn([]Order{{FailureDomain: "hall-a", Revision: 10}})
@@ -96,7 +96,7 @@
 }
 
 // Guards against an older copy of the store that ends an evacuation, or brings one back.
-func TestCopyContradictsNothing(t *testing.T) {
+func TestStaleCopyDoesNotOverrideKnownOrders(t *testing.T) {
 	b := NewBook(clockwork.NewFakeClock())
 	b.Learn([]Order{{FailureDomain: "a", Revision: 30}, {FailureDomain: "b", Revision: 20}, {FailureDomain: "b", Revision: 31, Lifted: true}})
 	news := b.Confirm([]Order{{FailureDomain: "b", Revision: 1020}, {FailureDomain: "c", Revision: 1010}})
--- a/internal/inventory/budget.go
+++ b/internal/inventory/budget.go
@@ -9,144 +9,146 @@
 )
 
 const (
-	// ownerTime is how long it is relied on whether this daemon owns a part of an
-	// instance's budget: daemons come and go within seconds.
-	ownerTime = 500 * time.Millisecond
-	// warmUpPart and limitPart are the parts of a rate that are shared out. Daemons that
-	// differ in what they know of the fleet do not have the same owners, so that there
-	// may be more of them for a while. A cold instance ends when it is overrun; one that
-	// names a limit refuses.
-	warmUpPart = 0.7
-	limitPart  = 0.9
-	// probeRate is how many requests a second all daemons together send to an instance
-	// whatever its limit: only its answers tell that the limit has ended.
+	// shareTTL is how long a computed share is used before it is computed again. Daemons come
+	// and go within seconds, which changes the owners of an instance.
+	shareTTL = 500 * time.Millisecond
+	// warmUpFraction and limitFraction are the fractions of an instance's rate that the
+	// daemons share. The rest is a margin: daemons that know different members of the fleet
+	// compute different owners, so that an instance can have too many owners for a while. The
+	// margin is larger for a cold instance because an overloaded cold instance crashes, while
+	// one with a limit refuses requests.
+	warmUpFraction = 0.7
+	limitFraction  = 0.9
+	// probeRate is the number of requests per second that all daemons together send to an
+	// instance even if its limit is lower. Only an answer of the instance shows that its limit
+	// has ended.
 	probeRate = 1 / 1.5
-	// probeDelay is for how long a turn at an instance that names a limit may lie unused.
-	// Then the next request goes there, whatever speaks for others.
+	// probeDelay is how long a turn at an instance with a limit may stay unused. After that,
+	// the next request goes to this instance whatever the load of the others.
 	probeDelay = 200 * time.Millisecond
-	// restartFactor is by how much a rate must change for turns to be reserved anew.
-	restartFactor = 1.2
+	// revokeFactor is the factor by which a rate must change before reserved turns are
+	// revoked.
+	revokeFactor = 1.2
 )
 
-// budget is what an instance takes of all daemons together, and this daemon's part of it.
-// It is unbounded but while the instance rests, warms up or names a limit.
+// budget is the rate of requests that an instance accepts from all daemons together, and this
+// daemon's share of it. The rate is unlimited unless the instance warms up or has a limit.
 type budget struct {
-	// restUntil is until when the instance wants nothing from this daemon.
-	restUntil time.Time
-	// warmUntil is when the instance bears all at the latest. warmAssumed is set where
-	// nothing but the end of an evacuation tells of the warm-up.
-	warmUntil   time.Time
-	warmAssumed bool
-
-	pace pacing.Pace
-	// part is this daemon's part as of sharedAt, of some rate.
-	part     pacing.Part
+	// backOffUntil is the end of the back-off that the instance requested from this daemon.
+	backOffUntil time.Time
+	// warmUntil is the latest end of the warm-up. warmUpAssumed is set if the warm-up is only
+	// inferred from the end of an evacuation and the instance has not reported it.
+	warmUntil     time.Time
+	warmUpAssumed bool
+
+	pacer pacing.Pacer
+	// share is this daemon's share, computed at sharedAt for the given rate.
+	share    pacing.Part
 	sharedAt time.Time
 	rate     float64
-	// revoked is closed when turns that were reserved hold no more; nil while there are
-	// none.
+	// revoked is closed when the reserved turns are no longer valid; nil if there are none.
 	revoked chan struct{}
 }
 
-// Share is this daemon's part of what an instance is to get, in requests a second.
+// ShareFunc returns this daemon's share of an instance's rate in requests per second.
 type Share func(instance string, rate float64) pacing.Part
 
-// SetWarmUps takes in what instances bear while they warm up, by service, and how budgets
-// are shared out.
+// SetWarmUps sets the warm-up settings by service, and the function that computes this
+// daemon's share of a rate.
 func (t *Table) SetWarmUps(byService map[string]catalog.WarmUp, share Share) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.warmUps, t.share = byService, share
+	t.warmUps, t.shareOf = byService, share
 }
 
-// Rest leaves an instance out for the time that it has asked for. A request sent all the
-// same would be refused, and cost its caller the time of an attempt.
+// BackOff excludes an instance from selection for the time that it requested. Any request sent
+// earlier would be refused, and its caller would lose the time of that attempt.
 func (t *Table) Rest(i Instance, d time.Duration) {
-	t.with(i, func(e *entry) {
-		if until := t.clock.Now().Add(d); until.After(e.budget.restUntil) {
-			e.budget.restUntil = until
+	t.withEntry(i, func(e *entry) {
+		if until := t.clock.Now().Add(d); until.After(e.budget.backOffUntil) {
+			e.budget.backOffUntil = until
 		}
 	})
 }
 
-func (b *budget) isResting(now time.Time) bool { return now.Before(b.restUntil) }
+func (b *budget) isBackingOff(now time.Time) bool { return now.Before(b.backOffUntil) }
 
-// NoteWarming takes in what an instance says itself: that it is cold for some more time.
+// NoteWarming records the remaining warm-up time that an instance reported in an answer.
 func (t *Table) NoteWarming(i Instance, left time.Duration) {
-	t.with(i, func(e *entry) { t.noteWarming(e, left) })
+	t.withEntry(i, func(e *entry) { t.noteWarming(e, left) })
 }
 
-// noteWarming takes in for how long an instance is still cold, which is 0 for one that is
-// not. The lock is held.
+// noteWarming records the remaining warm-up time of an instance; 0 means that it is warm. The
+// lock is held.
 //
-// After an evacuation the entry may be older than the cold that it does not tell of; only
-// one that has told of it can say that it is over.
+// After an evacuation, a listed entry may have been written before the instance became cold. A
+// remaining time of 0 therefore ends the warm-up only if the instance itself has reported it.
 func (t *Table) noteWarming(e *entry, left time.Duration) {
 	now := t.clock.Now()
 	switch {
 	case left > 0:
-		t.warm(e, now.Add(left), false)
-	case !e.budget.warmAssumed:
+		t.setWarmUp(e, now.Add(left), false)
+	case !e.budget.warmUpAssumed:
 		e.budget.warmUntil = time.Time{}
 	}
 }
 
-// warm begins or goes on with a warm-up. The lock is held.
-func (t *Table) warm(e *entry, until time.Time, assumed bool) {
-	e.budget.warmUntil, e.budget.warmAssumed = until, assumed
-	t.renew(e, t.clock.Now())
+// setWarmUp starts or extends a warm-up. The lock is held.
+func (t *Table) setWarmUp(e *entry, until time.Time, assumed bool) {
+	e.budget.warmUntil, e.budget.warmUpAssumed = until, assumed
+	t.refreshShare(e, t.clock.Now())
 }
 
-// isWarming reports whether an instance bears only a part of what it will. The lock is
-// held.
+// isWarming reports whether an instance warms up and its service has a warm-up rate. The lock
+// is held.
 func (t *Table) isWarming(e *entry, now time.Time) bool {
 	return now.Before(e.budget.warmUntil) && t.warmUps[e.instance.Service].Rate > 0
 }
 
-// rate is how many requests a second an instance is to get of all daemons together; Inf is
-// any number. The lock is held.
-func (t *Table) rate(e *entry, now time.Time) float64 {
+// targetRate returns the number of requests per second that all daemons together may send to
+// an instance, or +Inf if it is unlimited. The lock is held.
+func (t *Table) targetRate(e *entry, now time.Time) float64 {
 	rate := math.Inf(1)
 	if t.isWarming(e, now) {
-		rate = warmUpPart * t.warmUps[e.instance.Service].Rate
+		rate = warmUpFraction * t.warmUps[e.instance.Service].Rate
 	}
 	if limit, ok := t.limitOf(e); ok {
-		rate = min(rate, max(limitPart*limit, probeRate))
+		rate = min(rate, max(limitFraction*limit, probeRate))
 	}
 	return rate
 }
 
-// renew brings this daemon's part of a budget up to date, and returns the rate that it is a
-// part of. The lock is held.
+// refreshShare recomputes this daemon's share of a budget if the rate has changed or the share
+// is older than shareTTL, and returns the rate. The lock is held.
 //
-// Turns that were reserved are revoked when the rate has changed much: taken at the old pace
-// they would overrun an instance that takes less by now, or leave one idle that takes more.
-func (t *Table) renew(e *entry, now time.Time) float64 {
+// A large change of the rate revokes the reserved turns: at the old pace they would overload
+// an instance whose rate has fallen, or leave one idle whose rate has risen.
+func (t *Table) refreshShare(e *entry, now time.Time) float64 {
 	b := &e.budget
-	rate := t.rate(e, now)
-	if rate == b.rate && now.Sub(b.sharedAt) <= ownerTime {
+	rate := t.targetRate(e, now)
+	if rate == b.rate && now.Sub(b.sharedAt) <= shareTTL {
 		return rate
 	}
-	old := b.part
-	b.part, b.sharedAt = pacing.Part{}, now
+	old := b.share
+	b.share, b.sharedAt = pacing.Part{}, now
 	if !math.IsInf(rate, 1) {
-		b.part = t.share(e.instance.ID, rate)
+		b.share = t.shareOf(e.instance.ID, rate)
 	}
-	changed := rate > b.rate*restartFactor || rate < b.rate/restartFactor
+	changed := rate > b.rate*revokeFactor || rate < b.rate/revokeFactor
 	if changed {
 		b.revoke()
 	}
 	switch {
 	case old.Interval == 0:
-		b.pace.Start(now, b.part)
+		b.pacer.Start(now, b.share)
 	case changed:
-		b.pace.Adjust(now, b.part.Interval)
+		b.pacer.Adjust(now, b.share.Interval)
 	}
 	b.rate = rate
 	return rate
 }
 
-// revoke ends the turns that were reserved.
+// revoke invalidates the reserved turns.
 func (b *budget) revoke() {
 	if b.revoked != nil {
 		close(b.revoked)
@@ -154,49 +156,49 @@
 	}
 }
 
-// Turn is a moment at which this daemon may send a request to an instance.
+// Turn is the time at which this daemon may send a request to an instance.
 type Turn struct {
-	// Wait is the time until then; 0 is at once. Where None is set it is the time until
-	// another daemon may.
+	// Wait is the time until the turn; 0 means now. If NotOwner is set, it is the estimated
+	// time until another daemon may send.
 	Wait time.Duration
-	// None is set where the whole budget of the instance is that of others.
-	None bool
-	// Revoked is closed if the turn does not hold any more; nil for one that has come.
+	// NotOwner is set if this daemon has no share of the instance's limit.
+	NotOwner bool
+	// Revoked is closed when the turn becomes invalid; nil if Wait is 0.
 	Revoked <-chan struct{}
 }
 
-// turn is when this daemon may send to an instance next. The lock is held.
+// turn returns this daemon's next turn at an instance. The lock is held.
 func (t *Table) turn(e *entry, now time.Time) Turn {
-	rate := t.renew(e, now)
+	rate := t.refreshShare(e, now)
 	b := &e.budget
-	wait := b.pace.Wait(now)
+	wait := b.pacer.Wait(now)
 	switch _, limited := t.limitOf(e); {
 	case math.IsInf(rate, 1):
 		return Turn{}
-	case limited && b.part.Interval == 0:
-		return Turn{Wait: time.Duration(float64(time.Second) / rate), None: true}
+	case limited && b.share.Interval == 0:
+		return Turn{Wait: time.Duration(float64(time.Second) / rate), NotOwner: true}
 	case limited:
 		return Turn{Wait: wait}
-	case b.part.Interval == 0:
-		// Others send there until it is warm.
+	case b.share.Interval == 0:
+		// This daemon has no share until the warm-up ends.
 		return Turn{Wait: b.warmUntil.Sub(now)}
 	default:
 		return Turn{Wait: min(wait, b.warmUntil.Sub(now))}
 	}
 }
 
-// isProbeDue reports whether an instance names a limit and this daemon has let a turn there
-// lie unused. The lock is held.
+// isProbeDue reports whether an instance has a limit and this daemon's turn there has been
+// unused for at least probeDelay. The lock is held.
 func (t *Table) isProbeDue(e *entry, now time.Time) bool {
-	if _, limited := t.limitOf(e); !limited || e.budget.part.Interval == 0 {
+	if _, limited := t.limitOf(e); !limited || e.budget.share.Interval == 0 {
 		return false
 	}
-	return e.budget.pace.Open(now) >= probeDelay
+	return e.budget.pacer.Overdue(now) >= probeDelay
 }
 
-// Reserve takes this daemon's next turn at an instance: at once, but for one that warms up
-// or names a limit. ok is false, and no turn is taken, when the instance must not be sent
-// to, or only after more than most.
+// Reserve takes this daemon's next turn at an instance. The turn is immediate unless the
+// instance warms up or has a limit. Reserve returns false and takes no turn if the instance
+// may not receive requests, if this daemon has no share, or if the wait is longer than most.
 func (t *Table) Reserve(i Instance, most time.Duration) (turn Turn, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -205,12 +207,12 @@
 	if !there || !t.maySend(e, i, now) {
 		return Turn{}, false
 	}
-	if turn = t.turn(e, now); turn.None || turn.Wait > most {
+	if turn = t.turn(e, now); turn.NotOwner || turn.Wait > most {
 		return turn, false
 	}
 	b := &e.budget
-	if b.part.Interval > 0 && turn.Wait == b.pace.Wait(now) {
-		b.pace.Take(now, b.part.Interval)
+	if b.share.Interval > 0 && turn.Wait == b.pacer.Wait(now) {
+		b.pacer.Take(now, b.share.Interval)
 	}
 	if turn.Wait > 0 {
 		if b.revoked == nil {
--- a/internal/inventory/evacuated.go
+++ b/internal/inventory/evacuated.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Evacuate notes that the instances of a failure domain get nothing new, or that they do
-// again. What runs there runs on. Instances may come back cold, and the list tells of it
-// late.
+// Evacuate starts or ends the evacuation of a failure domain, whose instances get no new
+// requests in the meantime; running requests continue. At the end of an evacuation, the
+// instances are assumed to be cold, because the list reports their warm-up late.
 func (t *Table) Evacuate(domain string, evacuated bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -21,14 +21,14 @@
 			continue
 		}
 		if w := t.warmUps[e.instance.Service]; w.Time > 0 {
-			t.warm(e, t.clock.Now().Add(w.Time), true)
+			t.setWarmUp(e, t.clock.Now().Add(w.Time), true)
 		}
 	}
 }
 
-// MaySend reports whether an instance may get a request now. It is asked again when the
-// request is about to go out: between the choice and the first byte a connection is made,
-// and what was chosen may have been withdrawn meanwhile.
+// MaySend reports whether an instance may get a request now. The caller checks again just
+// before it sends: an instance may become unusable between its selection and the first byte,
+// while the connection is established.
 func (t *Table) MaySend(i Instance) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -36,12 +36,12 @@
 	return ok && t.maySend(e, i, t.clock.Now())
 }
 
-// maySend is MaySend for the entry of an instance's ID. The lock is held.
+// maySend is MaySend for the entry with the instance's ID. The lock is held.
 func (t *Table) maySend(e *entry, i Instance, now time.Time) bool {
-	return e.instance.Born == i.Born && t.serves(e, i.Service) && !e.budget.isResting(now)
+	return e.instance.Born == i.Born && t.mayServe(e, i.Service) && !e.budget.isBackingOff(now)
 }
 
-// AllEvacuated reports whether a service has instances, and all of them are in evacuated
+// AllEvacuated reports whether a service has instances and all of them are in evacuated
 // failure domains.
 func (t *Table) AllEvacuated(service string) bool {
 	t.mu.Lock()
@@ -59,15 +59,15 @@
 	return some
 }
 
-// OpenIn is the number of requests of all daemons under way at the instances of a failure
-// domain, as daemons tell each other.
+// OpenRequestsIn returns the number of open requests of all daemons at the instances of a
+// failure domain, from the work that daemons report to each other.
 func (t *Table) OpenIn(domain string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now, open := t.clock.Now(), 0
 	for _, e := range t.entries {
 		if e.instance.FailureDomain == domain {
-			open += t.openNow(e, now)
+			open += t.fleetOpen(e, now)
 		}
 	}
 	return open
--- a/internal/inventory/health.go
+++ b/internal/inventory/health.go
@@ -2,66 +2,67 @@
 
 import "time"
 
-// Outcome is how a request at an instance ended, as far as it tells of the
-// instance's health.
+// Outcome is the result of a request as far as it indicates the health of the instance.
 type Outcome int
 
 // Outcomes.
 const (
-	// OutcomeNone says nothing: the caller left, or the instance refused.
+	// OutcomeNone indicates nothing about health: the caller disconnected, or the instance
+	// refused the request.
 	OutcomeNone Outcome = iota
 	OutcomeGood
-	// OutcomeFailed is an error answer or a broken one.
+	// OutcomeFailed is an error answer or an incomplete one.
 	OutcomeFailed
-	// OutcomeUnreachable is a connection that could not be made.
+	// OutcomeUnreachable is a failure to connect.
 	OutcomeUnreachable
-	// OutcomeSilent is a request that was not answered within the time set for
-	// it.
+	// OutcomeTimeout is a request that was not answered within its time limit.
 	OutcomeSilent
 )
 
 const (
-	// failWeight is the weight of a new outcome in the failure rate: about the
-	// last seven requests count.
-	failWeight = 0.15
-	// ejectRate is the failure rate at which an instance is left out. Services
-	// that fail one request in seven by themselves stay well below.
-	ejectRate = 0.45
-	// ejectTime is how long an instance is left out at first; each further time
-	// in a row doubles it up to ejectMax.
-	ejectTime = 1 * time.Second
-	ejectMax  = 8 * time.Second
+	// failureWeight is the weight of a new outcome in the moving average of failures, which
+	// covers about the last seven requests.
+	failureWeight = 0.15
+	// ejectFailureRate is the failure rate at which an instance is ejected. A service that
+	// normally fails one request in seven stays well below it.
+	ejectFailureRate = 0.45
+	// baseEjectTime is the duration of the first ejection. Each consecutive ejection doubles
+	// it, up to maxEjectTime.
+	baseEjectTime = 1 * time.Second
+	maxEjectTime  = 8 * time.Second
 )
 
-// health is what outcomes say of an instance.
+// health is the failure rate and ejection state of an instance, computed from outcomes.
 type health struct {
-	failing float64
-	until   time.Time
-	inARow  int
+	failureRate  float64
+	ejectedUntil time.Time
+	ejections    int
 }
 
-func (h *health) ejected(now time.Time) bool { return now.Before(h.until) }
+func (h *health) ejected(now time.Time) bool { return now.Before(h.ejectedUntil) }
 
 func (h *health) note(o Outcome, now time.Time) {
 	switch o {
 	case OutcomeNone:
 		return
 	case OutcomeGood:
-		h.failing *= 1 - failWeight
-		if h.failing < ejectRate/2 {
-			h.inARow = 0
+		h.failureRate *= 1 - failureWeight
+		if h.failureRate < ejectFailureRate/2 {
+			h.ejections = 0
 		}
 		return
 	case OutcomeFailed:
-		h.failing += failWeight * (1 - h.failing)
+		h.failureRate += failureWeight * (1 - h.failureRate)
 	case OutcomeUnreachable, OutcomeSilent:
-		// One silent connection costs a caller as much as several errors.
-		h.failing = 1
+		// A connection failure or timeout costs a caller as much time as several errors, so
+		// that one is enough for an ejection.
+		h.failureRate = 1
 	}
-	if h.failing >= ejectRate && !h.ejected(now) {
-		h.until = now.Add(min(ejectTime<<h.inARow, ejectMax))
-		h.inARow = min(h.inARow+1, 8)
-		// The next requests after the time out decide afresh.
-		h.failing = ejectRate * 0.75
+	if h.failureRate >= ejectFailureRate && !h.ejected(now) {
+		h.ejectedUntil = now.Add(min(baseEjectTime<<h.ejections, maxEjectTime))
+		h.ejections = min(h.ejections+1, 8)
+		// Start below the threshold, so that the first requests after the ejection decide
+		// whether the instance is ejected again.
+		h.failureRate = ejectFailureRate * 0.75
 	}
 }
--- a/internal/inventory/instance.go
+++ b/internal/inventory/instance.go
@@ -1,51 +1,50 @@
-// Package inventory is the table of upstream instances: which there are, what
-// is believed of their load and health, and what this daemon has sent them.
+// Package inventory keeps the table of upstream instances: the listed instances, their load
+// and health, and the requests that this daemon has sent to them.
 package inventory
 
 import "time"
 
-// Instance is one life of an upstream server as the platform lists it. Its address
-// may be given to another server once it is gone.
+// Instance is one incarnation of an upstream server as the platform lists it. Its address may
+// be assigned to another server after it has gone.
 type Instance struct {
 	ID string
-	// Born is when the server started, in milliseconds of its own time of day; 0
-	// is not known. A server that starts again may keep its ID: the later start is
-	// another life, of which nothing is known.
+	// Born is the start time of the server in milliseconds of its own clock; 0 means unknown.
+	// A server that restarts may keep its ID: a later start time is another incarnation, and
+	// nothing known of the earlier one applies to it.
 	Born          int64
 	Service       string
 	Address       string
 	FailureDomain string
-	// Version is the version of its software, which roll-outs move.
+	// Version is the version of the server's software, which roll-outs change.
 	Version string
-	// Slots is the number of requests it works on at once.
+	// Slots is the number of requests that the server processes concurrently.
 	Slots int
-	// Leaving instances get nothing new.
+	// Leaving instances get no new requests.
 	Leaving bool
 }
 
-// Life names one life of a server. A server that starts again may keep its ID.
+// Incarnation identifies one start of a server. A server that restarts may keep its ID.
 type Life struct {
 	ID   string
 	Born int64
 }
 
-// Life returns the instance's life.
+// Incarnation returns the ID and start time of the instance.
 func (i Instance) Life() Life { return Life{ID: i.ID, Born: i.Born} }
 
-// Change is news of one instance from the list.
+// Change is a change of one entry of the list.
 type Change struct {
 	ID string
-	// Instance is nil when the list does not have it any more, or Unreadable is
-	// set.
+	// Instance is nil if the entry was removed or Unreadable is set.
 	Instance *Instance
-	// Unreadable entries name no server that could be used.
+	// Unreadable is set if the entry does not describe a usable server.
 	Unreadable bool
-	// Warming is for how long the instance is still cold, as it said when it last wrote
-	// its entry; 0 is not.
+	// Warming is the remaining warm-up time when the instance last wrote its entry; 0 if it is
+	// warm.
 	Warming time.Duration
 }
 
-// Load is what an instance says of itself with an answer.
+// Load is the load that an instance reports with an answer.
 type Load struct {
 	Running int
 	Waiting int
--- a/internal/inventory/left.go
+++ b/internal/inventory/left.go
@@ -7,71 +7,76 @@
 )
 
 const (
-	// leftTime is how long it is remembered that an instance was found to be leaving. It
-	// exits some seconds after, at times many; by then its entry is gone for good.
-	leftTime = 2 * time.Minute
-	// toldLeftTime is how long it is told to others, and maxToldLeft how many at once:
-	// some rounds of heartbeats.
-	toldLeftTime = 4 * time.Second
-	maxToldLeft  = 32
-	// maxLeft bounds the lives remembered. Twice the instances of a large fleet may leave
-	// within leftTime.
-	maxLeft = 20_000
+	// leavingTime is how long the table remembers that an instance is leaving. An instance
+	// exits some seconds, at times many seconds, after this is noticed. By the end of this
+	// time its entry has been removed for good.
+	leavingTime = 2 * time.Minute
+	// leavingGossipTime is how long peers are sent the news that an instance is leaving, and
+	// maxLeavingGossip the maximum number of instances per message. The time covers several
+	// heartbeat rounds.
+	leavingGossipTime = 4 * time.Second
+	maxLeavingGossip  = 32
+	// maxLeaving limits the number of incarnations remembered. Within leavingTime, twice the
+	// instances of a large fleet may leave.
+	maxLeaving = 20_000
 )
 
-// NoteLeaving records that a life of a server was found to be leaving or not there, by
-// what it answered or by a peer. It reports whether that is news.
+// NoteLeaving records that an incarnation is leaving or no longer present, according to its
+// own answer or to a peer. It reports whether this was unknown.
 //
-// It outlives the entry, and whatever the list says of the same life: the list's row is
-// older than the answer. While the store is away a leaving server cannot change its row;
-// the row lapses and may be back as "ready" once the store is, and its server would get
-// requests again until it can say so. Another life is free at once.
+// The record outlives the list entry and overrides what the list says of the same incarnation,
+// because the row is older than the answer. During an outage of the store, a leaving server
+// cannot update its row. The row expires and may return as "ready" after the outage, and
+// without this record the server would get requests until it can update the row. A new
+// incarnation is usable at once.
 func (t *Table) NoteLeaving(l Life) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e, ok := t.entries[l.ID]; ok && e.instance.Born == l.Born {
-		e.left = true
+		e.leaving = true
 	}
-	if _, known := t.leftAt[l]; known || len(t.leftAt) >= maxLeft {
+	if _, known := t.leavingAt[l]; known || len(t.leavingAt) >= maxLeaving {
 		return false
 	}
-	t.leftAt[l] = t.clock.Now()
+	t.leavingAt[l] = t.clock.Now()
 	return true
 }
 
-// Leaves reports whether a life is known to be leaving, by the list or otherwise.
+// IsLeaving reports whether an incarnation is known to be leaving, from the list or from
+// NoteLeaving.
 func (t *Table) Leaves(l Life) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if _, left := t.leftAt[l]; left {
+	if _, left := t.leavingAt[l]; left {
 		return true
 	}
 	e, ok := t.entries[l.ID]
-	return ok && e.instance.Born == l.Born && (e.left || e.instance.Leaving)
+	return ok && e.instance.Born == l.Born && (e.leaving || e.instance.Leaving)
 }
 
-// LeftLately returns the lives found to be leaving in the last seconds, newest first.
+// RecentlyLeaving returns the incarnations that were found to be leaving within
+// leavingGossipTime, newest first, and at most maxLeavingGossip of them.
 func (t *Table) LeftLately() []Life {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
 	var out []Life
-	for l, at := range t.leftAt {
-		if now.Sub(at) <= toldLeftTime {
+	for l, at := range t.leavingAt {
+		if now.Sub(at) <= leavingGossipTime {
 			out = append(out, l)
 		}
 	}
 	slices.SortFunc(out, func(a, b Life) int {
-		return cmp.Or(t.leftAt[b].Compare(t.leftAt[a]), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(t.leavingAt[b].Compare(t.leavingAt[a]), cmp.Compare(a.ID, b.ID))
 	})
-	return out[:min(len(out), maxToldLeft)]
+	return out[:min(len(out), maxLeavingGossip)]
 }
 
-// forgetLeft drops what was found long ago. The lock is held.
-func (t *Table) forgetLeft(now time.Time) {
-	for l, at := range t.leftAt {
-		if now.Sub(at) > leftTime {
-			delete(t.leftAt, l)
+// forgetLeaving deletes records older than leavingTime. The lock is held.
+func (t *Table) forgetLeaving(now time.Time) {
+	for l, at := range t.leavingAt {
+		if now.Sub(at) > leavingTime {
+			delete(t.leavingAt, l)
 		}
 	}
 }
--- a/internal/inventory/left_test.go
+++ b/internal/inventory/left_test.go
@@ -8,10 +8,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A server answers that it leaves, while the store is away. Afterwards the list says that it
-// is ready, lacks it, and has it again. It gets nothing: what it answered is newer. Its next
-// life, under the same ID or at the same address, is used at once.
-func TestWhatAServerAnsweredOutlivesItsEntry(t *testing.T) {
+// A server answers that it is leaving while the store is unavailable. After the outage the
+// list shows the server as ready, then omits it, then shows it again. The answer is newer than
+// the row, so the server must get no requests. A new incarnation under the same ID, or another
+// server at the same address, must be usable at once.
+func TestLeavingMarkOutlivesTheListEntry(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	table := NewTable(clock)
 	first := Instance{ID: "i", Born: 5, Service: "s", Address: "127.0.0.1:1"}
@@ -22,7 +23,7 @@
 	usable := func() int { return len(table.Usable("s")) }
 	list(1, first)
 	require.True(t, table.NoteLeaving(first.Life()))
-	require.False(t, table.NoteLeaving(first.Life()), "known")
+	require.False(t, table.NoteLeaving(first.Life()), "already known")
 	require.Zero(t, usable())
 	require.Equal(t, []Life{first.Life()}, table.LeftLately())
 	list(2, first)
@@ -41,16 +42,16 @@
 	list(6, other)
 	require.Equal(t, 1, usable())
 
-	clock.Advance(toldLeftTime + time.Second)
+	clock.Advance(leavingGossipTime + time.Second)
 	require.Empty(t, table.LeftLately())
-	clock.Advance(leftTime)
+	clock.Advance(leavingTime)
 	table.Expire()
-	require.Empty(t, table.leftAt)
+	require.Empty(t, table.leavingAt)
 }
 
-// A peer tells of a server that this daemon has not on its list yet. Listed later, it is
-// not used.
-func TestLeavingServerThatIsNotListedYet(t *testing.T) {
+// A peer reports a leaving server that is not on this daemon's list yet. When the server is
+// listed later, it must not be used.
+func TestLeavingServerThatIsListedLater(t *testing.T) {
 	table := NewTable(clockwork.NewFakeClock())
 	i := Instance{ID: "i", Service: "s"}
 	require.True(t, table.NoteLeaving(i.Life()))
--- a/internal/inventory/limit.go
+++ b/internal/inventory/limit.go
@@ -12,32 +12,31 @@
 )
 
 const (
-	// limitTime is how long a limit that was lifted, or whose instance is not listed, is
-	// remembered: late news must not bring it back.
+	// limitTime is how long a limit is remembered that was lifted or whose instance is not
+	// listed. Without the record, a delayed message would put the limit in force again.
 	limitTime = 10 * time.Minute
-	// toldLimitTime is how long a change of a limit is told to others, and maxToldLimits
-	// how many at once: some rounds of heartbeats.
-	toldLimitTime = 4 * time.Second
-	maxToldLimits = 32
-	// maxLimits bounds the limits remembered.
+	// limitGossipTime is how long peers are sent a change of a limit, and maxLimitGossip the
+	// maximum number of changes per message. The time covers several heartbeat rounds.
+	limitGossipTime = 4 * time.Second
+	maxLimitGossip  = 32
+	// maxLimits limits the number of records.
 	maxLimits = 20_000
 )
 
-// Limit is what one life of an instance says of how many requests a second it takes of all
-// daemons together.
+// Limit is the number of requests per second that one incarnation of an instance accepts from
+// all daemons together.
 type Limit struct {
 	Life Life
 	Rate float64
-	// Lifted is set once its answers name no limit any more.
+	// Lifted is set when the answers of the instance contain no limit any more.
 	Lifted bool
-	// Version orders what daemons say of the same life. A daemon that finds what it knows
-	// to have changed says so with the next version. Of two with the same version the
-	// lower rate counts.
+	// Version orders the reports about the same incarnation. A daemon that observes a change
+	// increments it. Of two limits with the same version the lower rate applies.
 	Version uint64
 }
 
-// replaces reports whether a word about a life goes before another.
-func (l Limit) replaces(old Limit) bool {
+// supersedes reports whether l replaces old, a limit of the same incarnation.
+func (l Limit) supersedes(old Limit) bool {
 	switch {
 	case l.Version != old.Version:
 		return l.Version > old.Version
@@ -48,7 +47,7 @@
 	}
 }
 
-// Log writes the one line of a change of a limit.
+// Log logs a change of a limit.
 func (l Limit) Log(source string) {
 	event := "instance.limited"
 	if l.Lifted {
@@ -57,14 +56,14 @@
 	slog.Info(event, "instance", l.Life.ID, "per_s", l.Rate, "version", l.Version, "source", source)
 }
 
-// limitWord is a limit with when it was learned.
-type limitWord struct {
+// limitRecord is a limit and the time at which this daemon learned of it.
+type limitRecord struct {
 	Limit
-	at time.Time
+	learnedAt time.Time
 }
 
-// NoteLimit takes in the limit that an instance named in an answer. It returns what is known
-// now, and whether that is news.
+// NoteLimit records the limit that an instance sent with an answer. It returns the current
+// limit and whether it has changed.
 func (t *Table) NoteLimit(i Instance, rate float64) (Limit, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -76,49 +75,49 @@
 	return l, t.setLimit(l)
 }
 
-// NoteNoLimit takes in that an instance named no limit in the answer to a request that was
-// sent at some time. It returns what is known now, and whether that is news.
+// NoteNoLimit records that an instance sent no limit with the answer to a request that was
+// sent at the given time. It returns the current limit and whether it has changed.
 //
-// The answer to a request that was sent before the limit was known here may have been
-// written before the limit was.
+// An answer to a request sent before the limit was learned does not lift it, because the
+// instance may have written that answer before it set the limit.
 func (t *Table) NoteNoLimit(i Instance, sent time.Time) (Limit, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	old, known := t.limits[i.Life()]
-	if !known || old.Lifted || !sent.After(old.at) {
+	if !known || old.Lifted || !sent.After(old.learnedAt) {
 		return old.Limit, false
 	}
 	l := Limit{Life: i.Life(), Lifted: true, Version: old.Version + 1}
 	return l, t.setLimit(l)
 }
 
-// LearnLimits takes in limits that another daemon knows, and returns those that were news.
+// MergeLimits merges limits from another daemon and returns those that changed something.
 func (t *Table) LearnLimits(limits []Limit) []Limit {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var news []Limit
+	var changed []Limit
 	for _, l := range limits {
-		if old, known := t.limits[l.Life]; (!known || l.replaces(old.Limit)) && t.setLimit(l) {
-			news = append(news, l)
+		if old, known := t.limits[l.Life]; (!known || l.supersedes(old.Limit)) && t.setLimit(l) {
+			changed = append(changed, l)
 		}
 	}
-	return news
+	return changed
 }
 
-// setLimit puts a limit in force, unless there are too many. The lock is held.
+// setLimit stores a limit. It returns false if there are too many. The lock is held.
 func (t *Table) setLimit(l Limit) bool {
 	if _, known := t.limits[l.Life]; !known && len(t.limits) >= maxLimits {
 		return false
 	}
 	now := t.clock.Now()
-	t.limits[l.Life] = limitWord{Limit: l, at: now}
+	t.limits[l.Life] = limitRecord{Limit: l, learnedAt: now}
 	if e, ok := t.entries[l.Life.ID]; ok && e.instance.Life() == l.Life {
-		t.renew(e, now)
+		t.refreshShare(e, now)
 	}
 	return true
 }
 
-// limitOf is the limit in force of an instance. The lock is held.
+// limitOf returns the limit of an instance and whether one is in force. The lock is held.
 func (t *Table) limitOf(e *entry) (rate float64, ok bool) {
 	if len(t.limits) == 0 {
 		return 0, false
@@ -127,35 +126,36 @@
 	return l.Rate, known && !l.Lifted
 }
 
-// LimitsLately returns the limits that changed in the last seconds, newest first.
+// RecentLimits returns the limits that changed within limitGossipTime, newest first, and at
+// most maxLimitGossip of them.
 func (t *Table) LimitsLately() []Limit {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
-	var lately []limitWord
+	var lately []limitRecord
 	for _, l := range t.limits {
-		if now.Sub(l.at) <= toldLimitTime {
+		if now.Sub(l.learnedAt) <= limitGossipTime {
 			lately = append(lately, l)
 		}
 	}
-	slices.SortFunc(lately, func(a, b limitWord) int {
-		return cmp.Or(b.at.Compare(a.at), cmp.Compare(a.Life.ID, b.Life.ID))
+	slices.SortFunc(lately, func(a, b limitRecord) int {
+		return cmp.Or(b.learnedAt.Compare(a.learnedAt), cmp.Compare(a.Life.ID, b.Life.ID))
 	})
-	return limitsOf(lately[:min(len(lately), maxToldLimits)])
+	return limitsOf(lately[:min(len(lately), maxLimitGossip)])
 }
 
-// Limits returns all that is known of limits, lifted ones included.
+// Limits returns all known limits, including lifted ones.
 func (t *Table) Limits() []Limit {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	all := make([]limitWord, 0, len(t.limits))
+	all := make([]limitRecord, 0, len(t.limits))
 	for _, l := range t.limits {
 		all = append(all, l)
 	}
 	return limitsOf(all)
 }
 
-func limitsOf(words []limitWord) []Limit {
+func limitsOf(words []limitRecord) []Limit {
 	out := make([]Limit, len(words))
 	for i, w := range words {
 		out[i] = w.Limit
@@ -163,8 +163,8 @@
 	return out
 }
 
-// Limited is the number of limits in force, and sum is equal at daemons that know the same
-// ones; 0 is none.
+// LimitsInForce returns the number of limits in force and a checksum of them. Daemons that
+// know the same limits have the same checksum; it is 0 if there are none.
 func (t *Table) Limited() (count int, sum uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -188,13 +188,13 @@
 	return h.Sum64()
 }
 
-// forgetLimits drops what was lifted long ago, and what instances said that are not listed
-// any more. The lock is held.
+// forgetLimits deletes records older than limitTime if the limit is lifted or its incarnation
+// is no longer listed. The lock is held.
 func (t *Table) forgetLimits(now time.Time) {
 	for life, l := range t.limits {
 		e, listed := t.entries[life.ID]
 		inForce := !l.Lifted && listed && e.instance.Life() == life
-		if !inForce && now.Sub(l.at) > limitTime {
+		if !inForce && now.Sub(l.learnedAt) > limitTime {
 			delete(t.limits, life)
 		}
 	}
--- a/internal/inventory/limit_test.go
+++ b/internal/inventory/limit_test.go
@@ -10,8 +10,8 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/pacing"
 )
 
-// newLimitTable returns a table with two instances of a service, of whose budgets this daemon
-// has a third.
+// newLimitTable returns a table with two instances of a service. This daemon has a third of
+// their budgets.
 func newLimitTable() (*Table, *clockwork.FakeClock) {
 	clock := clockwork.NewFakeClock()
 	table := NewTable(clock)
@@ -20,7 +20,7 @@
 	return table, clock
 }
 
-// viewOf returns what placing sees of the instance in a failure domain.
+// viewOf returns the view of the instance in a failure domain.
 func viewOf(t *testing.T, table *Table, domain string) View {
 	t.Helper()
 	for _, v := range table.Usable("s") {
@@ -32,9 +32,9 @@
 	return View{}
 }
 
-// Guards against daemons that keep telling each other an older limit for ever, or that
-// differ in what they know for good.
-func TestAllOrdersOfLimitsLeadToTheSame(t *testing.T) {
+// Guards against daemons that exchange an outdated limit forever or never agree on one,
+// depending on the sequence in which messages arrive.
+func TestLimitsConvergeInAnySequence(t *testing.T) {
 	life := warmInstance("a").Life()
 	limits := []Limit{
 		{Life: life, Rate: 2, Version: 1}, {Life: life, Rate: 1, Version: 1}, {Life: life, Lifted: true, Version: 2},
@@ -46,30 +46,30 @@
 			table.LearnLimits([]Limit{limits[(i+j)%len(limits)]})
 		}
 		require.Equal(t, []Limit{limits[3]}, table.Limits())
-		require.Empty(t, table.LearnLimits(limits), "news of what is known")
+		require.Empty(t, table.LearnLimits(limits), "known limits reported as changed")
 	}
 }
 
-// Guards against a limit that is lifted by an answer which was on its way when the limit was
-// named.
-func TestOlderAnswerLiftsNoLimit(t *testing.T) {
+// Guards against an answer that lifts a limit although its request was sent before the limit
+// was known.
+func TestAnswerToAnEarlierRequestDoesNotLiftALimit(t *testing.T) {
 	table, clock := newLimitTable()
 	a := warmInstance("a")
 	before := clock.Now()
 	clock.Advance(time.Second)
-	_, news := table.NoteLimit(a, 1)
-	require.True(t, news)
-	_, news = table.NoteNoLimit(a, before)
-	require.False(t, news)
+	_, changed := table.NoteLimit(a, 1)
+	require.True(t, changed)
+	_, changed = table.NoteNoLimit(a, before)
+	require.False(t, changed)
 	require.True(t, viewOf(t, table, "a").Limited)
 	clock.Advance(time.Second)
-	_, news = table.NoteNoLimit(a, clock.Now())
-	require.True(t, news)
+	_, changed = table.NoteNoLimit(a, clock.Now())
+	require.True(t, changed)
 	require.False(t, viewOf(t, table, "a").Limited)
 }
 
-// Guards against requests that wait for turns of the rate before, when an instance names a
-// lower limit or none any more.
+// Guards against requests that keep waiting for turns of an outdated rate after an instance
+// has lowered or lifted its limit.
 func TestTurnsAreRevokedWhenALimitChanges(t *testing.T) {
 	table, clock := newLimitTable()
 	a := warmInstance("a")
@@ -105,8 +105,8 @@
 	require.Zero(t, turn.Wait)
 }
 
-// Guards against a limit that nobody finds to have ended, because other instances are always
-// chosen or because it is so low that no turn comes.
+// Guards against a limit whose end is never noticed, because other instances are always
+// preferred or because the limit is so low that no turn comes.
 func TestLimitedInstanceIsProbed(t *testing.T) {
 	table, clock := newLimitTable()
 	a := warmInstance("a")
@@ -124,9 +124,9 @@
 	require.InDelta(t, longest, v.Wait, float64(time.Millisecond))
 }
 
-// Guards against a daemon that sends to a limited instance of which it owns no part, and
-// against callers who are told nothing of when others may.
-func TestNoTurnAtAnInstanceThatOthersOwn(t *testing.T) {
+// Guards against a daemon that sends to a limited instance without a share of its limit, and
+// against a missing wait time for its callers.
+func TestNoTurnWithoutAShareOfTheLimit(t *testing.T) {
 	table, _ := newLimitTable()
 	table.SetWarmUps(nil, func(string, float64) pacing.Part { return pacing.Part{} })
 	a := warmInstance("a")
@@ -138,9 +138,9 @@
 	require.False(t, ok)
 }
 
-// Guards against a server that starts again under its ID and keeps the limit of its earlier
-// life, and against a limit that is lost when its entry lapses for a while.
-func TestLimitIsThatOfOneLife(t *testing.T) {
+// Guards against a restarted server that inherits the limit of its earlier incarnation, and
+// against a limit that is lost when the list entry expires for a while.
+func TestLimitBelongsToOneIncarnation(t *testing.T) {
 	table, clock := newLimitTable()
 	a := warmInstance("a")
 	table.NoteLimit(a, 1)
@@ -159,9 +159,9 @@
 	require.Empty(t, table.Limits())
 }
 
-// Guards against an instance whose limit goes up and down with each answer, and that gets
-// more than the higher one because its turns begin anew each time.
-func TestLimitThatChangesAllTheTime(t *testing.T) {
+// Guards against an instance that gets more than its higher limit because its limit alternates
+// with each answer and each change restarts the pacing.
+func TestAlternatingLimitIsNotExceeded(t *testing.T) {
 	table, clock := newLimitTable()
 	a := warmInstance("a")
 	rates := []float64{1, 1.5}
@@ -175,6 +175,6 @@
 			table.NoteLimit(a, rates[sent%len(rates)])
 		}
 	}
-	// A third of it is this daemon's.
+	// This daemon has a third of the rate.
 	require.LessOrEqual(t, float64(sent), rates[1]*total.Seconds()/3+1)
 }
--- a/internal/inventory/list.go
+++ b/internal/inventory/list.go
@@ -2,69 +2,69 @@
 
 import "time"
 
-// Snapshot is the whole list with the revision of the store that it is from.
+// Snapshot is the whole list at a revision of the store.
 type Snapshot struct {
 	Revision  int64
 	Instances []Instance
-	// Unreadable are the IDs of entries that name no server to use.
+	// Unreadable contains the IDs of entries that do not describe a usable server.
 	Unreadable []string
-	// Doubted are those of Instances that the list does not have any more, by
-	// ID, with the time for which they are still kept.
+	// Doubted contains, by ID, those of Instances that are missing from the list, with the
+	// remaining time for which they are kept.
 	Doubted map[string]time.Duration
-	// Warming is for how long instances are still cold, by ID; others are not.
+	// Warming contains the remaining warm-up time by ID; instances not in it are warm.
 	Warming map[string]time.Duration
 }
 
-// Snapshot returns the list as it is believed to be.
+// Snapshot returns the current list, including missing entries that are still kept.
 func (t *Table) Snapshot() Snapshot {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
 	s := Snapshot{Revision: t.revision, Doubted: map[string]time.Duration{}, Warming: map[string]time.Duration{}}
 	for id, e := range t.entries {
-		if e.gone {
+		if e.removed {
 			continue
 		}
 		s.Instances = append(s.Instances, e.instance)
 		if left := e.budget.warmUntil.Sub(now); left > 0 {
 			s.Warming[id] = left
 		}
-		if !e.goneAt.IsZero() {
-			// Told without its doubt, an entry would be taken for listed by
-			// others and come back from them: a server that has left would
-			// get requests for as long as daemons ask each other.
-			s.Doubted[id] = e.goneAt.Sub(now)
+		if !e.removeAt.IsZero() {
+			// Without this mark, a peer would take the entry for listed and might send it
+			// back. A server that has left would then get requests for as long as daemons
+			// exchange their lists.
+			s.Doubted[id] = e.removeAt.Sub(now)
 		}
 	}
 	return s
 }
 
-// Revision is the revision of the list, 0 before the first one.
+// Revision returns the revision of the list, 0 before the first one.
 func (t *Table) Revision() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.revision
 }
 
-// Known reports whether the list was ever read; a list that was may be empty and
-// have the revision 0.
+// Loaded reports whether the list was ever read. A list that was read may be empty and have
+// revision 0.
 func (t *Table) Known() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return !t.readAt.IsZero()
+	return !t.confirmedAt.IsZero()
 }
 
-// Age is how long ago the list was last confirmed.
+// Age returns the time since the list was last confirmed to be current.
 func (t *Table) Age() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.clock.Since(t.readAt)
+	return t.clock.Since(t.confirmedAt)
 }
 
-// Replace takes in a whole list unless a newer one is known. Entries that it
-// lacks are kept until doubted: after an outage of its source, those of live
-// servers may be missing for a while.
-func (t *Table) Replace(s Snapshot, doubted time.Time) bool {
+// Replace replaces the whole list, or returns false if s is older than the current list.
+// Entries missing from s are kept until keepUntil: after an outage of the source, entries of
+// running servers may be missing for a while.
+func (t *Table) Replace(s Snapshot, keepUntil time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s.Revision < t.revision {
@@ -72,41 +72,40 @@
 	}
 	listed := map[string]bool{}
 	for _, id := range s.Unreadable {
-		t.drop(id)
+		t.removeUnreadable(id)
 	}
 	for _, i := range s.Instances {
 		listed[i.ID] = true
 		if t.isStale(i) {
 			continue
 		}
-		if e := t.set(i); e != nil {
+		if e := t.update(i); e != nil {
 			t.noteWarming(e, s.Warming[i.ID])
 		}
-		if left, doubted := s.Doubted[i.ID]; doubted {
-			t.entries[i.ID].goneAt = t.clock.Now().Add(left)
+		if left, missing := s.Doubted[i.ID]; missing {
+			t.entries[i.ID].removeAt = t.clock.Now().Add(left)
 		}
 	}
 	for id, e := range t.entries {
 		if !listed[id] {
-			t.miss(e, doubted)
+			t.noteMissing(e, keepUntil)
 		}
 	}
-	t.advance(s.Revision)
+	t.setRevision(s.Revision)
 	return true
 }
 
-// Apply takes in changes that lead from the present revision to a newer one.
-// Entries that are gone by them are kept until doubted, as in Replace. It
-// returns the changes that say something new, since most entries of a list
-// change only in their heartbeat, and the revision from which they do; ok is
-// false, and nothing is taken in, when the table is newer already.
+// Apply applies changes that lead from the current revision to a newer one. Removed entries
+// are kept until keepUntil, as in Replace. It returns the changes with new content, since most
+// entries change only in their heartbeat, and the revision to which these changes apply. ok is
+// false and nothing is applied if the table is already newer.
 //
-// The table may have advanced since the changes were asked for, by news from
-// another daemon. What that news brought is not in the changes returned, so they
-// lead on only from the revision that the table had here. Passed on as leading
-// from the one asked for, they would hide a leaving server from a daemon that has
-// missed the news.
-func (t *Table) Apply(changes []Change, revision int64, doubted time.Time) (news []Change, from int64, ok bool) {
+// The table may have advanced since the changes were requested, through news from another
+// daemon. The returned changes do not contain that news. They are therefore valid only from
+// the revision that the table had here. If they were passed on as changes from the requested
+// revision, a daemon that has missed the news would not learn, for example, that a server is
+// leaving.
+func (t *Table) Apply(changes []Change, revision int64, keepUntil time.Time) (changed []Change, from int64, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	from = t.revision
@@ -117,48 +116,48 @@
 		e := t.entries[c.ID]
 		switch {
 		case c.Instance != nil:
-			// While an instance warms up each of its heartbeats says for how much longer.
-			if e == nil || e.gone || !e.goneAt.IsZero() || e.instance != *c.Instance || c.Warming > 0 || t.isWarming(e, t.clock.Now()) {
-				news = append(news, c)
+			// A warming instance reports its remaining warm-up time with each heartbeat.
+			if e == nil || e.removed || !e.removeAt.IsZero() || e.instance != *c.Instance || c.Warming > 0 || t.isWarming(e, t.clock.Now()) {
+				changed = append(changed, c)
 			}
-			if e := t.set(*c.Instance); e != nil {
+			if e := t.update(*c.Instance); e != nil {
 				t.noteWarming(e, c.Warming)
 			}
 		case c.Unreadable:
-			if t.drop(c.ID) {
-				news = append(news, c)
+			if t.removeUnreadable(c.ID) {
+				changed = append(changed, c)
 			}
 		case e != nil:
-			news = append(news, c)
-			t.miss(e, doubted)
+			changed = append(changed, c)
+			t.noteMissing(e, keepUntil)
 		}
 	}
-	t.advance(revision)
-	return news, from, true
+	t.setRevision(revision)
+	return changed, from, true
 }
 
-// Confirm notes that the list was as it is believed to be age ago.
+// Confirm records that the list was current the given time ago.
 func (t *Table) Confirm(age time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if at := t.clock.Now().Add(-age); at.After(t.readAt) {
-		t.readAt = at
+	if at := t.clock.Now().Add(-age); at.After(t.confirmedAt) {
+		t.confirmedAt = at
 	}
 }
 
-func (t *Table) advance(revision int64) {
+func (t *Table) setRevision(revision int64) {
 	t.revision = revision
-	t.readAt = t.clock.Now()
+	t.confirmedAt = t.clock.Now()
 }
 
-// set takes in a listed instance. Leaving is sticky: a server that said so does not
-// come back in the same life.
+// update adds or updates a listed instance. Leaving is sticky: a server that has announced it
+// stays leaving for the rest of its incarnation.
 //
-// A server that starts again under its ID has lost its prompts, requests and
-// failures; what was believed of the earlier life would keep it ejected, or leaving
-// for good. Late news of an earlier life changes nothing; set then returns nil, otherwise
-// the instance's entry.
-func (t *Table) set(i Instance) *entry {
+// A server that restarts under its ID has lost its prompt cache, its requests and its
+// failures. State of the earlier incarnation would keep it ejected or leaving, so a new
+// incarnation gets a new entry. News of an earlier incarnation is ignored and update returns
+// nil; otherwise it returns the instance's entry.
+func (t *Table) update(i Instance) *entry {
 	e, ok := t.entries[i.ID]
 	switch {
 	case ok && i.Born < e.instance.Born:
@@ -169,72 +168,74 @@
 	}
 	t.noteVersion(i)
 	i.Leaving = i.Leaving || e.instance.Leaving
-	e.instance, e.gone, e.goneAt = i, false, time.Time{}
-	if _, left := t.leftAt[i.Life()]; left {
-		e.left = true
+	e.instance, e.removed, e.removeAt = i, false, time.Time{}
+	if _, left := t.leavingAt[i.Life()]; left {
+		e.leaving = true
 	}
 	return e
 }
 
 func (t *Table) noteVersion(i Instance) {
-	versions := t.versions[i.Service]
+	versions := t.firstListed[i.Service]
 	if versions == nil {
 		versions = map[string]time.Time{}
-		t.versions[i.Service] = versions
+		t.firstListed[i.Service] = versions
 	}
 	if _, known := versions[i.Version]; known {
 		return
 	}
 	first := time.Time{}
-	if len(versions) > 0 && !t.readAt.IsZero() {
+	if len(versions) > 0 && !t.confirmedAt.IsZero() {
 		first = t.clock.Now()
 	}
 	versions[i.Version] = first
 }
 
-// unannounced reports whether a version was first listed a moment ago.
-func (t *Table) unannounced(i Instance, now time.Time) bool {
-	first := t.versions[i.Service][i.Version]
+// isUnannounced reports whether the instance's version was first listed less than announceTime
+// ago.
+func (t *Table) isUnannounced(i Instance, now time.Time) bool {
+	first := t.firstListed[i.Service][i.Version]
 	return !first.IsZero() && now.Sub(first) < announceTime
 }
 
-// drop ends the use of an entry that cannot be read, at once: it may say that its
-// server leaves, and a server of which the platform holds nothing readable must not
-// be used. It comes back with the next entry that can be read.
-func (t *Table) drop(id string) bool {
+// removeUnreadable removes an entry that cannot be read, without a delay: it may say that its
+// server is leaving, and a server without a readable entry must not be used. The next readable
+// entry restores it. It returns false if there was no such entry.
+func (t *Table) removeUnreadable(id string) bool {
 	e, ok := t.entries[id]
-	if !ok || e.gone {
+	if !ok || e.removed {
 		return false
 	}
 	t.remove(e)
 	return true
 }
 
-// miss notes that an instance is not listed any more.
-func (t *Table) miss(e *entry, doubted time.Time) {
+// noteMissing records that an instance is not listed any more. It is removed at once if it is
+// leaving or keepUntil has passed, otherwise at keepUntil.
+func (t *Table) noteMissing(e *entry, keepUntil time.Time) {
 	switch {
-	case e.gone:
-	case e.instance.Leaving || e.left || !t.clock.Now().Before(doubted):
+	case e.removed:
+	case e.instance.Leaving || e.leaving || !t.clock.Now().Before(keepUntil):
 		t.remove(e)
-	case e.goneAt.IsZero():
-		e.goneAt = doubted
+	case e.removeAt.IsZero():
+		e.removeAt = keepUntil
 	}
 }
 
-// Expire drops what has been missing for its grace, and forgets what is gone
-// and has no request of this daemon left.
+// Expire removes missing entries whose time is over, and deletes removed entries that have no
+// open request of this daemon.
 func (t *Table) Expire() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
-	t.forgetLeft(now)
+	t.forgetLeaving(now)
 	t.forgetLimits(now)
-	t.forgetGone(now)
+	t.forgetRemoved(now)
 	for id, e := range t.entries {
-		if !e.goneAt.IsZero() && now.After(e.goneAt) {
+		if !e.removeAt.IsZero() && now.After(e.removeAt) {
 			t.remove(e)
 		}
-		if e.gone && e.inFlight == 0 {
+		if e.removed && e.inFlight == 0 {
 			delete(t.entries, id)
 		}
 	}
--- a/internal/inventory/number.go
+++ b/internal/inventory/number.go
@@ -6,12 +6,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Number stands for one life of an instance in what daemons tell each other: a hash
-// of its ID and Born, so that all have the same one without a shared list. Two instances of a
-// large fleet may share a number, seldom; they then count as equally busy.
+// InstanceHash identifies one incarnation of an instance in messages between daemons. It is a
+// hash of ID and Born, so that all daemons compute the same value without a shared list. In a
+// large fleet two instances may rarely have the same hash; they are then counted as equally
+// busy.
 type Number uint32
 
-// Number returns the instance's number.
+// Hash returns the hash of the instance's ID and Born.
 func (i Instance) Number() Number {
 	h := xxhash.New()
 	_, _ = h.WriteString(i.ID)
--- a/internal/inventory/prompts.go
+++ b/internal/inventory/prompts.go
@@ -7,137 +7,138 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// PromptKey is a hash of the beginning of a prompt, up to the end of one of its parts,
-// and of the model that read it. Engines keep what they read by model, and have use
-// for a part only if they keep all parts before it: one that keeps a longer beginning
-// keeps the shorter ones, too.
+// PrefixHash is a hash of a prompt prefix, up to the end of one of its parts, and of the
+// model. Engines cache prefixes per model. They can use the cached state of a part only if all
+// parts before it are cached, so that a cached prefix implies that its shorter prefixes are
+// cached, too.
 type PromptKey uint32
 
-// Beginning is the beginning of a prompt.
+// Prefix is a prefix of a prompt.
 type Beginning struct {
 	Key PromptKey
-	// Work is that of reading it, in prompt tokens of the largest model.
+	// Work is the cost of reading the prefix, in prompt tokens of the largest model.
 	Work float64
 }
 
-// Reading tells that an instance has read, or is about to read, a beginning.
+// CachedPrefix states that an instance has read a prefix or is about to read it.
 type Reading struct {
 	Key      PromptKey
 	Instance Number
 }
 
 const (
-	// holdTime is how long a beginning is taken to be kept after its last use, at
-	// most: engines keep what was used last, and have memory for some minutes of it.
-	// It is forgotten after half of that at the earliest.
-	holdTime = 60 * time.Second
-	// maxReadings bounds the readings known of each half of holdTime: at some 20
-	// bytes each they take 2 MB.
-	maxReadings = 50_000
-	// maxUntold bounds what is kept to be told to others.
-	maxUntold = 2_000
-	// leastTold is the work below which others are not told of a beginning, in prompt
-	// tokens of the largest model: it is 20 ms of reading, a difference that placing
-	// does not count. Short prompts, and most of a small model, are then no news.
-	leastTold = 300.0
+	// cacheTime is the maximum time for which a prefix is assumed to be cached after its last
+	// use. Engines evict the least recently used prefixes and have memory for some minutes of
+	// them. A prefix is forgotten after half of this time at the earliest.
+	cacheTime = 60 * time.Second
+	// maxPrefixes limits the prefixes of one generation. At some 20 bytes each, the two
+	// generations take 2 MB.
+	maxPrefixes = 50_000
+	// maxPending limits the prefixes that wait to be sent to peers.
+	maxPending = 2_000
+	// minGossipWork is the work below which a prefix is not sent to peers, in prompt tokens of
+	// the largest model. It is 20 ms of reading, a difference that placement ignores. This
+	// excludes short prompts and most prompts of a small model.
+	minGossipWork = 300.0
 )
 
-// Prompts knows which instances likely keep which beginnings of prompts, from what
-// daemons tell each other of their requests.
+// PrefixIndex records which instances probably have which prompt prefixes cached, from the
+// requests of this daemon and those that other daemons report.
 //
-// Readings are kept in two generations: those used in the present half of holdTime, and
-// those last used in the one before.
+// The prefixes are kept in two generations that each cover half of cacheTime: those used in
+// the current half, and those last used in the previous one.
 //
-// Lock order: mu is taken alone.
+// Lock order: no other lock is taken while mu is held.
 type Prompts struct {
 	clock clockwork.Clock
 
-	mu         sync.Mutex
-	young, old map[Reading]struct{}
-	turnedAt   time.Time
-	untold     []Reading
+	mu                sync.Mutex
+	current, previous map[Reading]struct{}
+	rotatedAt         time.Time
+	pending           []Reading
 }
 
-// NewPrompts returns an empty table.
+// NewPrefixIndex returns an empty index.
 func NewPrompts(clock clockwork.Clock) *Prompts {
-	return &Prompts{clock: clock, young: map[Reading]struct{}{}, turnedAt: clock.Now()}
+	return &Prompts{clock: clock, current: map[Reading]struct{}{}, rotatedAt: clock.Now()}
 }
 
-// Sent notes that this daemon sends a prompt with some shared beginnings to an
-// instance. What the others do not know yet, and would place by, is told to them later.
+// NoteSent records that this daemon sends a prompt with the given prefixes to an instance.
+// Prefixes that are new to the current generation and large enough to affect the placement are
+// queued for the peers.
 func (p *Prompts) Sent(i Instance, all []Beginning) {
 	number := i.Number()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.turn()
+	p.rotate()
 	for _, b := range all {
 		r := Reading{Key: b.Key, Instance: number}
-		if p.note(r) && b.Work >= leastTold && len(p.untold) < maxUntold {
-			p.untold = append(p.untold, r)
+		if p.add(r) && b.Work >= minGossipWork && len(p.pending) < maxPending {
+			p.pending = append(p.pending, r)
 		}
 	}
 }
 
-// Learn takes in what other daemons sent.
-func (p *Prompts) Learn(told []Reading) {
+// Merge adds prefixes that other daemons reported.
+func (p *Prompts) Learn(reported []Reading) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.turn()
-	for _, r := range told {
-		p.note(r)
+	p.rotate()
+	for _, r := range reported {
+		p.add(r)
 	}
 }
 
-// note reports whether a reading is news.
-func (p *Prompts) note(r Reading) bool {
-	if _, known := p.young[r]; known {
+// add adds a prefix to the current generation and reports whether it was missing there.
+func (p *Prompts) add(r Reading) bool {
+	if _, known := p.current[r]; known {
 		return false
 	}
-	p.young[r] = struct{}{}
+	p.current[r] = struct{}{}
 	return true
 }
 
-// turn begins a new generation when the present one is over, or full.
-func (p *Prompts) turn() {
+// rotate starts a new generation if the current one is too old or full.
+func (p *Prompts) rotate() {
 	now := p.clock.Now()
-	age := now.Sub(p.turnedAt)
-	if age < holdTime/2 && len(p.young) < maxReadings {
+	age := now.Sub(p.rotatedAt)
+	if age < cacheTime/2 && len(p.current) < maxPrefixes {
 		return
 	}
-	p.old = p.young
-	if age >= holdTime {
-		p.old = nil
+	p.previous = p.current
+	if age >= cacheTime {
+		p.previous = nil
 	}
-	p.young, p.turnedAt = map[Reading]struct{}{}, now
+	p.current, p.rotatedAt = map[Reading]struct{}{}, now
 }
 
-// Untold returns what was sent since the last call.
+// TakePending returns the prefixes queued for the peers since the last call.
 func (p *Prompts) Untold() []Reading {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out := p.untold
-	p.untold = nil
+	out := p.pending
+	p.pending = nil
 	return out
 }
 
-// Kept returns how many of a prompt's beginnings, shortest first, an instance likely
-// keeps.
+// CachedCount returns how many of a prompt's prefixes, ordered from shortest to longest, an
+// instance probably has cached.
 func (p *Prompts) Kept(instance Number, all []Beginning) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.turn()
+	p.rotate()
 	for n := len(all); n > 0; n-- {
-		if p.known(Reading{Key: all[n-1].Key, Instance: instance}) {
+		if p.contains(Reading{Key: all[n-1].Key, Instance: instance}) {
 			return n
 		}
 	}
 	return 0
 }
 
-func (p *Prompts) known(r Reading) bool {
-	if _, ok := p.young[r]; ok {
+func (p *Prompts) contains(r Reading) bool {
+	if _, ok := p.current[r]; ok {
 		return true
 	}
-	_, ok := p.old[r]
+	_, ok := p.previous[r]
 	return ok
 }
--- a/internal/inventory/stale_test.go
+++ b/internal/inventory/stale_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against an older copy of the list that brings back a server which has left, and
-// against one that is left out for good though it lives.
-func TestCopyBringsNobodyBack(t *testing.T) {
+// Guards against an outdated copy of the list that restores a removed server, and against a
+// running server that stays excluded because of an earlier removal.
+func TestStaleCopyDoesNotRestoreRemovedInstances(t *testing.T) {
 	table, clock := newLimitTable()
 	a, b := warmInstance("a"), warmInstance("b")
 	table.Apply([]Change{{ID: a.ID}}, 2, time.Time{})
@@ -24,15 +24,15 @@
 	whole.Revision++
 	whole.Instances, whole.Doubted = []Instance{again, b}, nil
 	table.Replace(whole, time.Time{})
-	require.Len(t, table.Usable("s"), 2, "another life")
+	require.Len(t, table.Usable("s"), 2, "another incarnation")
 
 	table.Apply([]Change{{ID: b.ID}}, 1002, time.Time{})
 	table.Apply([]Change{{ID: b.ID, Instance: &b}}, 1003, time.Time{})
-	require.Len(t, table.Usable("s"), 2, "its entry was written again")
+	require.Len(t, table.Usable("s"), 2, "the entry was written again")
 
 	table.Apply([]Change{{ID: b.ID}}, 1004, time.Time{})
 	clock.Advance(2 * time.Minute)
 	whole.Revision = 1005
 	table.Replace(whole, time.Time{})
-	require.Len(t, table.Usable("s"), 2, "the copy has had its time")
+	require.Len(t, table.Usable("s"), 2, "the list can no longer be an outdated copy")
 }
--- a/internal/inventory/table.go
+++ b/internal/inventory/table.go
@@ -14,139 +14,141 @@
 )
 
 const (
-	// reportHalfLife is how fast what an instance said of other daemons' work
-	// loses weight: requests last a few hundred ms.
+	// reportHalfLife is the half-life of the load of other daemons as reported by an instance.
+	// Requests last a few hundred milliseconds.
 	reportHalfLife = 700 * time.Millisecond
-	// announceTime is how long a version that is new to a service is held back:
-	// an accepted order is known everywhere within two seconds.
+	// announceTime is how long a version that is new to a service is not used while other
+	// versions can serve. A roll-out order reaches all daemons within two seconds of its
+	// acceptance.
 	announceTime = 2 * time.Second
 )
 
-// entry is an instance with what is believed of it.
+// entry is an instance with its load, health and budget.
 type entry struct {
 	instance Instance
-	// left is set when the instance was found to be leaving or not there by
-	// other means than the list. It is kept apart: what the list says later
-	// must still look new, so that it is told to others.
-	left bool
-	gone bool
-	// goneAt is when a missing entry counts as gone; zero while it is listed.
-	goneAt time.Time
-	health health
-	budget budget
+	// leaving is set if the instance was found to be leaving or absent by other means than the
+	// list. It is separate from instance.Leaving so that the same change in the list still
+	// counts as new and is passed on to other daemons.
+	leaving bool
+	removed bool
+	// removeAt is when a missing entry is removed; zero while it is listed.
+	removeAt time.Time
+	health   health
+	budget   budget
 
-	// inFlight counts this daemon's requests there; waiting is the work of those
-	// that have no first event yet.
+	// inFlight is the number of this daemon's open requests there. waiting is the work of
+	// those that have no first event yet.
 	inFlight int
 	waiting  float64
-	// fleet is what all daemons have under way, as of Table.fleetAt; openThen and
-	// waitingThen are this one's part of it.
-	fleet       Amount
-	openThen    int
-	waitingThen float64
-	// others is the work of other daemons there as of reportedAt.
-	others     float64
+	// fleet is the work of all daemons at Table.fleetAt. fleetOwnOpen and fleetOwnWaiting are
+	// this daemon's part of it.
+	fleet           Amount
+	fleetOwnOpen    int
+	fleetOwnWaiting float64
+	// othersLoad is the number of requests of other daemons there, as reported by the instance
+	// at reportedAt.
+	othersLoad float64
 	reportedAt time.Time
 }
 
-// View is what placing sees of an instance.
+// View is the state of an instance that placement uses.
 type View struct {
 	Instance Instance
-	// Load is the number of requests believed to be there by what the instance
-	// said last, InFlight this daemon's share of it, and Open the number by
-	// what all daemons tell each other.
+	// Load is the estimated number of requests there, from the last report of the instance.
+	// InFlight is this daemon's part of it. Open is the number of requests according to the
+	// reports that daemons exchange.
 	Load     float64
 	InFlight int
 	Open     int
-	// Waiting is the work of all daemons that waits there for its first event,
-	// in prompt tokens of the largest model.
+	// Waiting is the work of all daemons' requests there that have no first event yet, in
+	// prompt tokens of the largest model.
 	Waiting float64
-	// Unannounced instances have a version that was first listed a moment ago,
-	// while the order to use it may be on its way. They get nothing while others
-	// can serve.
+	// Unannounced instances have a version that was first listed a moment ago, so that the
+	// order to use it may still be on its way. They get no requests while others can serve.
 	Unannounced bool
-	// Ejected instances failed lately and get nothing while others can serve.
+	// Ejected instances have failed recently and get no requests while others can serve.
 	Ejected bool
-	// Warming instances bear only a part of what they will.
+	// Warming instances accept only part of their normal load.
 	Warming bool
-	// Limit is the number of requests a second that the instance takes of all daemons, by
-	// its own word, if Limited is set.
+	// Limit is the number of requests per second that the instance itself accepts from all
+	// daemons, valid if Limited is set.
 	Limited bool
 	Limit   float64
-	// Wait is the time until this daemon may send to the instance; 0 is at once. Where
-	// NoTurn is set only others may send there, and it is the time until one of them may.
+	// Wait is the time until this daemon may send to the instance; 0 means now. If NoTurn is
+	// set, this daemon has no share of the instance's limit and Wait is the estimated time
+	// until another daemon may send.
 	Wait   time.Duration
 	NoTurn bool
-	// ProbeDue is set where only another request can tell whether Limit still holds.
+	// ProbeDue is set if a request is needed to find out whether Limit still applies.
 	ProbeDue bool
 }
 
 // Table is the table of upstream instances.
 //
-// Lock order: mu is held while a Share is called, which may take the locks of its own.
+// Lock order: mu is held while the ShareFunc is called, which may take other locks.
 type Table struct {
 	clock clockwork.Clock
 
-	mu       sync.Mutex
-	entries  map[string]*entry
-	revision int64
-	readAt   time.Time
-	// fleetAt is when the work of all daemons was last told.
+	mu          sync.Mutex
+	entries     map[string]*entry
+	revision    int64
+	confirmedAt time.Time
+	// fleetAt is when the work of all daemons was last received.
 	fleetAt time.Time
-	// versions is when each version of a service was first listed; zero for
-	// those that were there when this daemon started, or alone.
-	versions map[string]map[string]time.Time
-	// leftAt has the lives that were found to be leaving, and when.
-	leftAt map[Life]time.Time
-	// goneAt has the lives that were taken off the list, and when. Until settledAt a list
-	// may be an older copy, which has them still.
-	goneAt    map[Life]time.Time
-	settledAt time.Time
-	// evacuated are the failure domains whose instances get nothing new.
+	// firstListed is when each version of a service was first listed. It is zero for versions
+	// that were listed when this daemon started, or that were the first of their service.
+	firstListed map[string]map[string]time.Time
+	// leavingAt is when each incarnation was found to be leaving.
+	leavingAt map[Life]time.Time
+	// removedAt is when each incarnation was removed from the list. Lists read before
+	// staleUntil may be outdated copies that still contain them.
+	removedAt  map[Life]time.Time
+	staleUntil time.Time
+	// evacuated contains the failure domains whose instances get no new requests.
 	evacuated map[string]bool
-	// limits has what lives have said of their limits.
-	limits map[Life]limitWord
-	// warmUps is what instances bear while they warm up, by service, and share this
-	// daemon's part of budgets.
+	// limits contains the limits reported by instances.
+	limits map[Life]limitRecord
+	// warmUps contains the warm-up settings by service. shareOf computes this daemon's share
+	// of a budget.
 	warmUps map[string]catalog.WarmUp
-	share   Share
+	shareOf Share
 }
 
 // NewTable returns an empty table.
 func NewTable(clock clockwork.Clock) *Table {
 	return &Table{
-		clock: clock, entries: map[string]*entry{}, versions: map[string]map[string]time.Time{}, leftAt: map[Life]time.Time{}, goneAt: map[Life]time.Time{},
-		evacuated: map[string]bool{}, limits: map[Life]limitWord{}, share: func(string, float64) pacing.Part { return pacing.Part{} },
+		clock: clock, entries: map[string]*entry{}, firstListed: map[string]map[string]time.Time{}, leavingAt: map[Life]time.Time{}, removedAt: map[Life]time.Time{},
+		evacuated: map[string]bool{}, limits: map[Life]limitRecord{}, shareOf: func(string, float64) pacing.Part { return pacing.Part{} },
 	}
 }
 
-// Usable returns the instances of a service that may get something new, by ID.
+// Usable returns the instances of a service that may get new requests, sorted by ID.
 func (t *Table) Usable(service string) []View {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
 	var out []View
 	for _, e := range t.entries {
-		if !t.serves(e, service) || e.budget.isResting(now) {
+		if !t.mayServe(e, service) || e.budget.isBackingOff(now) {
 			continue
 		}
 		turn := t.turn(e, now)
 		limit, limited := t.limitOf(e)
 		out = append(out, View{
 			Instance: e.instance,
-			Load:     float64(e.inFlight) + decayed(e.others, now.Sub(e.reportedAt), reportHalfLife),
-			Open:     t.openNow(e, now),
+			Load:     float64(e.inFlight) + decayed(e.othersLoad, now.Sub(e.reportedAt), reportHalfLife),
+			Open:     t.fleetOpen(e, now),
 			InFlight: e.inFlight,
-			Waiting:  t.waitingNow(e, now),
+			Waiting:  t.fleetWaiting(e, now),
 			Ejected:  e.health.ejected(now),
 			Warming:  t.isWarming(e, now),
 			Limited:  limited,
 			Limit:    limit,
 			Wait:     turn.Wait,
-			NoTurn:   turn.None,
+			NoTurn:   turn.NotOwner,
 			ProbeDue: t.isProbeDue(e, now),
 
-			Unannounced: t.unannounced(e.instance, now),
+			Unannounced: t.isUnannounced(e.instance, now),
 		})
 	}
 	slices.SortFunc(out, func(a, b View) int {
@@ -158,28 +160,28 @@
 	return out
 }
 
-// serves reports whether an instance of a service is there and does not leave.
+// serves reports whether the instance belongs to the service, is present and is not leaving.
 func (e *entry) serves(service string) bool {
-	return e.instance.Service == service && !e.gone && !e.left && !e.instance.Leaving
+	return e.instance.Service == service && !e.removed && !e.leaving && !e.instance.Leaving
 }
 
-// serves reports whether an instance of a service is there and may get something new. The
-// lock is held.
-func (t *Table) serves(e *entry, service string) bool {
+// mayServe reports whether the instance serves the service and its failure domain is not
+// evacuated. The lock is held.
+func (t *Table) mayServe(e *entry, service string) bool {
 	return e.serves(service) && !t.evacuated[e.instance.FailureDomain]
 }
 
-// AllRest reports whether all instances of a service are left out by Rest, and the least
-// time until one is not.
+// AllBackingOff reports whether all instances of a service are excluded by BackOff, and the
+// shortest remaining back-off.
 func (t *Table) AllRest(service string) (least time.Duration, all bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
 	for _, e := range t.entries {
-		if !t.serves(e, service) {
+		if !t.mayServe(e, service) {
 			continue
 		}
-		left := e.budget.restUntil.Sub(now)
+		left := e.budget.backOffUntil.Sub(now)
 		if left <= 0 {
 			return 0, false
 		}
@@ -190,7 +192,7 @@
 	return least, all
 }
 
-// decayed is what is left of a value after some time.
+// decayed returns a value after exponential decay for the given time.
 func decayed(value float64, age, halfLife time.Duration) float64 {
 	if value == 0 {
 		return 0
@@ -198,39 +200,39 @@
 	return value * math.Exp2(-float64(age)/float64(halfLife))
 }
 
-// Begin counts a request that is about to be sent to an instance, and its work,
-// which waits until Started is called.
+// Begin counts a request that is about to be sent to an instance. Its work counts as waiting
+// until RemoveWaiting is called.
 func (t *Table) Begin(i Instance, work float64) {
-	t.with(i, func(e *entry) {
+	t.withEntry(i, func(e *entry) {
 		e.inFlight++
 		e.waiting += work
 	})
 }
 
-// Started counts work off that an instance has done, or that was withdrawn.
+// RemoveWaiting subtracts work that an instance has done, or whose request was cancelled.
 func (t *Table) Started(i Instance, work float64) {
-	t.with(i, func(e *entry) { e.waiting = max(e.waiting-work, 0) })
+	t.withEntry(i, func(e *entry) { e.waiting = max(e.waiting-work, 0) })
 }
 
-// Report takes in what an instance says of its load.
+// ReportLoad records the load that an instance reported.
 func (t *Table) Report(i Instance, l Load) {
-	t.with(i, func(e *entry) {
-		e.others = max(float64(l.Running+l.Waiting-e.inFlight), 0)
+	t.withEntry(i, func(e *entry) {
+		e.othersLoad = max(float64(l.Running+l.Waiting-e.inFlight), 0)
 		e.reportedAt = t.clock.Now()
 	})
 }
 
-// End counts a request that ended, and how.
+// End counts the end of a request and records its outcome.
 func (t *Table) End(i Instance, outcome Outcome) {
-	t.with(i, func(e *entry) {
+	t.withEntry(i, func(e *entry) {
 		e.inFlight--
 		e.health.note(outcome, t.clock.Now())
 	})
 }
 
-// with calls f with the entry of an instance, if it is still the same life of its
-// server: a request to an earlier one says nothing of the present one.
-func (t *Table) with(i Instance, f func(*entry)) {
+// withEntry calls f with the entry of an instance if the entry is of the same incarnation.
+// Results of requests to an earlier incarnation say nothing about the current one.
+func (t *Table) withEntry(i Instance, f func(*entry)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e, ok := t.entries[i.ID]; ok && e.instance.Born == i.Born {
@@ -238,7 +240,7 @@
 	}
 }
 
-// InFlight counts this daemon's requests at instances of a service whose
+// InFlight returns the number of this daemon's requests at instances of a service whose
 // version keep accepts.
 func (t *Table) InFlight(service string, keep func(version string) bool) int {
 	t.mu.Lock()
@@ -252,13 +254,13 @@
 	return n
 }
 
-// Addresses returns the addresses of the instances that may be used.
+// Addresses returns the addresses of all instances that were not removed.
 func (t *Table) Addresses() map[string]bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := map[string]bool{}
 	for e := range maps.Values(t.entries) {
-		if !e.gone {
+		if !e.removed {
 			out[e.instance.Address] = true
 		}
 	}
--- a/internal/inventory/table_test.go
+++ b/internal/inventory/table_test.go
@@ -20,48 +20,48 @@
 	return out
 }
 
-// An operator takes servers away that never say that they leave: their entries
-// just vanish. One daemon was turned away by the store shortly before. Within
-// the time allowed for leaving servers it went on sending to one of them,
-// because it doubted for two seconds from each removal whether the entry had
-// only lapsed. The doubt ends two seconds after the store's return.
-func TestRemovalAfterAnOutageIsBelievedInTime(t *testing.T) {
+// Guards against a removed server that keeps getting requests after an outage of the store.
+// Its entry disappears shortly after the outage, without an announcement that it leaves. The
+// entry may have expired only because of the outage and is kept for a while, but this time
+// must end two seconds after the outage, not two seconds after each removal. With the latter,
+// a daemon exceeded the time allowed for leaving servers.
+func TestRemovalAfterAnOutageTakesEffectInTime(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	table := NewTable(clock)
 	table.Replace(Snapshot{Revision: 5, Instances: []Instance{instance("a"), instance("b")}}, time.Time{})
 	regained := clock.Now()
-	doubted := regained.Add(2 * time.Second)
+	keepUntil := regained.Add(2 * time.Second)
 
 	clock.Advance(1500 * time.Millisecond)
-	table.Apply([]Change{{ID: "a"}}, 6, doubted)
-	require.Equal(t, []string{"a", "b"}, ids(table.Usable("catalogue")), "the entry may have lapsed")
+	table.Apply([]Change{{ID: "a"}}, 6, keepUntil)
+	require.Equal(t, []string{"a", "b"}, ids(table.Usable("catalogue")), "the entry may have expired")
 	clock.Advance(600 * time.Millisecond)
 	table.Expire()
 	require.Equal(t, []string{"b"}, ids(table.Usable("catalogue")))
 
-	table.Apply([]Change{{ID: "b"}}, 7, doubted)
-	require.Empty(t, table.Usable("catalogue"), "after the doubt a removal counts at once")
+	table.Apply([]Change{{ID: "b"}}, 7, keepUntil)
+	require.Empty(t, table.Usable("catalogue"), "after keepUntil a removal takes effect at once")
 }
 
-// Entries of live servers lapse while the store is away and come back after its
-// return. Nobody must be refused in between because the list is empty.
-func TestLapsedEntriesAreKeptUntilTheyAreBack(t *testing.T) {
+// Entries of running servers expire during an outage of the store and return after it.
+// Requests must not be refused in the meantime because the list is empty.
+func TestLapsedEntriesAreKeptUntilTheyReturn(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	table := NewTable(clock)
 	table.Replace(Snapshot{Revision: 5, Instances: []Instance{instance("a")}}, time.Time{})
-	doubted := clock.Now().Add(2 * time.Second)
-	table.Replace(Snapshot{Revision: 9}, doubted)
+	keepUntil := clock.Now().Add(2 * time.Second)
+	table.Replace(Snapshot{Revision: 9}, keepUntil)
 	require.Equal(t, []string{"a"}, ids(table.Usable("catalogue")))
 	back := instance("a")
-	table.Apply([]Change{{ID: "a", Instance: &back}}, 10, doubted)
+	table.Apply([]Change{{ID: "a", Instance: &back}}, 10, keepUntil)
 	clock.Advance(5 * time.Second)
 	table.Expire()
 	require.Equal(t, []string{"a"}, ids(table.Usable("catalogue")))
 }
 
-// A server said that it leaves, and an older list that still has it as ready
-// comes from a peer. It must not get anything again.
-func TestLeavingIsNotTakenBack(t *testing.T) {
+// A server has announced that it is leaving, and an older list from a peer still contains it
+// as ready. It must not get requests again.
+func TestLeavingIsSticky(t *testing.T) {
 	table := NewTable(clockwork.NewFakeClock())
 	leaving := instance("a")
 	leaving.Leaving = true
@@ -71,9 +71,9 @@
 	require.Empty(t, table.Usable("catalogue"))
 }
 
-// An instance whose connections fail is left out for a while, longer each time,
-// and is back once it answers.
-func TestFailingInstancesAreLeftOutForAWhile(t *testing.T) {
+// An instance with connection failures is ejected, longer each time, and is used again once it
+// answers.
+func TestFailingInstanceIsEjectedForAWhile(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	table := NewTable(clock)
 	table.Replace(Snapshot{Revision: 1, Instances: []Instance{instance("a")}}, time.Time{})
@@ -84,20 +84,20 @@
 	}
 	fail(OutcomeUnreachable)
 	require.True(t, ejected())
-	clock.Advance(ejectTime)
+	clock.Advance(baseEjectTime)
 	require.False(t, ejected())
 	fail(OutcomeUnreachable)
-	clock.Advance(ejectTime)
+	clock.Advance(baseEjectTime)
 	require.True(t, ejected(), "the second time is longer")
-	clock.Advance(ejectTime)
+	clock.Advance(baseEjectTime)
 	for range 10 {
 		fail(OutcomeGood)
 	}
 	require.False(t, ejected())
 }
 
-// A service that fails one request in seven by itself is sound; none of its
-// instances may be left out for that.
+// A service that normally fails one request in seven is healthy; none of its instances may be
+// ejected for that.
 func TestOrdinaryFailuresDoNotEject(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	table := NewTable(clock)
@@ -113,8 +113,8 @@
 	}
 }
 
-// What an instance says of other daemons' work loses weight with its age.
-func TestReportedLoadAges(t *testing.T) {
+// The load of other daemons that an instance reports must lose weight with its age.
+func TestReportedLoadDecays(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	table := NewTable(clock)
 	table.Replace(Snapshot{Revision: 1, Instances: []Instance{instance("a")}}, time.Time{})
@@ -128,10 +128,10 @@
 	require.InDelta(t, 1, table.Usable("catalogue")[0].Load, 0.01)
 }
 
-// A daemon without the store keeps an entry in doubt and passes its list to a
-// peer. Passed on as listed, the entry came back from peer to peer, and a server
-// that had left got requests for seconds. It is passed on with its doubt.
-func TestDoubtIsPassedOn(t *testing.T) {
+// A daemon without access to the store keeps a missing entry for a while and sends its list to
+// a peer. If the entry were sent without its remaining keep time, it would return from peer to
+// peer, and a server that has left would get requests for seconds.
+func TestSnapshotCarriesRemainingKeepTimes(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	one, two := NewTable(clock), NewTable(clock)
 	one.Replace(Snapshot{Revision: 5, Instances: []Instance{instance("a"), instance("b")}}, time.Time{})
@@ -145,28 +145,28 @@
 	require.Equal(t, []string{"b"}, ids(two.Usable("catalogue")))
 }
 
-// Two daemons read the list and tell a third one. A read that was overtaken by
-// the other one's news is not passed on as if it had brought nothing: the third
-// daemon would go past changes that it never got.
-func TestOvertakenReadsAreNotTakenIn(t *testing.T) {
+// Two daemons read the list and inform a third one. If a daemon applied a read that is older
+// than its table and passed it on as a read without changes, the third daemon would skip
+// changes that it never got.
+func TestApplyRejectsAnOlderRevision(t *testing.T) {
 	table := NewTable(clockwork.NewFakeClock())
 	table.Replace(Snapshot{Revision: 100}, time.Time{})
 	a := instance("a")
-	news, _, ok := table.Apply([]Change{{ID: "a", Instance: &a}}, 125, time.Time{})
+	changed, _, ok := table.Apply([]Change{{ID: "a", Instance: &a}}, 125, time.Time{})
 	require.True(t, ok)
-	require.Len(t, news, 1)
+	require.Len(t, changed, 1)
 	_, _, ok = table.Apply([]Change{{ID: "a", Instance: &a}}, 120, time.Time{})
 	require.False(t, ok)
-	news, _, ok = table.Apply([]Change{{ID: "a", Instance: &a}}, 130, time.Time{})
+	changed, _, ok = table.Apply([]Change{{ID: "a", Instance: &a}}, 130, time.Time{})
 	require.True(t, ok)
-	require.Empty(t, news, "a heartbeat is no news")
+	require.Empty(t, changed, "a heartbeat is not a change")
 }
 
-// Servers of a new version are listed before the order to use them has arrived.
-// Without a rule for them, sessions ran on the new version and back on the old
-// one. They are marked as unannounced for a while; what is there when a daemon
-// starts is not.
-func TestVersionsWithoutAnOrderYet(t *testing.T) {
+// Servers of a new version are listed before the order to use the version arrives. If they
+// were used at once, sessions would move to the new version and back to the old one. New
+// versions are therefore unannounced for a while, except those that are listed when a daemon
+// starts.
+func TestNewVersionIsUnannouncedAtFirst(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	table := NewTable(clock)
 	table.Replace(Snapshot{Revision: 1, Instances: []Instance{instance("a")}}, time.Time{})
@@ -188,22 +188,22 @@
 	require.Equal(t, []bool{false, false}, unannounced("catalogue"))
 }
 
-// Daemons tell what they have under way. The sum is of what each told last; one that
-// has told nothing for some time is left out, since it may have ended.
-func TestSum(t *testing.T) {
+// The sum must contain the last report of each daemon. A daemon without a recent report is
+// left out, since it may have ended.
+func TestWorkSum(t *testing.T) {
 	now := time.Now()
 	s := NewSum()
 	s.Add("one", Work{1: {Waiting: 5000, Open: 2}}, now)
 	s.Add("one", Work{1: {Waiting: 6000, Open: 3}, 2: {Waiting: 70, Open: 1}}, now)
-	s.Add("two", Work{1: {Waiting: 1000, Open: 1}}, now.Add(fleetTime))
-	require.Equal(t, Work{1: {Waiting: 7000, Open: 4}, 2: {Waiting: 70, Open: 1}}, s.Total(now.Add(fleetTime)))
-	require.Equal(t, Work{1: {Waiting: 1000, Open: 1}}, s.Total(now.Add(fleetTime+time.Millisecond)))
+	s.Add("two", Work{1: {Waiting: 1000, Open: 1}}, now.Add(fleetWorkTTL))
+	require.Equal(t, Work{1: {Waiting: 7000, Open: 4}, 2: {Waiting: 70, Open: 1}}, s.Total(now.Add(fleetWorkTTL)))
+	require.Equal(t, Work{1: {Waiting: 1000, Open: 1}}, s.Total(now.Add(fleetWorkTTL+time.Millisecond)))
 }
 
-// What other daemons have at an instance is told some times a second. A daemon puts
-// its own requests of now in the place of those that were told of it, takes less of
-// the others' as the news grows old, and falls back to its own when nothing is told.
-func TestFleetWork(t *testing.T) {
+// A daemon receives the work of all daemons several times per second. It must replace its own
+// part by its current requests, reduce the others' part as the report ages, and use only its
+// own requests once the report is too old.
+func TestFleetWorkReplacesOwnPart(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	table := NewTable(clock)
 	table.Replace(Snapshot{Revision: 1, Instances: []Instance{instance("a")}}, time.Time{})
@@ -215,34 +215,32 @@
 	require.Equal(t, 8, view.Open)
 	table.Started(instance("a"), 100)
 	require.InDelta(t, 1050, table.Usable("catalogue")[0].Waiting, 0.01)
-	clock.Advance(toldHalfLife)
+	clock.Advance(fleetHalfLife)
 	require.InDelta(t, 550, table.Usable("catalogue")[0].Waiting, 0.01)
-	clock.Advance(fleetTime)
+	clock.Advance(fleetWorkTTL)
 	view = table.Usable("catalogue")[0]
 	require.InDelta(t, 50, view.Waiting, 0.01)
 	require.Equal(t, 2, view.Open)
 }
 
-// A server answers that it is not the one expected, and only afterwards does the
-// list say that it leaves. That is news, which a reader must tell the others;
-// taken for known, it was told to nobody.
-func TestWhatAServerSaidDoesNotHideTheList(t *testing.T) {
+// A server answers that it is not the expected one, and only later the list shows it as
+// leaving. If the answer made the list change look known, no other daemon would be informed.
+func TestLeavingMarkDoesNotHideTheListChange(t *testing.T) {
 	table := NewTable(clockwork.NewFakeClock())
 	i := Instance{ID: "i", Service: "s"}
 	table.Replace(Snapshot{Revision: 1, Instances: []Instance{i}}, time.Time{})
 	table.NoteLeaving(instance("i").Life())
 	require.Empty(t, table.Usable("s"))
 	i.Leaving = true
-	news, _, ok := table.Apply([]Change{{ID: "i", Instance: &i}}, 2, time.Time{})
+	changed, _, ok := table.Apply([]Change{{ID: "i", Instance: &i}}, 2, time.Time{})
 	require.True(t, ok)
-	require.Len(t, news, 1)
+	require.Len(t, changed, 1)
 }
 
-// A server crashes while it is ejected for its failures and a request runs there,
-// and starts again under its ID. It must be used like a new one: nothing of the
-// earlier life counts, the end of the earlier request included, and news of that
-// life that comes late changes nothing.
-func TestServerStartsAgainUnderItsID(t *testing.T) {
+// A server crashes while it is ejected and has an open request, and restarts under its ID. The
+// new incarnation must start without any state of the earlier one: neither the end of the
+// earlier request nor late news of the earlier incarnation may change it.
+func TestServerRestartsUnderTheSameID(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	table := NewTable(clock)
 	before, after := instance("a"), instance("a")
@@ -271,21 +269,20 @@
 	require.False(t, views[0].Ejected)
 }
 
-// Another writer overwrites the entry of a server. From then on that entry names no
-// server to use, and is not doubted as one that has lapsed; the server's own next
-// entry brings it back.
+// Another writer overwrites the entry of a server. The server must be unusable from then on,
+// without the delay for expired entries, until it writes a readable entry again.
 func TestUnreadableEntryIsNotUsed(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	table := NewTable(clock)
 	table.Replace(Snapshot{Revision: 5, Instances: []Instance{instance("a"), instance("b")}}, time.Time{})
-	doubted := clock.Now().Add(time.Minute)
-	news, _, ok := table.Apply([]Change{{ID: "a", Unreadable: true}, {ID: "z", Unreadable: true}}, 6, doubted)
+	keepUntil := clock.Now().Add(time.Minute)
+	changed, _, ok := table.Apply([]Change{{ID: "a", Unreadable: true}, {ID: "z", Unreadable: true}}, 6, keepUntil)
 	require.True(t, ok)
-	require.Equal(t, []Change{{ID: "a", Unreadable: true}}, news, "the others are told")
+	require.Equal(t, []Change{{ID: "a", Unreadable: true}}, changed, "the change is passed on")
 	require.Equal(t, []string{"b"}, ids(table.Usable("catalogue")))
 	again := instance("a")
-	table.Apply([]Change{{ID: "a", Instance: &again}}, 7, doubted)
+	table.Apply([]Change{{ID: "a", Instance: &again}}, 7, keepUntil)
 	require.Equal(t, []string{"a", "b"}, ids(table.Usable("catalogue")))
-	table.Replace(Snapshot{Revision: 8, Instances: []Instance{instance("b")}, Unreadable: []string{"a"}}, doubted)
+	table.Replace(Snapshot{Revision: 8, Instances: []Instance{instance("b")}, Unreadable: []string{"a"}}, keepUntil)
 	require.Equal(t, []string{"b"}, ids(table.Usable("catalogue")))
 }
--- a/internal/inventory/warmup_test.go
+++ b/internal/inventory/warmup_test.go
@@ -13,8 +13,8 @@
 
 const coldTime = 3 * time.Second
 
-// newWarmTable returns a table with two instances of a service that warm up, of which this
-// daemon may send one a second to each.
+// newWarmTable returns a table with two instances of a service with a warm-up. This daemon may
+// send one request per second to each.
 func newWarmTable() (*Table, *clockwork.FakeClock) {
 	clock := clockwork.NewFakeClock()
 	table := NewTable(clock)
@@ -28,7 +28,7 @@
 	return Instance{ID: "i-" + domain, Service: "s", FailureDomain: domain}
 }
 
-func (t *Table) listed(revision int64, domain string, warming time.Duration) {
+func (t *Table) applyEntry(revision int64, domain string, warming time.Duration) {
 	i := warmInstance(domain)
 	t.Apply([]Change{{ID: i.ID, Instance: &i, Warming: warming}}, revision, time.Time{})
 }
@@ -42,12 +42,12 @@
 	return false
 }
 
-// Guards against an instance that is sent everything because its entry told of its warm-up
-// in a heartbeat only, in which nothing else had changed.
+// Guards against an instance that gets its full load too early because its warm-up is reported
+// only in a heartbeat without any other change.
 func TestHeartbeatTellsOfWarmUp(t *testing.T) {
 	table, clock := newWarmTable()
 	require.False(t, isWarming(table, "a"))
-	table.listed(2, "a", 2*time.Second)
+	table.applyEntry(2, "a", 2*time.Second)
 	require.True(t, isWarming(table, "a"))
 	require.False(t, isWarming(table, "b"))
 	clock.Advance(1999 * time.Millisecond)
@@ -56,14 +56,14 @@
 	require.False(t, isWarming(table, "a"))
 }
 
-// Guards against warm-ups that other daemons do not hear of, or not of their end.
-func TestWarmUpIsNews(t *testing.T) {
+// Guards against a warm-up, or its end, that is not passed on to other daemons.
+func TestWarmUpChangesArePassedOn(t *testing.T) {
 	table, clock := newWarmTable()
 	apply := func(revision int64, left time.Duration) []Change {
 		i := warmInstance("a")
-		news, _, ok := table.Apply([]Change{{ID: i.ID, Instance: &i, Warming: left}}, revision, time.Time{})
+		changed, _, ok := table.Apply([]Change{{ID: i.ID, Instance: &i, Warming: left}}, revision, time.Time{})
 		require.True(t, ok)
-		return news
+		return changed
 	}
 	require.Empty(t, apply(2, 0))
 	require.Len(t, apply(3, 2*time.Second), 1)
@@ -73,32 +73,31 @@
 	require.Empty(t, apply(5, 0))
 }
 
-// Guards against a restored failure domain that is taken for warm by entries older than
-// its cold.
-func TestRestoredInstancesAreColdUntilTheySayOtherwise(t *testing.T) {
+// Guards against instances of a restored failure domain that count as warm because their
+// entries were written before they became cold.
+func TestRestoredInstancesAreAssumedCold(t *testing.T) {
 	table, clock := newWarmTable()
 	table.Evacuate("a", true)
 	require.Len(t, table.Usable("s"), 1)
 	require.False(t, table.MaySend(warmInstance("a")))
 	table.Evacuate("a", false)
 	require.True(t, isWarming(table, "a"))
-	table.listed(2, "a", 0)
+	table.applyEntry(2, "a", 0)
 	require.True(t, isWarming(table, "a"))
-	table.listed(3, "a", time.Second)
+	table.applyEntry(3, "a", time.Second)
 	clock.Advance(time.Second)
 	require.False(t, isWarming(table, "a"))
 
 	table.Evacuate("b", true)
 	table.Evacuate("b", false)
 	clock.Advance(coldTime)
-	require.False(t, isWarming(table, "b"), "nothing was heard of it")
+	require.False(t, isWarming(table, "b"), "the instance reported no warm-up")
 }
 
-// Guards against a daemon that sends more than its part: turns are handed out one after the
-// other, whoever asks.
-func TestTurnsAtAColdInstance(t *testing.T) {
+// Guards against a daemon that exceeds its share when several requests reserve turns.
+func TestTurnsAtAWarmingInstanceAreSequential(t *testing.T) {
 	table, clock := newWarmTable()
-	table.listed(2, "a", coldTime)
+	table.applyEntry(2, "a", coldTime)
 	a := warmInstance("a")
 	first, ok := table.Reserve(a, coldTime)
 	require.True(t, ok)
@@ -110,7 +109,7 @@
 	require.False(t, ok, "the turn comes too late")
 	third, ok := table.Reserve(a, coldTime)
 	require.True(t, ok)
-	require.Equal(t, first.Wait+2*time.Second, third.Wait, "no turn was taken by who could not wait")
+	require.Equal(t, first.Wait+2*time.Second, third.Wait, "a refused reservation takes no turn")
 	clock.Advance(coldTime)
 	for range 10 {
 		turn, ok := table.Reserve(a, 0)
@@ -119,10 +118,10 @@
 	}
 }
 
-// Guards against a daemon that has started and holds all instances for warm.
-func TestWarmUpGoesWithTheWholeList(t *testing.T) {
+// Guards against a newly started daemon that takes all instances for warm.
+func TestSnapshotCarriesWarmUps(t *testing.T) {
 	table, clock := newWarmTable()
-	table.listed(2, "a", coldTime)
+	table.applyEntry(2, "a", coldTime)
 	clock.Advance(time.Second)
 	other, _ := newWarmTable()
 	other.Replace(table.Snapshot(), time.Time{})
--- a/internal/inventory/work.go
+++ b/internal/inventory/work.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Amount is what waits at one instance.
+// Amount is the open requests at one instance and their waiting work.
 type Amount struct {
-	// Waiting is the work of the requests there that have no first event yet, in
-	// prompt tokens of the largest model.
+	// Waiting is the work of the requests that have no first event yet, in prompt tokens of
+	// the largest model.
 	Waiting float64
-	// Open is the number of requests under way.
+	// Open is the number of open requests.
 	Open int
 }
 
-// Work is an amount by the instance that it was sent to.
+// Work contains amounts by instance.
 type Work map[Number]Amount
 
 // Add adds an amount to that of an instance.
@@ -23,37 +23,38 @@
 }
 
 const (
-	// fleetTime is how long the told work of all daemons is relied on.
-	fleetTime = 3 * time.Second
-	// toldHalfLife is how fast the told work of others loses weight: a prompt
-	// that waits is read within about a second.
-	toldHalfLife = 1 * time.Second
+	// fleetWorkTTL is how long the reported work of all daemons is used.
+	fleetWorkTTL = 3 * time.Second
+	// fleetHalfLife is the half-life of the reported work of other daemons. A waiting prompt
+	// is read within about a second.
+	fleetHalfLife = 1 * time.Second
 )
 
-// waitingNow is the work of all daemons that waits at an instance.
-func (t *Table) waitingNow(e *entry, now time.Time) float64 {
+// fleetWaiting returns the waiting work of all daemons at an instance, or only that of this
+// daemon if no recent report of the others is available.
+func (t *Table) fleetWaiting(e *entry, now time.Time) float64 {
 	if !t.fleetKnown(now) {
 		return e.waiting
 	}
-	others := max(e.fleet.Waiting-e.waitingThen, 0)
-	return e.waiting + decayed(others, now.Sub(t.fleetAt), toldHalfLife)
+	others := max(e.fleet.Waiting-e.fleetOwnWaiting, 0)
+	return e.waiting + decayed(others, now.Sub(t.fleetAt), fleetHalfLife)
 }
 
-// openNow is the number of requests of all daemons at an instance as they tell
-// each other; only this daemon's while nothing is known of the others. It is good
-// for requests that last seconds, misleading for those of some 60 ms.
-func (t *Table) openNow(e *entry, now time.Time) int {
+// fleetOpen returns the number of open requests of all daemons at an instance, or only those
+// of this daemon if no recent report of the others is available. The reports are accurate for
+// requests that last seconds and misleading for requests of some 60 ms.
+func (t *Table) fleetOpen(e *entry, now time.Time) int {
 	if !t.fleetKnown(now) {
 		return e.inFlight
 	}
-	return e.inFlight + max(e.fleet.Open-e.openThen, 0)
+	return e.inFlight + max(e.fleet.Open-e.fleetOwnOpen, 0)
 }
 
 func (t *Table) fleetKnown(now time.Time) bool {
-	return !t.fleetAt.IsZero() && now.Sub(t.fleetAt) <= fleetTime
+	return !t.fleetAt.IsZero() && now.Sub(t.fleetAt) <= fleetWorkTTL
 }
 
-// Own returns what this daemon has under way, by instance.
+// OwnWork returns the open work of this daemon by instance.
 func (t *Table) Own() Work {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -66,38 +67,38 @@
 	return out
 }
 
-// SetFleet takes in what all daemons have under way, this one included.
+// SetFleetWork sets the open work of all daemons, including this one.
 func (t *Table) SetFleet(w Work) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.fleetAt = t.clock.Now()
 	for _, e := range t.entries {
-		e.fleet, e.openThen, e.waitingThen = w[e.instance.Number()], e.inFlight, e.waiting
+		e.fleet, e.fleetOwnOpen, e.fleetOwnWaiting = w[e.instance.Number()], e.inFlight, e.waiting
 	}
 }
 
-// Sum adds up what daemons report of themselves.
-type Sum struct{ last map[string]report }
+// WorkSum adds up the work that daemons report of themselves.
+type Sum struct{ reports map[string]workReport }
 
-type report struct {
+type workReport struct {
 	work Work
 	at   time.Time
 }
 
-// NewSum returns an empty sum.
-func NewSum() *Sum { return &Sum{last: map[string]report{}} }
+// NewWorkSum returns an empty sum.
+func NewSum() *Sum { return &Sum{reports: map[string]workReport{}} }
 
-// Add replaces what a daemon reported before.
+// Add replaces the last report of a daemon.
 func (s *Sum) Add(daemon string, w Work, now time.Time) {
-	s.last[daemon] = report{work: w, at: now}
+	s.reports[daemon] = workReport{work: w, at: now}
 }
 
-// Total returns the sum of the reports that are new enough to be relied on.
+// Total returns the sum of the reports that are not older than fleetWorkTTL.
 func (s *Sum) Total(now time.Time) Work {
 	out := Work{}
-	for daemon, r := range s.last {
-		if now.Sub(r.at) > fleetTime {
-			delete(s.last, daemon)
+	for daemon, r := range s.reports {
+		if now.Sub(r.at) > fleetWorkTTL {
+			delete(s.reports, daemon)
 			continue
 		}
 		for instance, a := range r.work {
--- a/internal/pacing/pacing.go
+++ b/internal/pacing/pacing.go
@@ -14,12 +14,12 @@
 
 // leastOwners is the least number of owners of an instance, if there are as many daemons:
 // one that is frozen, or has no callers, does not keep the instance from being used.
-const leastOwners = 3
+const minOwners = 3
 
 // Owners is the number of daemons, of some, that may send to an instance which is to get
 // rate requests a second of all of them.
 func Owners(rate float64, daemons int) int {
-	return max(min(max(int(rate), leastOwners), daemons), 1)
+	return max(min(max(int(rate), minOwners), daemons), 1)
 }
 
 // Part is one daemon's part of what an instance is to get. Its zero value is no part.
@@ -44,30 +44,30 @@
 }
 
 // Pace is when one owner may send to one instance. Its zero value may send at once.
-type Pace struct{ next time.Time }
+type Pacer struct{ next time.Time }
 
 // Start begins a pace at the owner's moment of the first interval, so that owners that learn
 // of an instance together do not send to it together.
-func (p *Pace) Start(now time.Time, part Part) {
+func (p *Pacer) Start(now time.Time, part Part) {
 	p.next = now.Add(time.Duration(part.Phase * float64(part.Interval)))
 }
 
 // Adjust goes on at another interval. Requests that were reserved count no more.
-func (p *Pace) Adjust(now time.Time, interval time.Duration) {
+func (p *Pacer) Adjust(now time.Time, interval time.Duration) {
 	if latest := now.Add(interval); p.next.After(latest) {
 		p.next = latest
 	}
 }
 
 // Wait is the time until the next request may be sent.
-func (p *Pace) Wait(now time.Time) time.Duration { return max(p.next.Sub(now), 0) }
+func (p *Pacer) Wait(now time.Time) time.Duration { return max(p.next.Sub(now), 0) }
 
 // Open is for how long the next request may have been sent already.
-func (p *Pace) Open(now time.Time) time.Duration { return max(now.Sub(p.next), 0) }
+func (p *Pacer) Overdue(now time.Time) time.Duration { return max(now.Sub(p.next), 0) }
 
 // Take reserves the next moment at which a request may be sent, and returns the time until
 // then.
-func (p *Pace) Take(now time.Time, interval time.Duration) time.Duration {
+func (p *Pacer) Take(now time.Time, interval time.Duration) time.Duration {
 	wait := p.Wait(now)
 	p.next = now.Add(wait + interval)
 	return wait
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -51,16 +51,16 @@
 	maxEjected = 0.5
 	// fullShare is the part of an instance's slots above which a request likely
 	// waits for one: what is known of other daemons' requests is up to a second old.
-	fullShare = 0.75
+	fullFraction = 0.75
 	// slotWork is what a whole batch of requests above that costs, as work: a slot
 	// becomes free when an answer ends, after some seconds.
-	slotWork = 40_000.0
+	fullBatchWork = 40_000.0
 	// farWork is what bytes between failure domains are worth, as work.
-	farWork = 150.0
+	crossDomainWork = 150.0
 	// tieWork is the difference in work that does not count: below it the order of
 	// the prompt decides, which is the same at all daemons, so that prompts that are
 	// new to all of them meet at one instance. It is some 20 ms of reading.
-	tieWork = 300.0
+	tieBreakWork = 300.0
 	// workPerRequest makes work and requests comparable: reading this many
 	// tokens takes an engine as long as a usual answer.
 	workPerRequest = 6000.0
@@ -166,11 +166,11 @@
 
 // leastPart is the least number of instances that a part of them has: with one,
 // its crash would look like a fault of the version that it runs.
-const leastPart = 2
+const minSubset = 2
 
 // Part returns a part of the instances, the same at all daemons; 0 is all.
 func Part(all []Candidate, part float64) []Candidate {
-	n := max(int(math.Round(part*float64(len(all)))), leastPart)
+	n := max(int(math.Round(part*float64(len(all)))), minSubset)
 	if part == 0 || n >= len(all) {
 		return all
 	}
@@ -184,17 +184,17 @@
 // cost is the expected time to the first event there, as work.
 func (c Candidate) cost(key string) float64 {
 	cost := c.Waiting + c.Reads
-	if over := float64(c.Open+1) - fullShare*float64(c.Slots); over > 0 {
-		cost += slotWork * over / float64(max(c.Slots, 1))
+	if over := float64(c.Open+1) - fullFraction*float64(c.Slots); over > 0 {
+		cost += fullBatchWork * over / float64(max(c.Slots, 1))
 	}
 	if !c.Near {
-		cost += farWork
+		cost += crossDomainWork
 	}
-	return cost + tieWork*unit(xxhash.Sum64String(c.ID+"\x00"+key))
+	return cost + tieBreakWork*hashFraction(xxhash.Sum64String(c.ID+"\x00"+key))
 }
 
 // unit maps a hash to [0, 1).
-func unit(hash uint64) float64 { return float64(hash>>11) / (1 << 53) }
+func hashFraction(hash uint64) float64 { return float64(hash>>11) / (1 << 53) }
 
 // ByPrompt picks the instance that likely begins to answer a prompt first: what
 // waits there, and what it has to read of the prompt, together are the least.
@@ -214,7 +214,7 @@
 // leastNear is the number of instances that a failure domain must have for its small
 // model's prompts to stay there. Each domain then reads the shared parts for itself,
 // which domains of few instances feel and those of many do not.
-const leastNear = 24
+const minLocal = 24
 
 // Near returns the instances of the daemon's own failure domain, or all when it
 // has too few. For the small model, which reads fast, this saves a third of the
@@ -226,7 +226,7 @@
 			near = append(near, c)
 		}
 	}
-	if len(near) < leastNear {
+	if len(near) < minLocal {
 		return all
 	}
 	return near
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -29,18 +29,18 @@
 	require.Len(t, Filter(all, nil), 4, "when most fail, the fault is likely not theirs")
 }
 
-func TestPart(t *testing.T) {
+func TestSubset(t *testing.T) {
 	all := candidates(18)
 	require.Len(t, Part(all, 0), 18)
 	require.Len(t, Part(all, 0.3), 5)
-	require.Len(t, Part(all, 0.01), leastPart)
+	require.Len(t, Part(all, 0.01), minSubset)
 	require.Len(t, Part(all[:1], 0.5), 1)
 	require.Equal(t, Part(all, 0.3), Part(all, 0.3))
 }
 
 // Prompts that are new to all daemons meet at one instance, from whichever daemon they
 // come, and one instance less moves only its own.
-func TestNewPromptsMeetAtOneInstance(t *testing.T) {
+func TestUncachedPromptGoesToTheSameInstanceFromEveryDaemon(t *testing.T) {
 	all := candidates(18)
 	moved := 0
 	for k := range 200 {
@@ -60,7 +60,7 @@
 
 // A prompt goes to the instance that begins to answer first: the one that holds its
 // parts while less waits there than reading them elsewhere takes, and then another.
-func TestPromptGoesWhereItBeginsFirst(t *testing.T) {
+func TestLowestCostPicksTheEarliestFirstEvent(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		holder  Candidate
@@ -71,7 +71,7 @@
 		{"less waits than is saved", Candidate{Reads: 1000, Waiting: 6000}, Candidate{Reads: 9000}, "holder"},
 		{"more waits than is saved", Candidate{Reads: 1000, Waiting: 12000}, Candidate{Reads: 9000}, "another"},
 		{"no slot is free", Candidate{Reads: 1000, Open: 100}, Candidate{Reads: 9000}, "another"},
-		{"equal but for the domain", Candidate{Reads: 9000}, Candidate{Reads: 9000 - tieWork, Near: true}, "another"},
+		{"equal but for the domain", Candidate{Reads: 9000}, Candidate{Reads: 9000 - tieBreakWork, Near: true}, "another"},
 	} {
 		c.holder.ID, c.another.ID = "holder", "another"
 		c.holder.Slots, c.another.Slots = 100, 100
@@ -83,7 +83,7 @@
 	require.False(t, ok)
 }
 
-func TestLeastLoadedPrefersRoomThenTheOwnDomain(t *testing.T) {
+func TestLeastLoadedPrefersLowLoadThenTheOwnDomain(t *testing.T) {
 	all := candidates(3)
 	all[0].Load, all[1].Load, all[2].Load = 60, 10, 30
 	picked, _ := LeastLoaded(all, random())
@@ -102,19 +102,19 @@
 }
 
 // A domain with few instances shares those of all; a large one keeps to its own.
-func TestNearInstances(t *testing.T) {
-	all := candidates(4 * leastNear)
+func TestLocalNeedsEnoughInstances(t *testing.T) {
+	all := candidates(4 * minLocal)
 	for i := range all {
-		all[i].Near = i < leastNear
+		all[i].Near = i < minLocal
 	}
-	require.Len(t, Near(all), leastNear)
+	require.Len(t, Near(all), minLocal)
 	all[0].Near = false
 	require.Len(t, Near(all), len(all))
 }
 
 // An instance has ended under ten requests of one prompt, and one of them is the cause.
 // They go on at different instances: those with more to do get fewer of them, none gets all.
-func TestRequestsOfAnEndedInstanceGoApart(t *testing.T) {
+func TestRetriesAfterACrashAreSpread(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	var all []Candidate
 	for i := range 8 {
