--- a/internal/evacuation/book.go
+++ b/internal/evacuation/book.go
@@ -1,5 +1,5 @@
-// Package evacuation keeps which failure domains the operator has evacuated: their
-// upstream instances get nothing new until the evacuation is lifted. It does no I/O.
+// Package evacuation records which failure domains the operator has evacuated. Their upstream
+// instances get no new requests until the evacuation is lifted. The package does no I/O.
 package evacuation
 
 import (
@@ -13,59 +13,60 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Order is the newest word of the operator about one failure domain.
+// Order is an operator's order to evacuate a failure domain or to lift its evacuation.
 type Order struct {
 	FailureDomain string
-	// Revision is that of the store at which the order was given or lifted. Of two
-	// orders about a failure domain the one with the higher revision counts.
+	// Revision is the revision of the store at which the evacuation was ordered or lifted. Of
+	// two orders for a failure domain, the one with the higher revision applies.
 	Revision int64
-	// Lifted ends an evacuation.
+	// Lifted is set if the order ends an evacuation.
 	Lifted bool
 	// Age is how long ago the sender of this order learned of it.
 	Age time.Duration
 }
 
-// word is an order as it is kept.
+// record is a stored order.
 type record struct {
-	revision int64
-	lifted   bool
-	learnedAt  time.Time
+	revision  int64
+	lifted    bool
+	learnedAt time.Time
 }
 
-// Book keeps the orders about all failure domains. Lifted ones are kept, too: late news
-// of an evacuation that has ended must not bring it back. There are as many entries as
-// failure domains.
+// Registry keeps the newest order of each failure domain. Orders that lift an evacuation are
+// kept, too, so that a delayed message about the evacuation cannot restore it. The number of
+// records is that of the failure domains.
 //
-// Lock order: mu is taken alone.
+// Lock order: no other lock is taken while mu is held.
 type Book struct {
 	clock clockwork.Clock
 
-	mu    sync.Mutex
-	loaded bool
+	mu      sync.Mutex
+	loaded  bool
 	records map[string]record
 }
 
-// NewBook returns a book that knows nothing yet.
+// NewRegistry returns an empty registry, for which Loaded returns false.
 func NewBook(clock clockwork.Clock) *Book {
 	return &Book{clock: clock, records: map[string]record{}}
 }
 
-// Known reports whether all orders of some moment are known. Until then any failure
-// domain may be evacuated.
+// Loaded reports whether all orders in force at some point in time have been merged. Until
+// then any failure domain may be evacuated.
 func (b *Book) Known() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.loaded
 }
 
-// Learn takes in orders and returns those that were news.
+// Merge merges orders and returns those that changed something.
 func (b *Book) Learn(orders []Order) []Order {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.merge(orders)
 }
 
-// LearnAll takes in all orders that another daemon knows, lifted ones included.
+// MergeAll merges all orders that another daemon knows, including those that lift an
+// evacuation, and returns those that changed something.
 func (b *Book) LearnAll(orders []Order) []Order {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -73,25 +74,26 @@
 	return b.merge(orders)
 }
 
-// Replace takes in all evacuations in force at a revision of the store. Older ones that
-// are not among them have been lifted. It returns what was news.
+// Replace merges all evacuations in force at a revision of the store. Known evacuations up to
+// this revision that are not among them are lifted. It returns the orders that changed
+// something.
 func (b *Book) Replace(inForce []Order, revision int64) []Order {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.loaded = true
-	news := b.merge(inForce)
-	for domain, w := range b.records {
+	changed := b.merge(inForce)
+	for domain, r := range b.records {
 		listed := slices.ContainsFunc(inForce, func(o Order) bool { return o.FailureDomain == domain })
-		if !listed && !w.lifted && w.revision <= revision {
-			news = append(news, b.merge([]Order{{FailureDomain: domain, Revision: revision, Lifted: true}})...)
+		if !listed && !r.lifted && r.revision <= revision {
+			changed = append(changed, b.merge([]Order{{FailureDomain: domain, Revision: revision, Lifted: true}})...)
 		}
 	}
-	return news
+	return changed
 }
 
-// Confirm takes in all evacuations that a copy of the store has which may be older than what
-// is known: those of failure domains about which nothing is known, and those known to be in
-// force. It returns what was news.
+// MergeStale merges all evacuations in force according to a copy of the store that may be
+// outdated. It ignores those of failure domains whose evacuation is known to be lifted, and
+// lifts none. It returns the orders that changed something.
 func (b *Book) Confirm(inForce []Order) []Order {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -102,47 +104,47 @@
 	}))
 }
 
-// learn returns the orders that say something new of whether a failure domain is
-// evacuated. The lock is held.
+// merge stores newer orders and returns those that start or end an evacuation. The lock is
+// held.
 func (b *Book) merge(orders []Order) []Order {
-	var news []Order
+	var changed []Order
 	for _, o := range orders {
 		old, ok := b.records[o.FailureDomain]
 		if ok && old.revision >= o.Revision {
 			continue
 		}
-		w := record{revision: o.Revision, lifted: o.Lifted, learnedAt: b.clock.Now().Add(-o.Age)}
-		b.records[o.FailureDomain] = w
+		r := record{revision: o.Revision, lifted: o.Lifted, learnedAt: b.clock.Now().Add(-o.Age)}
+		b.records[o.FailureDomain] = r
 		if was := ok && !old.lifted; was == o.Lifted {
-			news = append(news, o)
+			changed = append(changed, o)
 		}
 	}
-	return news
+	return changed
 }
 
-// Orders returns the newest order about each failure domain, by name.
+// Orders returns the newest order of each failure domain, sorted by the name of the domain.
 func (b *Book) Orders() []Order {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := make([]Order, 0, len(b.records))
-	for domain, w := range b.records {
-		out = append(out, Order{FailureDomain: domain, Revision: w.revision, Lifted: w.lifted, Age: b.clock.Since(w.learnedAt)})
+	for domain, r := range b.records {
+		out = append(out, Order{FailureDomain: domain, Revision: r.revision, Lifted: r.lifted, Age: b.clock.Since(r.learnedAt)})
 	}
 	slices.SortFunc(out, func(x, y Order) int { return cmp.Compare(x.FailureDomain, y.FailureDomain) })
 	return out
 }
 
-// InForce returns the evacuations in force, by failure domain.
+// InForce returns the evacuations in force, sorted by the name of the failure domain.
 func (b *Book) InForce() []Order {
 	return slices.DeleteFunc(b.Orders(), func(o Order) bool { return o.Lifted })
 }
 
-// noneInForce is the sum of a book without evacuations.
+// emptyChecksum is the checksum if there are no evacuations in force.
 const emptyChecksum = 1
 
-// Sum is equal at daemons that know the same evacuations in force; 0 is not known. The
-// revision at which one was lifted is left out: a daemon that reads all rows knows only
-// that it has been.
+// Checksum returns a checksum that is equal at daemons with the same evacuations in force; 0
+// means that Loaded is false. It ignores the revisions at which evacuations were lifted,
+// because a daemon that reads the whole store learns only that they were lifted.
 func (b *Book) Sum() uint64 {
 	if !b.Known() {
 		return 0
--- a/internal/evacuation/book_test.go
+++ b/internal/evacuation/book_test.go
@@ -17,7 +17,7 @@
 	return out
 }
 
-// Guards against late news that brings back an evacuation which has been lifted.
+// Guards against a delayed message that restores an evacuation after it was lifted.
 func TestOldOrderDoesNotRestoreALiftedEvacuation(t *testing.T) {
 	b := NewBook(clockwork.NewFakeClock())
 	require.Len(t, b.Learn([]Order{{FailureDomain: "hall-b", Revision: 74}}), 1)
@@ -26,13 +26,13 @@
 	require.Empty(t, evacuatedDomains(b))
 }
 
-// Guards against an evacuation that stays in force because its end was in a part of the
-// store's history that is gone.
+// Guards against an evacuation that stays in force because its end is in a part of the store's
+// history that is no longer available.
 func TestReplaceLiftsOlderEvacuationsThatAreNotListed(t *testing.T) {
 	b := NewBook(clockwork.NewFakeClock())
 	b.Learn([]Order{{FailureDomain: "hall-a", Revision: 10}, {FailureDomain: "hall-b", Revision: 20}, {FailureDomain: "hall-c", Revision: 50}})
-	news := b.Replace([]Order{{FailureDomain: "hall-b", Revision: 20}}, 40)
-	require.Equal(t, []Order{{FailureDomain: "hall-a", Revision: 40, Lifted: true}}, news)
+	changed := b.Replace([]Order{{FailureDomain: "hall-b", Revision: 20}}, 40)
+	require.Equal(t, []Order{{FailureDomain: "hall-a", Revision: 40, Lifted: true}}, changed)
 	require.Equal(t, []string{"hall-b", "hall-c"}, evacuatedDomains(b), "hall-c is newer than what was read")
 }
 
@@ -47,8 +47,9 @@
 	require.NotZero(t, b.Sum())
 }
 
-// Guards against daemons that hold different evacuations for the same: whatever the order
-// and number of the messages, equal sums mean equal evacuations, and all come to the newest.
+// Guards against daemons whose checksums are equal although their evacuations differ. For any
+// sequence and number of messages, equal checksums must mean equal evacuations, and all
+// daemons must reach the newest state.
 func TestOrdersConvergeInAnySequence(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -83,8 +84,8 @@
 	return true
 }
 
-// An operator is told for how long a failure domain has been evacuated, also by a daemon
-// that heard of it from another one.
+// An operator sees for how long a failure domain has been evacuated. The time must include the
+// age at which another daemon passed the order on.
 func TestAgeIncludesTheSendersAge(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	first, second := NewBook(clock), NewBook(clock)
@@ -95,13 +96,14 @@
 	require.Equal(t, 4*time.Second, second.InForce()[0].Age)
 }
 
-// Guards against an older copy of the store that ends an evacuation, or brings one back.
+// Guards against an outdated copy of the store that lifts a known evacuation or restores a
+// lifted one.
 func TestStaleCopyDoesNotOverrideKnownOrders(t *testing.T) {
 	b := NewBook(clockwork.NewFakeClock())
 	b.Learn([]Order{{FailureDomain: "a", Revision: 30}, {FailureDomain: "b", Revision: 20}, {FailureDomain: "b", Revision: 31, Lifted: true}})
-	news := b.Confirm([]Order{{FailureDomain: "b", Revision: 1020}, {FailureDomain: "c", Revision: 1010}})
-	require.Len(t, news, 1)
-	require.Equal(t, "c", news[0].FailureDomain)
+	changed := b.Confirm([]Order{{FailureDomain: "b", Revision: 1020}, {FailureDomain: "c", Revision: 1010}})
+	require.Len(t, changed, 1)
+	require.Equal(t, "c", changed[0].FailureDomain)
 	require.Equal(t, []string{"a", "c"}, domains(b.InForce()))
 	b.Learn([]Order{{FailureDomain: "b", Revision: 1040}})
 	require.Equal(t, []string{"a", "b", "c"}, domains(b.InForce()))
--- a/internal/inventory/budget.go
+++ b/internal/inventory/budget.go
@@ -74,8 +74,8 @@
 func (b *budget) isBackingOff(now time.Time) bool { return now.Before(b.backOffUntil) }
 
 // NoteWarming records the remaining warm-up time that an instance reported in an answer.
-func (t *Table) NoteWarming(i Instance, left time.Duration) {
-	t.withEntry(i, func(e *entry) { t.noteWarming(e, left) })
+func (t *Table) NoteWarming(i Instance, remaining time.Duration) {
+	t.withEntry(i, func(e *entry) { t.noteWarming(e, remaining) })
 }
 
 // noteWarming records the remaining warm-up time of an instance; 0 means that it is warm. The
@@ -83,11 +83,11 @@
 //
 // After an evacuation, a listed entry may have been written before the instance became cold. A
 // remaining time of 0 therefore ends the warm-up only if the instance itself has reported it.
-func (t *Table) noteWarming(e *entry, left time.Duration) {
+func (t *Table) noteWarming(e *entry, remaining time.Duration) {
 	now := t.clock.Now()
 	switch {
-	case left > 0:
-		t.setWarmUp(e, now.Add(left), false)
+	case remaining > 0:
+		t.setWarmUp(e, now.Add(remaining), false)
 	case !e.budget.warmUpAssumed:
 		e.budget.warmUntil = time.Time{}
 	}
@@ -198,16 +198,16 @@
 
 // Reserve takes this daemon's next turn at an instance. The turn is immediate unless the
 // instance warms up or has a limit. Reserve returns false and takes no turn if the instance
-// may not receive requests, if this daemon has no share, or if the wait is longer than most.
-func (t *Table) Reserve(i Instance, most time.Duration) (turn Turn, ok bool) {
+// may not receive requests, if this daemon has no share, or if the wait is longer than maxWait.
+func (t *Table) Reserve(i Instance, maxWait time.Duration) (turn Turn, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
-	e, there := t.entries[i.ID]
-	if !there || !t.maySend(e, i, now) {
+	e, found := t.entries[i.ID]
+	if !found || !t.maySend(e, i, now) {
 		return Turn{}, false
 	}
-	if turn = t.turn(e, now); turn.NotOwner || turn.Wait > most {
+	if turn = t.turn(e, now); turn.NotOwner || turn.Wait > maxWait {
 		return turn, false
 	}
 	b := &e.budget
--- a/internal/inventory/evacuated.go
+++ b/internal/inventory/evacuated.go
@@ -46,7 +46,7 @@
 func (t *Table) AllEvacuated(service string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	some := false
+	found := false
 	for _, e := range t.entries {
 		if !e.serves(service) {
 			continue
@@ -54,9 +54,9 @@
 		if !t.evacuated[e.instance.FailureDomain] {
 			return false
 		}
-		some = true
+		found = true
 	}
-	return some
+	return found
 }
 
 // OpenRequestsIn returns the number of open requests of all daemons at the instances of a
--- a/internal/inventory/limit.go
+++ b/internal/inventory/limit.go
@@ -132,16 +132,16 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
-	var lately []limitRecord
+	var recent []limitRecord
 	for _, l := range t.limits {
 		if now.Sub(l.learnedAt) <= limitGossipTime {
-			lately = append(lately, l)
+			recent = append(recent, l)
 		}
 	}
-	slices.SortFunc(lately, func(a, b limitRecord) int {
+	slices.SortFunc(recent, func(a, b limitRecord) int {
 		return cmp.Or(b.learnedAt.Compare(a.learnedAt), cmp.Compare(a.Life.ID, b.Life.ID))
 	})
-	return limitsOf(lately[:min(len(lately), maxLimitGossip)])
+	return limitsOf(recent[:min(len(recent), maxLimitGossip)])
 }
 
 // Limits returns all known limits, including lifted ones.
@@ -155,10 +155,10 @@
 	return limitsOf(all)
 }
 
-func limitsOf(words []limitRecord) []Limit {
-	out := make([]Limit, len(words))
-	for i, w := range words {
-		out[i] = w.Limit
+func limitsOf(records []limitRecord) []Limit {
+	out := make([]Limit, len(records))
+	for i, r := range records {
+		out[i] = r.Limit
 	}
 	return out
 }
--- a/internal/inventory/prompts.go
+++ b/internal/inventory/prompts.go
@@ -66,12 +66,12 @@
 // NoteSent records that this daemon sends a prompt with the given prefixes to an instance.
 // Prefixes that are new to the current generation and large enough to affect the placement are
 // queued for the peers.
-func (p *Prompts) Sent(i Instance, all []Beginning) {
+func (p *Prompts) Sent(i Instance, prefixes []Beginning) {
 	number := i.Number()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.rotate()
-	for _, b := range all {
+	for _, b := range prefixes {
 		r := Reading{Key: b.Key, Instance: number}
 		if p.add(r) && b.Work >= minGossipWork && len(p.pending) < maxPending {
 			p.pending = append(p.pending, r)
@@ -123,12 +123,12 @@
 
 // CachedCount returns how many of a prompt's prefixes, ordered from shortest to longest, an
 // instance probably has cached.
-func (p *Prompts) Kept(instance Number, all []Beginning) int {
+func (p *Prompts) Kept(instance Number, prefixes []Beginning) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.rotate()
-	for n := len(all); n > 0; n-- {
-		if p.contains(Reading{Key: all[n-1].Key, Instance: instance}) {
+	for n := len(prefixes); n > 0; n-- {
+		if p.contains(Reading{Key: prefixes[n-1].Key, Instance: instance}) {
 			return n
 		}
 	}
--- a/internal/inventory/table.go
+++ b/internal/inventory/table.go
@@ -173,7 +173,7 @@
 
 // AllBackingOff reports whether all instances of a service are excluded by BackOff, and the
 // shortest remaining back-off.
-func (t *Table) AllRest(service string) (least time.Duration, all bool) {
+func (t *Table) AllRest(service string) (shortest time.Duration, all bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
@@ -185,11 +185,11 @@
 		if left <= 0 {
 			return 0, false
 		}
-		if !all || left < least {
-			least, all = left, true
+		if !all || left < shortest {
+			shortest, all = left, true
 		}
 	}
-	return least, all
+	return shortest, all
 }
 
 // decayed returns a value after exponential decay for the given time.
--- a/internal/inventory/table_test.go
+++ b/internal/inventory/table_test.go
@@ -23,8 +23,8 @@
 // Guards against a removed server that keeps getting requests after an outage of the store.
 // Its entry disappears shortly after the outage, without an announcement that it leaves. The
 // entry may have expired only because of the outage and is kept for a while, but this time
-// must end two seconds after the outage, not two seconds after each removal. With the latter,
-// a daemon exceeded the time allowed for leaving servers.
+// must end two seconds after the outage, not two seconds after each removal. Otherwise a
+// daemon would exceed the time allowed for leaving servers.
 func TestRemovalAfterAnOutageTakesEffectInTime(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	table := NewTable(clock)
--- a/internal/pacing/pacing_test.go
+++ b/internal/pacing/pacing_test.go
@@ -11,18 +11,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The load that sharing out answers: a fleet before instances that have all started at
-// once, each of which is to get 6.3 requests a second and ends above 18. There is always a
-// request that would go to any instance as soon as it may.
+// The simulated load: a fleet sends to instances that have all started at the same time. Each
+// instance is to get 6.3 requests per second and crashes above 18. For every instance, a
+// request is always waiting to be sent there.
 const (
 	simRate  = 9.0 * 0.7
 	simLimit = 18
 	simTime  = 3 * time.Second
-	// playSkew is how far apart daemons learn that an instance has started.
+	// simSkew is the maximum difference between the times at which daemons learn that an
+	// instance has started.
 	simSkew = 1200 * time.Millisecond
 )
 
-// ranks orders daemons for an instance.
+// rankHashes returns the hash of each daemon that determines the order of an instance's
+// owners.
 func rankHashes(instance, daemons int) []uint64 {
 	out := make([]uint64, daemons)
 	for d := range out {
@@ -31,36 +33,36 @@
 	return out
 }
 
-// rankOf is a daemon's place in the order of an instance's owners, of those it knows.
-func rankOf(rank []uint64, daemon int, known []int) int {
-	better := 0
+// rankOf returns a daemon's rank among the daemons that it knows.
+func rankOf(hashes []uint64, daemon int, known []int) int {
+	rank := 0
 	for _, d := range known {
-		if rank[d] < rank[daemon] {
-			better++
+		if hashes[d] < hashes[daemon] {
+			rank++
 		}
 	}
-	return better
+	return rank
 }
 
-// play returns the most requests that one instance got in a second, and how many a daemon
-// could send in all.
+// simulate returns the maximum number of requests that an instance got within a second, and
+// the number of requests sent by each daemon.
 func simulate(daemons, instances int, known func(daemon int) []int, random *rand.Rand) (most int, perDaemon []int) {
 	perDaemon = make([]int, daemons)
 	for i := range instances {
 		var sent []time.Duration
-		rank := rankHashes(i, daemons)
+		hashes := rankHashes(i, daemons)
 		for d := range daemons {
 			fleet := known(d)
 			owners := Owners(simRate, len(fleet))
-			if rankOf(rank, d, fleet) >= owners {
+			if rankOf(hashes, d, fleet) >= owners {
 				continue
 			}
 			start := time.Unix(0, 0).Add(time.Duration(random.Int64N(int64(simSkew))))
-			part := PartOf(simRate, rankOf(rank, d, fleet), owners)
+			share := PartOf(simRate, rankOf(hashes, d, fleet), owners)
 			var p Pacer
-			p.Start(start, part)
+			p.Start(start, share)
 			end := time.Unix(0, 0).Add(simTime)
-			for now := start.Add(p.Take(start, part.Interval)); now.Before(end); now = now.Add(p.Take(now, part.Interval)) {
+			for now := start.Add(p.Take(start, share.Interval)); now.Before(end); now = now.Add(p.Take(now, share.Interval)) {
 				sent = append(sent, now.Sub(time.Unix(0, 0)))
 				perDaemon[d]++
 			}
@@ -70,7 +72,7 @@
 	return most, perDaemon
 }
 
-// inAWindow is the most events in any window of some length.
+// maxInWindow returns the maximum number of events in a window of the given length.
 func maxInWindow(sent []time.Duration, window time.Duration) int {
 	slices.Sort(sent)
 	most, first := 0, 0
@@ -83,8 +85,8 @@
 	return most
 }
 
-// Guards against instances that end under a fleet that sends to them as soon as they
-// start, whatever its size.
+// Guards against instances that crash because the whole fleet sends to them as soon as they
+// start, for any size of the fleet.
 func TestWarmingInstanceIsNotOverloaded(t *testing.T) {
 	for _, daemons := range []int{1, 6, 8, 77, 195, 1300} {
 		t.Run(fmt.Sprint(daemons), func(t *testing.T) {
@@ -101,8 +103,8 @@
 	}
 }
 
-// Guards against too many owners while daemons know different parts of the fleet, as after
-// many were started at once.
+// Guards against too many owners while daemons know different members of the fleet, as happens
+// after many daemons were started at the same time.
 func TestWarmingInstanceIsNotOverloadedWithPartialMembership(t *testing.T) {
 	const daemons = 77
 	for seed := range uint64(20) {
@@ -120,7 +122,7 @@
 	}
 }
 
-// Guards against daemons that can serve nobody while all instances are cold.
+// Guards against daemons that cannot serve any request while all instances are cold.
 func TestEveryDaemonHasAShareWhenAllInstancesAreCold(t *testing.T) {
 	const daemons, instances = 77, 60
 	all := make([]int, daemons)
@@ -137,38 +139,40 @@
 	require.InEpsilon(t, planned, served, 0.15)
 }
 
-// The load that sharing out a limit answers: a fleet before one instance that names a few
-// requests a second or less. In any 4 s it may get one and a half times that, and 5.
+// The simulated load: a fleet sends to one instance with a limit of a few requests per second
+// or less. Within any 4 s, the instance may get 1.5 times its limit plus 5 requests.
 const (
 	limitTime   = time.Minute
 	limitWindow = 4 * time.Second
 	limitSlack  = 5
 )
 
-// mostInWindow is the most requests in any window, of all daemons together, at an instance
-// that is to get some a second.
+// simulateLimit returns the maximum number of requests within limitWindow at an instance with
+// the given rate, and the total number of requests. views contains the members known to each
+// daemon.
 func simulateLimit(rate float64, views [][]int, random *rand.Rand) (most, sent int) {
-	rank := rankHashes(random.Int(), len(views))
+	hashes := rankHashes(random.Int(), len(views))
 	var all []time.Duration
 	for d, fleet := range views {
 		owners := Owners(rate, len(fleet))
-		at := rankOf(rank, d, fleet)
+		at := rankOf(hashes, d, fleet)
 		if at >= owners {
 			continue
 		}
-		part := PartOf(rate, at, owners)
+		share := PartOf(rate, at, owners)
 		var p Pacer
 		now := time.Unix(0, 0).Add(time.Duration(random.Int64N(int64(simSkew))))
-		p.Start(now, part)
-		for now = now.Add(p.Take(now, part.Interval)); now.Before(time.Unix(0, 0).Add(limitTime)); now = now.Add(p.Take(now, part.Interval)) {
+		p.Start(now, share)
+		for now = now.Add(p.Take(now, share.Interval)); now.Before(time.Unix(0, 0).Add(limitTime)); now = now.Add(p.Take(now, share.Interval)) {
 			all = append(all, now.Sub(time.Unix(0, 0)))
 		}
 	}
 	return maxInWindow(all, limitWindow), len(all)
 }
 
-// Guards against an instance with a small limit that gets a multiple of it because there are
-// more daemons than it takes requests, or because they know different parts of the fleet.
+// Guards against an instance with a small limit that gets several times its limit because
+// there are more daemons than requests per second, or because the daemons know different
+// members of the fleet.
 func TestSmallLimitsHoldInLargeFleetsWithPartialMembership(t *testing.T) {
 	for _, daemons := range []int{1, 5, 8, 77, 1300} {
 		for _, rate := range []float64{0.67, 0.9, 1.08, 5.4} {
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -1,5 +1,5 @@
-// Package place picks the upstream instance for a request: filter, score,
-// pick. It does no I/O and keeps no state.
+// Package place selects the upstream instance for a request: it filters the candidates, scores
+// them and picks one. It does no I/O and keeps no state.
 package place
 
 import (
@@ -12,62 +12,64 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Candidate is an instance that serves the wanted version.
+// Candidate is an instance that serves the requested version.
 type Candidate struct {
 	ID string
-	// Near is true in the daemon's own failure domain.
+	// Local is set if the instance is in the daemon's own failure domain.
 	Near bool
-	// Slots is the number of requests it works on at once.
+	// Slots is the number of requests that the instance processes concurrently.
 	Slots int
-	// Load is the number of requests believed to be there.
+	// Load is the estimated number of requests there, from the last report of the instance.
 	Load float64
-	// Open is the number of requests there, as daemons tell each other.
+	// Open is the number of open requests there, according to the reports that daemons
+	// exchange.
 	Open int
-	// Waiting is the work there that has no first event yet, and Reads the work of
-	// reading what the instance lacks of the prompt, both in prompt tokens of the
-	// largest model.
+	// Waiting is the work of the requests there that have no first event yet. Prefill is the
+	// work of reading the part of the prompt that the instance does not have cached. Both are
+	// in prompt tokens of the largest model.
 	Waiting float64
 	Reads   float64
-	// Ejected instances failed lately.
+	// Ejected instances have failed recently.
 	Ejected bool
-	// Warming instances bear only a part of what they will.
+	// Warming instances accept only part of their normal load.
 	Warming bool
-	// Wait is the time until this daemon may send to the instance; 0 is at once. Where
-	// NoTurn is set only others may send there, and it is the time until one of them may.
+	// Wait is the time until this daemon may send to the instance; 0 means now. If NoTurn is
+	// set, this daemon has no share of the instance's limit and Wait is the estimated time
+	// until another daemon may send.
 	Wait   time.Duration
 	NoTurn bool
-	// ProbeDue is set where only another request can tell whether an instance still takes
-	// fewer requests than it could.
+	// ProbeDue is set if a request is needed to find out whether the instance's limit still
+	// applies.
 	ProbeDue bool
-	// Trial instances are those of a new version that serve a part of the sessions
-	// before the others of that version get any.
+	// Canary instances run a new version and serve part of the sessions before the other
+	// instances of that version get any.
 	Trial bool
 }
 
 const (
-	// maxEjected is the largest share of instances that may be left out for
-	// their failures. When more fail, the fault is likely not theirs, and the
-	// rest would break under the load of all.
+	// maxEjected is the largest fraction of instances that may be excluded for their failures.
+	// If more fail, the cause is probably elsewhere, and the remaining instances would be
+	// overloaded by the whole traffic.
 	maxEjected = 0.5
-	// fullShare is the part of an instance's slots above which a request likely
-	// waits for one: what is known of other daemons' requests is up to a second old.
+	// fullFraction is the fraction of an instance's slots above which a new request probably
+	// waits for a slot. It is below 1 because the known number of other daemons' requests is
+	// up to a second old.
 	fullFraction = 0.75
-	// slotWork is what a whole batch of requests above that costs, as work: a slot
-	// becomes free when an answer ends, after some seconds.
+	// fullBatchWork is the cost, as work, of as many requests above fullFraction as the
+	// instance has slots. A slot becomes free only when an answer ends, after some seconds.
 	fullBatchWork = 40_000.0
-	// farWork is what bytes between failure domains are worth, as work.
+	// crossDomainWork is the cost, as work, of the traffic between failure domains.
 	crossDomainWork = 150.0
-	// tieWork is the difference in work that does not count: below it the order of
-	// the prompt decides, which is the same at all daemons, so that prompts that are
-	// new to all of them meet at one instance. It is some 20 ms of reading.
+	// tieBreakWork is the difference in work that is ignored, some 20 ms of reading. Within it
+	// a hash of the prompt and the instance decides, which is the same at all daemons, so that
+	// requests with the same uncached prompt go to one instance.
 	tieBreakWork = 300.0
-	// workPerRequest makes work and requests comparable: reading this many
-	// tokens takes an engine as long as a usual answer.
+	// workPerRequest converts requests to work: an engine needs as long for reading this many
+	// tokens as for a typical answer.
 	workPerRequest = 6000.0
 )
 
-// Filter leaves out ejected instances, as long as enough others remain, and
-// those in tried.
+// Filter removes tried instances, and ejected ones as long as enough others remain.
 func Filter(all []Candidate, tried map[string]bool) []Candidate {
 	var healthy, ejected []Candidate
 	for _, c := range all {
@@ -85,14 +87,14 @@
 	return healthy
 }
 
-// Untried leaves out those in tried.
+// Untried removes tried instances.
 func Untried(all []Candidate, tried map[string]bool) []Candidate {
 	return slices.DeleteFunc(slices.Clone(all), func(c Candidate) bool { return tried[c.ID] })
 }
 
-// Ready leaves out instances to which nothing may be sent yet, as long as there are others.
-// Of several that all have to be waited for the first one is left, if possible one that this
-// daemon will have a turn at.
+// Ready removes instances that may not receive requests yet if there are others. If all have
+// to be waited for, it returns only the one with the shortest wait, preferably one at which
+// this daemon has a turn.
 func Ready(all []Candidate) []Candidate {
 	var ready []Candidate
 	for _, c := range all {
@@ -114,7 +116,7 @@
 	})}
 }
 
-// Probe picks an instance that is due to be probed, if there is one.
+// Probe returns an instance that is due for a probe, if there is one.
 func Probe(all []Candidate) (Candidate, bool) {
 	at := slices.IndexFunc(all, func(c Candidate) bool { return c.ProbeDue && c.Wait == 0 && !c.NoTurn })
 	if at < 0 {
@@ -123,23 +125,23 @@
 	return all[at], true
 }
 
-// load is a candidate's load in requests, with the work that waits there.
+// load returns a candidate's load in requests, including the waiting work.
 func (c Candidate) load() float64 { return c.Load + c.Waiting/workPerRequest }
 
-// LeastLoaded picks the instance with the smallest load for its slots, in the
-// own failure domain where two are equal.
+// LeastLoaded returns the instance with the lowest load per slot, and of nearly equal ones
+// preferably one in the own failure domain.
 func LeastLoaded(all []Candidate, random *rand.Rand) (Candidate, bool) {
-	best, top := -1, math.Inf(1)
+	best, bestScore := -1, math.Inf(1)
 	for i, c := range all {
 		score := c.load() / float64(max(c.Slots, 1))
 		if !c.Near {
 			score += 0.02
 		}
-		// A random part keeps daemons that know the same from all choosing the
-		// same instance.
+		// Without a random part, daemons with the same information would all choose the same
+		// instance.
 		score += random.Float64() * 0.02
-		if score < top {
-			best, top = i, score
+		if score < bestScore {
+			best, bestScore = i, score
 		}
 	}
 	if best < 0 {
@@ -148,11 +150,12 @@
 	return all[best], true
 }
 
-// Apart picks one of two random instances, the one with the smaller load for its slots.
+// TwoChoices returns the less loaded, per slot, of two instances chosen at random.
 //
-// It is for requests whose instance has ended. One of them may be the cause. By load, or
-// by a prompt that they share, all would go on together to the same next instance, and
-// end with it again: with three attempts each, all had failed after the third.
+// It is for retries of requests whose instance crashed. One of these requests may be the
+// cause. If they were placed by load or by a common prompt, all would go to the same next
+// instance and fail with it again: with three attempts each, all of them would have failed
+// after the third crash.
 func Apart(all []Candidate, random *rand.Rand) (Candidate, bool) {
 	if len(all) == 0 {
 		return Candidate{}, false
@@ -164,14 +167,15 @@
 	return a, true
 }
 
-// leastPart is the least number of instances that a part of them has: with one,
-// its crash would look like a fault of the version that it runs.
+// minSubset is the minimum size of a subset. With a single instance, its crash would look like
+// a fault of the version that it runs.
 const minSubset = 2
 
-// Part returns a part of the instances, the same at all daemons; 0 is all.
-func Part(all []Candidate, part float64) []Candidate {
-	n := max(int(math.Round(part*float64(len(all)))), minSubset)
-	if part == 0 || n >= len(all) {
+// Subset returns a fraction of the instances, the same ones at all daemons. A fraction of 0
+// means all.
+func Part(all []Candidate, fraction float64) []Candidate {
+	n := max(int(math.Round(fraction*float64(len(all)))), minSubset)
+	if fraction == 0 || n >= len(all) {
 		return all
 	}
 	ranked := slices.Clone(all)
@@ -181,7 +185,7 @@
 	return ranked[:n]
 }
 
-// cost is the expected time to the first event there, as work.
+// cost returns the expected time until the first event at the instance, as work.
 func (c Candidate) cost(key string) float64 {
 	cost := c.Waiting + c.Reads
 	if over := float64(c.Open+1) - fullFraction*float64(c.Slots); over > 0 {
@@ -193,41 +197,42 @@
 	return cost + tieBreakWork*hashFraction(xxhash.Sum64String(c.ID+"\x00"+key))
 }
 
-// unit maps a hash to [0, 1).
+// hashFraction maps a hash to [0, 1).
 func hashFraction(hash uint64) float64 { return float64(hash>>11) / (1 << 53) }
 
-// ByPrompt picks the instance that likely begins to answer a prompt first: what
-// waits there, and what it has to read of the prompt, together are the least.
+// LowestCost returns the instance that will probably answer a prompt first: the one with the
+// lowest sum of waiting work, prefill work and penalties. Without a key it returns the least
+// loaded instance.
 func ByPrompt(all []Candidate, key string, random *rand.Rand) (Candidate, bool) {
 	if key == "" || len(all) == 0 {
 		return LeastLoaded(all, random)
 	}
-	best, top := -1, math.Inf(1)
+	best, bestCost := -1, math.Inf(1)
 	for i, c := range all {
-		if cost := c.cost(key); cost < top {
-			best, top = i, cost
+		if cost := c.cost(key); cost < bestCost {
+			best, bestCost = i, cost
 		}
 	}
 	return all[best], true
 }
 
-// leastNear is the number of instances that a failure domain must have for its small
-// model's prompts to stay there. Each domain then reads the shared parts for itself,
-// which domains of few instances feel and those of many do not.
+// minLocal is the number of instances that a failure domain needs to serve its small model's
+// prompts alone. Each domain then reads shared prefixes separately, which is a noticeable cost
+// only for domains with few instances.
 const minLocal = 24
 
-// Near returns the instances of the daemon's own failure domain, or all when it
-// has too few. For the small model, which reads fast, this saves a third of the
-// bytes between domains.
+// Local returns the instances of the daemon's own failure domain, or all if the domain has too
+// few. For the small model, which reads fast, this saves a third of the traffic between
+// domains.
 func Near(all []Candidate) []Candidate {
-	var near []Candidate
+	var local []Candidate
 	for _, c := range all {
 		if c.Near {
-			near = append(near, c)
+			local = append(local, c)
 		}
 	}
-	if len(near) < minLocal {
+	if len(local) < minLocal {
 		return all
 	}
-	return near
+	return local
 }
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -26,7 +26,7 @@
 	for i := range 3 {
 		all[i].Ejected = true
 	}
-	require.Len(t, Filter(all, nil), 4, "when most fail, the fault is likely not theirs")
+	require.Len(t, Filter(all, nil), 4, "when most fail, the cause is probably elsewhere")
 }
 
 func TestSubset(t *testing.T) {
@@ -38,8 +38,8 @@
 	require.Equal(t, Part(all, 0.3), Part(all, 0.3))
 }
 
-// Prompts that are new to all daemons meet at one instance, from whichever daemon they
-// come, and one instance less moves only its own.
+// Prompts that no instance has cached must go to the same instance from every daemon, and
+// removing an instance must move only the prompts placed there.
 func TestUncachedPromptGoesToTheSameInstanceFromEveryDaemon(t *testing.T) {
 	all := candidates(18)
 	moved := 0
@@ -58,8 +58,8 @@
 	require.Less(t, moved, 40)
 }
 
-// A prompt goes to the instance that begins to answer first: the one that holds its
-// parts while less waits there than reading them elsewhere takes, and then another.
+// A prompt must go to the instance with the earliest first event: the one that has its prefix
+// cached if the work waiting there is less than the prefill elsewhere, otherwise another.
 func TestLowestCostPicksTheEarliestFirstEvent(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -68,10 +68,10 @@
 		want    string
 	}{
 		{"both idle", Candidate{Reads: 1000}, Candidate{Reads: 9000}, "holder"},
-		{"less waits than is saved", Candidate{Reads: 1000, Waiting: 6000}, Candidate{Reads: 9000}, "holder"},
-		{"more waits than is saved", Candidate{Reads: 1000, Waiting: 12000}, Candidate{Reads: 9000}, "another"},
+		{"less work waits than the cache saves", Candidate{Reads: 1000, Waiting: 6000}, Candidate{Reads: 9000}, "holder"},
+		{"more work waits than the cache saves", Candidate{Reads: 1000, Waiting: 12000}, Candidate{Reads: 9000}, "another"},
 		{"no slot is free", Candidate{Reads: 1000, Open: 100}, Candidate{Reads: 9000}, "another"},
-		{"equal but for the domain", Candidate{Reads: 9000}, Candidate{Reads: 9000 - tieBreakWork, Near: true}, "another"},
+		{"nearly equal work, one in the own domain", Candidate{Reads: 9000}, Candidate{Reads: 9000 - tieBreakWork, Near: true}, "another"},
 	} {
 		c.holder.ID, c.another.ID = "holder", "another"
 		c.holder.Slots, c.another.Slots = 100, 100
@@ -101,7 +101,8 @@
 	require.False(t, ok)
 }
 
-// A domain with few instances shares those of all; a large one keeps to its own.
+// A failure domain with few instances must use those of all domains; a large one must use only
+// its own.
 func TestLocalNeedsEnoughInstances(t *testing.T) {
 	all := candidates(4 * minLocal)
 	for i := range all {
@@ -112,8 +113,9 @@
 	require.Len(t, Near(all), len(all))
 }
 
-// An instance has ended under ten requests of one prompt, and one of them is the cause.
-// They go on at different instances: those with more to do get fewer of them, none gets all.
+// Guards against a request that crashes one instance after the other together with all
+// requests of the same prompt. After a crash under several requests, the retries must be
+// spread over all instances, with fewer at the more loaded ones.
 func TestRetriesAfterACrashAreSpread(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	var all []Candidate
