--- a/internal/inventory/budget.go
+++ b/internal/inventory/budget.go
@@ -198,7 +198,8 @@
 
 // Reserve takes this daemon's next turn at an instance. The turn is immediate unless the
 // instance warms up or has a limit. Reserve returns false and takes no turn if the instance
-// may not receive requests, if this daemon has no share, or if the wait is longer than maxWait.
+// may not receive requests, if this daemon has no share of its limit, or if the wait is longer
+// than maxWait.
 func (t *Table) Reserve(i Instance, maxWait time.Duration) (turn Turn, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/inventory/left.go
+++ b/internal/inventory/left.go
@@ -11,7 +11,7 @@
 	// exits some seconds, at times many seconds, after this is noticed. By the end of this
 	// time its entry has been removed for good.
 	leavingTime = 2 * time.Minute
-	// leavingGossipTime is how long peers are sent the news that an instance is leaving, and
+	// leavingGossipTime is how long peers are informed that an instance is leaving, and
 	// maxLeavingGossip the maximum number of instances per message. The time covers several
 	// heartbeat rounds.
 	leavingGossipTime = 4 * time.Second
--- a/internal/inventory/prompts.go
+++ b/internal/inventory/prompts.go
@@ -28,8 +28,9 @@
 
 const (
 	// cacheTime is the maximum time for which a prefix is assumed to be cached after its last
-	// use. Engines evict the least recently used prefixes and have memory for some minutes of
-	// them. A prefix is forgotten after half of this time at the earliest.
+	// use. Engines evict the least recently used prefixes, and their caches cover some minutes.
+	// A prefix is forgotten after half of this time at the earliest, unless a generation is
+	// full.
 	cacheTime = 60 * time.Second
 	// maxPrefixes limits the prefixes of one generation. At some 20 bytes each, the two
 	// generations take 2 MB.
@@ -67,12 +68,12 @@
 // Prefixes that are new to the current generation and large enough to affect the placement are
 // queued for the peers.
 func (p *Prompts) Sent(i Instance, prefixes []Beginning) {
-	number := i.Number()
+	hash := i.Number()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.rotate()
 	for _, b := range prefixes {
-		r := Reading{Key: b.Key, Instance: number}
+		r := Reading{Key: b.Key, Instance: hash}
 		if p.add(r) && b.Work >= minGossipWork && len(p.pending) < maxPending {
 			p.pending = append(p.pending, r)
 		}
