--- a/internal/dial/dial.go
+++ b/internal/dial/dial.go
@@ -1,6 +1,6 @@
-// Package dial makes connections that notice a silent other side. A machine
-// without power or behind a partition sends no reset: without probes a request
-// on an open connection to it waits until its own deadline.
+// Package dial makes TCP connections that detect an unresponsive peer. A host that lost power
+// or is behind a network partition sends no reset; without keep-alive probes a request on an
+// open connection to it waits until the deadline of the request.
 package dial
 
 import (
@@ -13,19 +13,20 @@
 )
 
 const (
-	// Keep-alive probes notice a silent connection on which nothing is sent
-	// after 400 + 3*300 ms: under half of the two seconds after which callers
-	// abandon a silent stream, and inside the time in which an accepted
-	// configuration must be in force.
+	// Keep-alive probes close an idle connection 400 + 3*300 ms after the peer became
+	// unresponsive. That is less than half of the two seconds after which callers abandon a
+	// stalled stream, and less than the time in which an accepted configuration must be
+	// active.
 	probeIdle     = 400 * time.Millisecond
 	probeInterval = 300 * time.Millisecond
 	probeCount    = 3
-	// unackedTimeout closes a connection whose bytes are not acknowledged.
+	// unackedTimeout closes a connection on which sent data stays unacknowledged for so long;
+	// probes are not sent then.
 	unackedTimeout = 1200 * time.Millisecond
 )
 
-// Dialer returns a dialer whose connections are made within timeout and are
-// closed soon after the other side falls silent.
+// Dialer returns a dialer whose connections are established within timeout and closed soon
+// after the peer becomes unresponsive.
 func Dialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout: timeout,
@@ -36,10 +37,11 @@
 	}
 }
 
+// setUnackedTimeout sets TCP_USER_TIMEOUT on a socket before it connects.
 func setUnackedTimeout(_, _ string, c syscall.RawConn) error {
-	var set error
+	var sockErr error
 	err := c.Control(func(fd uintptr) {
-		set = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 	})
-	return errors.Join(err, set)
+	return errors.Join(err, sockErr)
 }
--- a/internal/ident/ident.go
+++ b/internal/ident/ident.go
@@ -1,4 +1,4 @@
-// Package ident makes the ids of incarnations and requests.
+// Package ident generates the ids of daemon incarnations and of requests.
 package ident
 
 import (
@@ -8,26 +8,26 @@
 	"sync/atomic"
 )
 
-// NewIncarnation draws the id of a daemon process: 128 random bits as 26
-// lower-case base32 characters.
+// NewIncarnation returns a new id for a daemon process: 128 random bits as 26 lower-case
+// base32 characters.
 func NewIncarnation() string { return strings.ToLower(rand.Text()) }
 
-// Requests makes request ids "<incarnation>-<number>". An id is also the slot
-// under which the request is billed.
+// Requests generates request ids of the form "<incarnation>-<number>". The bill of a request
+// is stored under its id.
 type Requests struct {
 	incarnation string
 	last        atomic.Uint64
 }
 
-// NewRequests returns a source of ids for an incarnation.
+// NewRequests returns a generator of request ids for an incarnation.
 func NewRequests(incarnation string) *Requests { return &Requests{incarnation: incarnation} }
 
-// Next returns a new id.
+// Next returns a request id that it has not returned before.
 func (r *Requests) Next() string {
 	return r.incarnation + "-" + strconv.FormatUint(r.last.Add(1), 10)
 }
 
-// Incarnation returns the incarnation that a request id belongs to.
+// Incarnation returns the incarnation part of a request id.
 func Incarnation(requestID string) string {
 	incarnation, _, _ := strings.Cut(requestID, "-")
 	return incarnation
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -1,5 +1,6 @@
-// Package member keeps the tables of daemons and upstreams: who is there, who
-// is leaving, and which daemon has which duty.
+// Package member keeps two tables: the daemons, with gossip membership and failure detection,
+// and the upstreams. It also ranks daemons for duties, which are tasks that one daemon
+// performs for all.
 package member
 
 import (
@@ -14,12 +15,11 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// State is what is known of a daemon incarnation.
+// State is the state of a daemon incarnation.
 type State int
 
-// States of incarnations, in the order in which they replace each other.
-// Suspect can be refuted by the incarnation itself with a higher version;
-// Leaving and Left are never undone.
+// States of an incarnation, in the order in which they supersede each other. The incarnation
+// refutes Suspect with a higher version. Leaving and Left are final.
 const (
 	Alive State = iota
 	Suspect
@@ -32,24 +32,25 @@
 	return [...]string{"alive", "suspect", "leaving", "left"}[s]
 }
 
-// Daemon is a daemon incarnation.
+// Daemon is the membership entry of a daemon incarnation, that is of one process.
 type Daemon struct {
 	Incarnation   string
 	PeerAddress   string
 	CallerURL     string
 	FailureDomain string
 	Site          string
-	// LinkMbps is what the link of its instance carries, in Mbit/s; 0 is not known.
+	// LinkMbps is the capacity of the network link of its instance in Mbit/s; 0 if unknown.
 	LinkMbps float64
 	State    State
-	// Version rises when the incarnation refutes a suspicion.
+	// Version is incremented when the incarnation refutes a suspicion.
 	Version uint64
-	// Successor answers for the keys of an incarnation that has left.
+	// Successor is the incarnation that answers for the idempotency keys of one that has left.
 	Successor string
 }
 
-// replaces reports whether news d goes before old.
-func (d Daemon) replaces(old Daemon) bool {
+// supersedes reports whether d replaces old. From Leaving on, only a later state does; before
+// that a higher version does, and with equal versions a later state.
+func (d Daemon) supersedes(old Daemon) bool {
 	if d.State >= Leaving || old.State >= Leaving {
 		return d.State > old.State
 	}
@@ -59,34 +60,37 @@
 	return d.State > old.State
 }
 
-// record is a daemon with what only this process knows.
+// record is a membership entry with data that is local to this process.
 type record struct {
 	daemon Daemon
-	// sends counts how often the news was passed on.
-	sends int
-	// since is when the present state was learned.
-	since time.Time
+	// transmissions counts the heartbeats in which the entry has been sent since it last
+	// changed.
+	transmissions int
+	// learnedAt is when this daemon learned the present entry. A refutation of a suspicion of
+	// this daemon itself does not reset it.
+	learnedAt time.Time
 }
 
-// Options are the settings of a Registry.
+// Options are the parameters of a Registry.
 type Options struct {
-	// Watched is how many daemons each daemon sends heartbeats to because it
-	// is responsible for noticing their failure.
+	// RingTargets is the number of daemons, next on the ring, to which each daemon sends a
+	// heartbeat in every round. It is responsible for detecting their failure.
 	Watched int
-	// Random is how many others get a heartbeat so that news spreads.
+	// RandomTargets is the number of further daemons, drawn at random, that get a heartbeat in
+	// every round, so that updates spread quickly.
 	Random int
-	// EventsPerMessage bounds the news in one heartbeat.
+	// MaxUpdates is the maximum number of membership updates in one heartbeat.
 	EventsPerMessage int
-	// Repeats times the logarithm of the number of daemons is how often a daemon
-	// passes a piece of news on.
+	// RetransmitFactor times the binary logarithm of the number of daemons is how often a
+	// daemon sends each update.
 	Repeats int
-	// ForgetAfter is how long an incarnation that left is remembered.
+	// ForgetAfter is how long an incarnation that left or is suspect stays in the table.
 	ForgetAfter time.Duration
 }
 
-// Registry is the table of daemons.
+// Registry is the membership table of the daemons.
 //
-// Lock order: mu is taken alone.
+// Lock order: mu is never held together with another lock.
 type Registry struct {
 	clock   clockwork.Clock
 	options Options
@@ -94,48 +98,50 @@
 	mu      sync.Mutex
 	self    Daemon
 	records map[string]*record
-	random  *rand.Rand
-	epoch   uint64
-	// changedAt is when epoch last rose.
+	rng     *rand.Rand
+	// epoch is the number of changes of the table.
+	epoch uint64
+	// changedAt is when epoch was last incremented.
 	changedAt time.Time
 	digest    uint64
-	// sorted has every daemon by incarnation. It is replaced, never changed,
-	// when a daemon comes, goes or changes state.
+	// sorted has all daemons ordered by incarnation. Each change of the table replaces the
+	// slice; its elements are never modified.
 	sorted []Daemon
 }
 
-// NewRegistry returns a registry that knows only self.
+// NewRegistry returns a registry that contains only self.
 func NewRegistry(self Daemon, clock clockwork.Clock, options Options, random *rand.Rand) *Registry {
-	r := &Registry{clock: clock, options: options, self: self, records: map[string]*record{}, random: random}
-	r.records[self.Incarnation] = &record{daemon: self, since: clock.Now()}
+	r := &Registry{clock: clock, options: options, self: self, records: map[string]*record{}, rng: random}
+	r.records[self.Incarnation] = &record{daemon: self, learnedAt: clock.Now()}
 	r.refresh()
 	return r
 }
 
-// Self returns this daemon's own entry.
+// Self returns the entry of this daemon.
 func (r *Registry) Self() Daemon {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.self
 }
 
-// SetSelf changes this daemon's own entry.
+// SetSelf changes the entry of this daemon.
 func (r *Registry) SetSelf(change func(*Daemon)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change(&r.self)
 	rec := r.records[r.self.Incarnation]
-	rec.daemon, rec.sends, rec.since = r.self, 0, r.clock.Now()
+	rec.daemon, rec.transmissions, rec.learnedAt = r.self, 0, r.clock.Now()
 	r.refresh()
 }
 
-// Learn takes in news. A suspicion of this daemon itself is refuted: other
-// daemons would otherwise keep it out for good after a pause or a cut.
-func (r *Registry) Learn(news []Daemon) {
+// Merge merges received updates into the table. A suspicion of this daemon itself is refuted;
+// without that, other daemons would exclude it permanently after a pause of the process or a
+// network partition.
+func (r *Registry) Learn(updates []Daemon) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	changed := false
-	for _, d := range news {
+	for _, d := range updates {
 		changed = r.learn(d) || changed
 	}
 	if changed {
@@ -143,6 +149,7 @@
 	}
 }
 
+// learn merges one update and reports whether the table changed.
 func (r *Registry) learn(d Daemon) bool {
 	if d.Incarnation == "" {
 		return false
@@ -152,30 +159,32 @@
 	}
 	rec, known := r.records[d.Incarnation]
 	if !known {
-		r.records[d.Incarnation] = &record{daemon: d, since: r.clock.Now()}
+		r.records[d.Incarnation] = &record{daemon: d, learnedAt: r.clock.Now()}
 		return true
 	}
-	if !d.replaces(rec.daemon) {
+	if !d.supersedes(rec.daemon) {
 		return false
 	}
 	if d.Successor == "" {
 		d.Successor = rec.daemon.Successor
 	}
-	rec.daemon, rec.sends, rec.since = d, 0, r.clock.Now()
+	rec.daemon, rec.transmissions, rec.learnedAt = d, 0, r.clock.Now()
 	return true
 }
 
+// refute increments the version of this daemon's own entry if d suspects it, and reports
+// whether it did.
 func (r *Registry) refute(d Daemon) bool {
 	if d.State != Suspect || d.Version < r.self.Version {
 		return false
 	}
 	r.self.Version = d.Version + 1
 	rec := r.records[r.self.Incarnation]
-	rec.daemon, rec.sends = r.self, 0
+	rec.daemon, rec.transmissions = r.self, 0
 	return true
 }
 
-// refresh recomputes what depends on the set of daemons.
+// refresh recomputes epoch, digest and sorted after a change of the table.
 func (r *Registry) refresh() {
 	r.epoch++
 	r.changedAt = r.clock.Now()
@@ -189,28 +198,29 @@
 	slices.SortFunc(r.sorted, func(a, b Daemon) int { return cmp.Compare(a.Incarnation, b.Incarnation) })
 }
 
-// Digest is equal at daemons that know the same.
+// Digest returns a digest of incarnations, states and versions. Daemons with the same table
+// have the same digest.
 func (r *Registry) Digest() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.digest
 }
 
-// Epoch changes whenever a daemon comes, goes or changes state.
+// Epoch returns a number that changes with every change of the table.
 func (r *Registry) Epoch() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.epoch
 }
 
-// ChangedAt is when what is known of daemons last changed.
+// ChangedAt returns when the table last changed.
 func (r *Registry) ChangedAt() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.changedAt
 }
 
-// Suspect notes that a daemon does not answer.
+// Suspect marks an alive daemon as suspect because it does not answer.
 func (r *Registry) Suspect(incarnation string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -225,7 +235,7 @@
 	}
 }
 
-// Get returns what is known of an incarnation.
+// Get returns the entry of an incarnation.
 func (r *Registry) Get(incarnation string) (Daemon, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -236,20 +246,22 @@
 	return rec.daemon, true
 }
 
-// All returns every known daemon, by incarnation.
+// All returns all daemons, ordered by incarnation.
 func (r *Registry) All() []Daemon {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.list(func(Daemon) bool { return true })
 }
 
-// Live returns the daemons that take part in duties: alive ones.
+// Live returns the daemons in state Alive, ordered by incarnation. Only these take part in
+// duties.
 func (r *Registry) Live() []Daemon {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.list(func(d Daemon) bool { return d.State == Alive })
 }
 
+// list returns the daemons that keep accepts.
 func (r *Registry) list(keep func(Daemon) bool) []Daemon {
 	out := make([]Daemon, 0, len(r.sorted))
 	for _, d := range r.sorted {
@@ -260,7 +272,7 @@
 	return out
 }
 
-// Incarnations returns the ids of daemons.
+// Incarnations returns the incarnations of daemons.
 func Incarnations(daemons []Daemon) []string {
 	out := make([]string, len(daemons))
 	for i, d := range daemons {
@@ -269,40 +281,42 @@
 	return out
 }
 
-// Dead returns the incarnations that left, or have been suspect for at least
-// grace.
+// Dead returns the other incarnations that have left, or have been suspect for at least grace.
 func (r *Registry) Dead(grace time.Duration) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock.Now()
 	var out []string
 	for id, rec := range r.records {
-		gone := rec.daemon.State == Left || (rec.daemon.State == Suspect && now.Sub(rec.since) >= grace)
-		if gone && id != r.self.Incarnation {
+		dead := rec.daemon.State == Left || (rec.daemon.State == Suspect && now.Sub(rec.learnedAt) >= grace)
+		if dead && id != r.self.Incarnation {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-// Duty reports whether this daemon is the one to try for a duty.
+// RanksFirst reports whether this daemon ranks first among the live daemons for a duty.
+// Daemons with different tables may get different results, so this does not exclude two
+// holders.
 func (r *Registry) Duty(name string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	best, top := "", uint64(0)
+	best, bestWeight := "", uint64(0)
 	for _, d := range r.sorted {
 		if d.State != Alive {
 			continue
 		}
-		if w := weight("duty/"+name, d.Incarnation); best == "" || w > top {
-			best, top = d.Incarnation, w
+		if w := weight("duty/"+name, d.Incarnation); best == "" || w > bestWeight {
+			best, bestWeight = d.Incarnation, w
 		}
 	}
 	return best == r.self.Incarnation
 }
 
-// Firsts returns the first n of the live daemons that keep accepts, in an order
-// that all daemons share and that moves little when one comes or goes.
+// TopRanked returns the first n live daemons that keep accepts, in rendezvous order for name.
+// All daemons with the same table get the same order, and a daemon that comes or goes does not
+// change the order of the others.
 func (r *Registry) Firsts(name string, n int, keep func(Daemon) bool) []Daemon {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -313,12 +327,12 @@
 	return live[:min(n, len(live))]
 }
 
-// Targets returns the daemons to send a heartbeat to: the next ones on a ring,
-// whose failure this daemon is to notice, and a few random ones.
+// HeartbeatTargets returns the daemons to send the next heartbeat to: the next ones on the
+// ring, ordered by incarnation, whose failure this daemon detects, and some drawn at random.
 func (r *Registry) Targets() []Daemon {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	at, _ := slices.BinarySearchFunc(r.sorted, r.self.Incarnation, func(d Daemon, id string) int {
+	self, _ := slices.BinarySearchFunc(r.sorted, r.self.Incarnation, func(d Daemon, id string) int {
 		return cmp.Compare(d.Incarnation, id)
 	})
 	n := len(r.sorted)
@@ -328,21 +342,22 @@
 		if len(out) == r.options.Watched && n-i > wanted {
 			break
 		}
-		if d := r.sorted[(at+i)%n]; d.State != Left {
+		if d := r.sorted[(self+i)%n]; d.State != Left {
 			out = append(out, d)
 		}
 	}
 	return r.addRandom(out, wanted)
 }
 
-// addRandom fills targets up with daemons drawn at random.
+// addRandom appends daemons drawn at random until there are wanted targets. The number of
+// draws is bounded, as most draws may hit daemons that have left or are already targets.
 func (r *Registry) addRandom(targets []Daemon, wanted int) []Daemon {
 	const tries = 32
 	for range tries {
 		if len(targets) >= wanted || len(r.sorted) <= wanted {
 			break
 		}
-		d := r.sorted[r.random.IntN(len(r.sorted))]
+		d := r.sorted[r.rng.IntN(len(r.sorted))]
 		known := slices.ContainsFunc(targets, func(t Daemon) bool { return t.Incarnation == d.Incarnation })
 		if d.State != Left && d.Incarnation != r.self.Incarnation && !known {
 			targets = append(targets, d)
@@ -351,38 +366,37 @@
 	return targets
 }
 
-// News returns what to tell the next heartbeat's receiver. Passed on three times
-// the logarithm of the number of daemons, a piece reaches all of them with high
-// probability.
+// NextUpdates returns the updates to send in the next heartbeat, least often sent first, and
+// counts them as sent. An update that each daemon sends three times the binary logarithm of
+// the number of daemons reaches all of them with high probability.
 func (r *Registry) News() []Daemon {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	limit := r.options.Repeats * bits.Len(uint(len(r.records)))
-	var fresh []*record
+	var pending []*record
 	for _, rec := range r.records {
-		if rec.sends < limit {
-			fresh = append(fresh, rec)
+		if rec.transmissions < limit {
+			pending = append(pending, rec)
 		}
 	}
-	slices.SortFunc(fresh, func(a, b *record) int { return cmp.Compare(a.sends, b.sends) })
+	slices.SortFunc(pending, func(a, b *record) int { return cmp.Compare(a.transmissions, b.transmissions) })
 	var out []Daemon
-	for _, rec := range fresh[:min(len(fresh), r.options.EventsPerMessage)] {
-		rec.sends++
+	for _, rec := range pending[:min(len(pending), r.options.EventsPerMessage)] {
+		rec.transmissions++
 		out = append(out, rec.daemon)
 	}
 	return out
 }
 
-// Forget drops incarnations that left long ago, and those suspect for as
-// long.
+// RemoveExpired removes incarnations that left, or became suspect, more than ForgetAfter ago.
 func (r *Registry) Forget() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock.Now()
 	changed := false
 	for id, rec := range r.records {
-		gone := rec.daemon.State == Left || rec.daemon.State == Suspect
-		if gone && now.Sub(rec.since) > r.options.ForgetAfter {
+		expired := rec.daemon.State == Left || rec.daemon.State == Suspect
+		if expired && now.Sub(rec.learnedAt) > r.options.ForgetAfter {
 			delete(r.records, id)
 			changed = true
 		}
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -22,10 +22,10 @@
 	return NewRegistry(daemon(n), clock, Options{Watched: 2, Random: 2, EventsPerMessage: 16, Repeats: 3, ForgetAfter: time.Hour}, rand.New(rand.NewPCG(uint64(n), 1)))
 }
 
-// A daemon is paused; the others suspect it. When it wakes and hears so, it
-// refutes and takes part again. One that leaves stays gone, whatever old news
-// says.
-func TestSuspicionAndLeaving(t *testing.T) {
+// A suspected daemon must become alive again when it refutes the suspicion, for example after
+// a pause of its process. A daemon that leaves must not become alive again through outdated
+// entries or a suspicion.
+func TestSuspicionIsRefutedAndLeavingIsFinal(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	a, b := registry(1, clock), registry(2, clock)
 	a.Learn([]Daemon{daemon(2)})
@@ -47,8 +47,8 @@
 	require.Equal(t, Leaving, got.State)
 }
 
-// rounds spreads news among n daemons and returns how many rounds of
-// heartbeats it took until all know that one leaves.
+// rounds returns the number of heartbeat rounds among n daemons until all know that one is
+// leaving.
 func rounds(t *testing.T, n int) int {
 	clock := clockwork.NewFakeClock()
 	var all []*Registry
@@ -65,7 +65,7 @@
 	}
 	for _, r := range all {
 		for range 64 {
-			r.News() // old news has been told
+			r.News() // use up the transmissions of the initial entries
 		}
 	}
 	all[0].SetSelf(func(d *Daemon) { d.State = Leaving })
@@ -75,29 +75,30 @@
 				byAddress[target.PeerAddress].Learn(r.News())
 			}
 		}
-		knowing := 0
+		informed := 0
 		for _, r := range all {
 			if d, _ := r.Get(daemon(0).Incarnation); d.State == Leaving {
-				knowing++
+				informed++
 			}
 		}
-		if knowing == n {
+		if informed == n {
 			return round
 		}
 	}
-	t.Fatalf("not spread among %d", n)
+	t.Fatalf("update did not reach all of %d daemons in 99 rounds", n)
 	return 0
 }
 
-func TestNewsSpreadsInFewRounds(t *testing.T) {
-	for n, most := range map[int]int{8: 3, 64: 7, 512: 10} {
-		require.LessOrEqual(t, rounds(t, n), most, n)
+// Guards against updates that spread slower than logarithmically in the number of daemons.
+func TestUpdatesSpreadInFewRounds(t *testing.T) {
+	for n, maxRounds := range map[int]int{8: 3, 64: 7, 512: 10} {
+		require.LessOrEqual(t, rounds(t, n), maxRounds, n)
 	}
 }
 
-// Every daemon is watched by exactly two others, so that none can fail
-// unnoticed.
-func TestEveryDaemonIsWatched(t *testing.T) {
+// Every daemon must be a ring target of exactly two others; otherwise its failure may go
+// undetected.
+func TestEveryDaemonIsMonitoredByTwoOthers(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	const n = 50
 	var everyone []Daemon
@@ -131,9 +132,9 @@
 	return out
 }
 
-// An engine says that it leaves; the platform's list still calls it live for a
-// while. The old list must not bring it back.
-func TestOldListDoesNotBringALeavingUpstreamBack(t *testing.T) {
+// An engine reports that it is leaving while the platform's list still shows it as live. The
+// stale list must not make it usable again.
+func TestStaleListDoesNotRestoreLeavingUpstream(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	u := upstreams(clock, 2)
 	u.SetReport("u0", upstream.LoadReport{Leaving: true}, clock.Now())
@@ -142,8 +143,8 @@
 	require.Equal(t, []string{"u0"}, u.Leaving())
 }
 
-// All engines fail at once, as when this daemon's own network is at fault. At
-// most half of them are ejected, and they come back.
+// Guards against ejecting all engines when they fail at the same time, as when the network of
+// this daemon is at fault. At most half are ejected, and they become usable again.
 func TestEjectionIsCapped(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	u := upstreams(clock, 4)
@@ -159,9 +160,9 @@
 	require.Len(t, u.Usable(backing.RoleEngine), 3, "one more failure ejects it again")
 }
 
-// A report is old when it arrives. Work sent after its figures were true is
-// counted on top, work they include is not.
-func TestWorkSinceTheReport(t *testing.T) {
+// A load report is already old when it arrives. Attempts that started after its values were
+// measured count in SentSince, those included in the report do not.
+func TestSentSinceCountsAttemptsAfterLoadReport(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	u := upstreams(clock, 1)
 	u.Started("u0", "before")
@@ -178,8 +179,9 @@
 	require.Zero(t, got.InFlight)
 }
 
-// Guards against work for upstreams of a failure domain that the operator has emptied.
-func TestEvacuatedUpstreamsGetNothingNew(t *testing.T) {
+// Guards against sending work to upstreams of a failure domain that the operator has
+// evacuated.
+func TestEvacuatedUpstreamsAreNotUsable(t *testing.T) {
 	policy := config.UpstreamPolicy{}
 	u := NewUpstreams(clockwork.NewFakeClock(), func() config.UpstreamPolicy { return policy })
 	all := list(4, backing.StateLive)
@@ -189,8 +191,8 @@
 	u.SetList(all)
 	require.Len(t, u.Usable(backing.RoleEngine), 4)
 	policy.Evacuated = map[string]time.Time{"hall-b": {}}
-	for _, left := range u.Usable(backing.RoleEngine) {
-		require.Equal(t, "hall-a", left.Instance.FailureDomain)
+	for _, usable := range u.Usable(backing.RoleEngine) {
+		require.Equal(t, "hall-a", usable.Instance.FailureDomain)
 	}
 	policy.Evacuated = nil
 	require.Len(t, u.Usable(backing.RoleEngine), 4)
--- a/internal/member/rendezvous.go
+++ b/internal/member/rendezvous.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// weight is the rendezvous weight of a candidate for a key.
+// weight returns the rendezvous hashing weight of a candidate for a key.
 func weight(key, candidate string) uint64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(key)
@@ -16,8 +16,8 @@
 	return digest.Sum64()
 }
 
-// Rank orders candidates for a key by rendezvous hashing, best first. When a
-// candidate comes or goes, the order of the others stays.
+// Rank returns the candidates ordered by rendezvous hashing for a key, highest weight first. A
+// candidate that comes or goes does not change the order of the others.
 func Rank(key string, candidates []string) []string {
 	out := slices.Clone(candidates)
 	weights := make(map[string]uint64, len(out))
@@ -30,12 +30,12 @@
 	return out
 }
 
-// Best returns the first of Rank, or "" when there is no candidate.
+// Best returns the first element of Rank, or "" if there are no candidates.
 func Best(key string, candidates []string) string {
-	best, top := "", uint64(0)
+	best, bestWeight := "", uint64(0)
 	for _, c := range candidates {
-		if w := weight(key, c); best == "" || w > top || (w == top && c < best) {
-			best, top = c, w
+		if w := weight(key, c); best == "" || w > bestWeight || (w == bestWeight && c < best) {
+			best, bestWeight = c, w
 		}
 	}
 	return best
--- a/internal/member/upstreams.go
+++ b/internal/member/upstreams.go
@@ -13,47 +13,49 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/upstream"
 )
 
-// Upstream is a model engine or plain service as this daemon sees it.
+// Upstream is the state of a model engine or plain service as observed by this daemon.
 type Upstream struct {
 	Instance backing.Instance
-	// Report is the newest load report, and ReportedAt when its figures were
-	// true.
+	// Report is the latest load report. ReportedAt is the time at which its values were
+	// measured.
 	Report     upstream.LoadReport
 	ReportedAt time.Time
-	// InFlight counts this daemon's own running work.
+	// InFlight counts the running attempts of this daemon at the upstream.
 	InFlight int
-	// SentSince counts own work started after ReportedAt and still running.
+	// SentSince counts those of them that started after ReportedAt.
 	SentSince int
-	// Failures counts failures in a row.
+	// Failures counts consecutive failures.
 	Failures int
-	// EjectedUntil is set while the upstream is out.
+	// EjectedUntil is the end of the current or last ejection. ejections counts the ejections
+	// since the last success.
 	EjectedUntil time.Time
 	ejections    int
-	// leavingUntil: nothing new until then, as somebody said that it leaves.
+	// leavingUntil is until when the upstream gets no new work, because a source reported that
+	// it is leaving.
 	leavingUntil time.Time
 	listed       bool
-	// sent has the start times of own running work, for SentSince.
+	// sent has the start times of the running attempts, for SentSince.
 	sent map[string]time.Time
 }
 
-// Serves reports whether the upstream has said that a version is ready.
+// Serves reports whether the upstream has reported that a version is ready.
 func (u Upstream) Serves(ref config.VersionRef) bool {
 	return slices.ContainsFunc(u.Report.Versions, func(v upstream.VersionLoad) bool {
 		return v.Ready && v.Model == ref.Model && v.Version == ref.Version
 	})
 }
 
-// leavingMemory is how long the news that an upstream leaves is kept after
-// the last source that said so. It outlasts the lag of the platform's list, so
-// that an old list does not bring the upstream back.
-const leavingMemory = 5 * time.Minute
+// leavingRetention is how long an upstream counts as leaving after the last report that it is.
+// It exceeds the lag of the platform's list, so that a stale list does not make the upstream
+// usable again.
+const leavingRetention = 5 * time.Minute
 
-// maxEjectedTime bounds the growing time out.
-const maxEjectedTime = time.Minute
+// maxEjection bounds the duration of an ejection, which doubles each time.
+const maxEjection = time.Minute
 
 // Upstreams is the table of upstreams.
 //
-// Lock order: mu is taken alone.
+// Lock order: mu is never held together with another lock.
 type Upstreams struct {
 	clock  clockwork.Clock
 	policy func() config.UpstreamPolicy
@@ -63,12 +65,12 @@
 	changed chan struct{}
 }
 
-// NewUpstreams returns an empty table. policy returns the policy in force.
+// NewUpstreams returns an empty table. policy returns the current policy.
 func NewUpstreams(clock clockwork.Clock, policy func() config.UpstreamPolicy) *Upstreams {
 	return &Upstreams{clock: clock, policy: policy, table: map[string]*Upstream{}, changed: make(chan struct{})}
 }
 
-// Changed returns a channel closed at the next change that can make room.
+// Changed returns a channel that is closed when an upstream may have gained capacity.
 func (t *Upstreams) Changed() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -80,8 +82,8 @@
 	t.changed = make(chan struct{})
 }
 
-// SetList takes the platform's list. An upstream that left the list is
-// dropped once nothing of this daemon runs on it.
+// SetList replaces the platform's instance list. An upstream that is no longer listed is
+// removed at the next list after the last attempt of this daemon on it has ended.
 func (t *Upstreams) SetList(instances []backing.Instance) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -100,7 +102,7 @@
 		u.Instance = i
 		u.listed = true
 		if i.State == backing.StateLeaving {
-			u.leavingUntil = t.clock.Now().Add(leavingMemory)
+			u.leavingUntil = t.clock.Now().Add(leavingRetention)
 		}
 	}
 	for id, u := range t.table {
@@ -111,8 +113,8 @@
 	t.notify()
 }
 
-// SetReport takes a load report that was asked for at asked.
-func (t *Upstreams) SetReport(id string, report upstream.LoadReport, asked time.Time) {
+// SetReport stores a load report that was requested at requestedAt.
+func (t *Upstreams) SetReport(id string, report upstream.LoadReport, requestedAt time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	u, ok := t.table[id]
@@ -120,7 +122,7 @@
 		return
 	}
 	u.Report = report
-	u.ReportedAt = asked.Add(-time.Duration(report.AgeMS) * time.Millisecond)
+	u.ReportedAt = requestedAt.Add(-time.Duration(report.AgeMS) * time.Millisecond)
 	u.SentSince = 0
 	for _, at := range u.sent {
 		if at.After(u.ReportedAt) {
@@ -128,23 +130,23 @@
 		}
 	}
 	if report.Leaving {
-		u.leavingUntil = t.clock.Now().Add(leavingMemory)
+		u.leavingUntil = t.clock.Now().Add(leavingRetention)
 	}
 	t.notify()
 }
 
-// MarkLeaving notes that an upstream leaves, whoever said so. The first word
-// counts: the platform's list lags, and until it agrees the upstream would go
-// on receiving work that it has to refuse or cut off.
+// MarkLeaving records that an upstream is leaving. A report of any source suffices: the
+// platform's list lags, and until it shows the state the upstream would receive work that it
+// must refuse or abort.
 func (t *Upstreams) MarkLeaving(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if u, ok := t.table[id]; ok {
-		u.leavingUntil = t.clock.Now().Add(leavingMemory)
+		u.leavingUntil = t.clock.Now().Add(leavingRetention)
 	}
 }
 
-// Leaving returns the ids of upstreams known to leave.
+// Leaving returns the sorted ids of upstreams that are known to be leaving.
 func (t *Upstreams) Leaving() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -159,7 +161,7 @@
 	return out
 }
 
-// Started notes that an attempt was sent to an upstream.
+// Started records that an attempt was sent to an upstream.
 func (t *Upstreams) Started(id, attempt string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -172,7 +174,8 @@
 	u.sent[attempt] = t.clock.Now()
 }
 
-// Ended notes the end of an attempt. failed counts towards ejection.
+// Ended records the end of an attempt. A failed one counts towards ejection, any other resets
+// the count.
 func (t *Upstreams) Ended(id, attempt string, failed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -189,26 +192,25 @@
 	if started.After(u.ReportedAt) && u.SentSince > 0 {
 		u.SentSince--
 	}
-	t.judge(u, failed)
+	t.recordOutcome(u, failed)
 	t.notify()
 }
 
-// Failed notes a failure outside an attempt, such as a load report that did
-// not come.
+// Failed records a failure outside an attempt, such as a missing load report.
 func (t *Upstreams) Failed(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if u, ok := t.table[id]; ok {
-		t.judge(u, true)
+		t.recordOutcome(u, true)
 	}
 }
 
-// judge counts failures and ejects an upstream for a growing time.
+// recordOutcome counts consecutive failures and ejects an upstream after policy.EjectAfter of
+// them. The duration doubles with each ejection up to maxEjection.
 //
-// The share of ejected upstreams is capped: when most fail, the cause is more
-// likely the network, this daemon or an overload, and ejecting them all would
-// turn that into a full outage.
-func (t *Upstreams) judge(u *Upstream, failed bool) {
+// The share of ejected upstreams is capped: if most of them fail, the cause is more likely the
+// network, this daemon or an overload, and ejecting all would turn that into a full outage.
+func (t *Upstreams) recordOutcome(u *Upstream, failed bool) {
 	if !failed {
 		u.Failures = 0
 		u.ejections = 0
@@ -220,31 +222,33 @@
 	if u.Failures < policy.EjectAfter || now.Before(u.EjectedUntil) || !t.mayEject(policy, now) {
 		return
 	}
-	pause := time.Duration(policy.EjectMS) * time.Millisecond << min(u.ejections, 10)
-	u.EjectedUntil = now.Add(min(pause, maxEjectedTime))
+	ejection := time.Duration(policy.EjectMS) * time.Millisecond << min(u.ejections, 10)
+	u.EjectedUntil = now.Add(min(ejection, maxEjection))
 	u.ejections++
-	u.Failures = policy.EjectAfter - 1 // one more failure after the time out ejects again
+	u.Failures = policy.EjectAfter - 1 // one more failure after the ejection ejects it again
 }
 
+// mayEject reports whether one more ejection keeps the share of ejected upstreams within
+// policy.MaxEjectedShare.
 func (t *Upstreams) mayEject(policy config.UpstreamPolicy, now time.Time) bool {
-	out := 1
+	ejected := 1
 	for _, u := range t.table {
 		if now.Before(u.EjectedUntil) {
-			out++
+			ejected++
 		}
 	}
-	return float64(out) <= policy.MaxEjectedShare*float64(len(t.table))
+	return float64(ejected) <= policy.MaxEjectedShare*float64(len(t.table))
 }
 
-// Usable returns copies of the upstreams that may get new work: listed, not
-// leaving, not ejected, in no evacuated failure domain. Sorted by id.
+// Usable returns copies of the upstreams that may get new work, sorted by id: those that are
+// listed, not leaving, not ejected and not in an evacuated failure domain.
 func (t *Upstreams) Usable(role backing.InstanceRole) []Upstream {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now, evacuated := t.clock.Now(), t.policy().Evacuated
 	var out []Upstream
 	for _, u := range t.table {
-		if _, empty := evacuated[u.Instance.FailureDomain]; empty {
+		if _, isEvacuated := evacuated[u.Instance.FailureDomain]; isEvacuated {
 			continue
 		}
 		if u.Instance.Role == role && u.listed && !now.Before(u.leavingUntil) && !now.Before(u.EjectedUntil) {
@@ -255,7 +259,7 @@
 	return out
 }
 
-// All returns copies of every upstream, sorted by id.
+// All returns copies of all upstreams, sorted by id.
 func (t *Upstreams) All() []Upstream {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -273,5 +277,5 @@
 	return c
 }
 
-// IsLeaving reports whether the upstream was known to leave at now.
+// IsLeaving reports whether the upstream is known to be leaving at time now.
 func (u Upstream) IsLeaving(now time.Time) bool { return now.Before(u.leavingUntil) }
--- a/internal/neterr/neterr.go
+++ b/internal/neterr/neterr.go
@@ -1,4 +1,4 @@
-// Package neterr tells what a failed connection says about the request.
+// Package neterr classifies network errors by what they imply for the request.
 package neterr
 
 import (
@@ -6,8 +6,8 @@
 	"net"
 )
 
-// NotSent reports whether the connection was never made, so that no byte of the
-// request can have reached the other side.
+// NotSent reports whether err is a failure to establish the connection, so that no byte of the
+// request has reached the server.
 func NotSent(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -24,12 +24,12 @@
 
 var tracer = otel.Tracer("github.com/hornbeamsill/hornbeamsill/internal/peer")
 
-// CallTimeout bounds the calls that have no deadline of their own.
+// CallTimeout bounds calls whose context has no deadline, and the write of one frame.
 const CallTimeout = time.Second
 
-// Client calls the peers, with one connection for each address.
+// Client calls other daemons. It keeps one connection per address.
 //
-// Lock order: mu is taken alone; connections are made outside it.
+// Lock order: mu is never held together with another lock. Connections are dialed without it.
 type Client struct {
 	tls     *tls.Config
 	traffic *Traffic
@@ -38,18 +38,18 @@
 	conns map[string]*rpc.Client
 }
 
-// NewClient returns a client. tlsConfig may be nil.
+// NewClient returns a client without connections. Without tlsConfig they are plain TCP.
 func NewClient(tlsConfig *tls.Config) *Client {
 	return &Client{tls: tlsConfig, traffic: NewTraffic(), conns: map[string]*rpc.Client{}}
 }
 
-// Traffic returns the counters of what this client sends and is answered.
+// Traffic returns the counters of the calls that this client makes.
 func (c *Client) Traffic() *Traffic { return c.traffic }
 
-// SetTLS sets how connections are secured. It is called before the first call.
+// SetTLS sets the TLS configuration of connections. It must be called before the first call.
 func (c *Client) SetTLS(config *tls.Config) { c.tls = config }
 
-// Close ends all connections.
+// Close closes all connections.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -59,6 +59,8 @@
 	}
 }
 
+// connect returns the connection to address and dials it if there is none. Of two connections
+// dialed at the same time the second is closed.
 func (c *Client) connect(ctx context.Context, address string) (*rpc.Client, error) {
 	c.mu.Lock()
 	conn, ok := c.conns[address]
@@ -68,17 +70,17 @@
 	}
 	raw, err := c.dial(ctx, address)
 	if err != nil {
-		return nil, trace.ConnectionProblem(err, "peer %v", address)
+		return nil, trace.ConnectionProblem(err, "cannot connect to peer %v", address)
 	}
-	made := rpc.NewClientWithCodec(&clientCodec{frames: newFrames(raw, c.traffic)})
+	created := rpc.NewClientWithCodec(&clientCodec{frameConn: newFrameConn(raw, c.traffic)})
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if conn, ok := c.conns[address]; ok {
-		made.Close()
+		created.Close()
 		return conn, nil
 	}
-	c.conns[address] = made
-	return made, nil
+	c.conns[address] = created
+	return created, nil
 }
 
 func (c *Client) dial(ctx context.Context, address string) (net.Conn, error) {
@@ -88,9 +90,9 @@
 	return (&net.Dialer{}).DialContext(ctx, "tcp", address)
 }
 
-// drop closes a connection that failed or does not answer, so that the next
-// call makes a new one.
-func (c *Client) drop(address string, conn *rpc.Client) {
+// closeConn closes a connection that failed or timed out, so that the next call dials a new
+// one.
+func (c *Client) closeConn(address string, conn *rpc.Client) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.conns[address] == conn {
@@ -99,16 +101,17 @@
 	conn.Close()
 }
 
-// call makes one call. The error is a trace.ConnectionProblem unless the peer
-// itself answered with one.
+// call makes one call. The error is a trace.ConnectionProblem unless the peer executed the
+// call and returned an error.
 func (c *Client) call(ctx context.Context, address, service, method string, in, out any) error {
-	if _, bounded := ctx.Deadline(); !bounded {
+	if _, hasDeadline := ctx.Deadline(); !hasDeadline {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, CallTimeout)
 		defer cancel()
 	}
 	if oteltrace.SpanContextFromContext(ctx).IsValid() {
-		// Only calls made for a request get a span, not the daemon's own.
+		// Calls that belong to a request get a span; periodic calls of the daemon have no
+		// parent span and get none.
 		_, span := tracer.Start(ctx, "peer "+method)
 		defer span.End()
 	}
@@ -116,37 +119,37 @@
 	if err != nil {
 		return err
 	}
-	began := time.Now()
+	start := time.Now()
 	call := conn.Go(service+"."+method, in, out, make(chan *rpc.Call, 1))
 	select {
 	case <-call.Done:
-		c.traffic.answered(call.ServiceMethod, time.Since(began))
+		c.traffic.addLatency(call.ServiceMethod, time.Since(start))
 	case <-ctx.Done():
-		// A call that was cancelled says nothing about the peer, and others
-		// use the connection.
+		// Only a timeout closes the connection. A cancelled call shows no fault of the peer,
+		// and other calls share the connection.
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			c.drop(address, conn)
+			c.closeConn(address, conn)
 		}
-		return trace.ConnectionProblem(ctx.Err(), "peer %v %v", address, method)
+		return trace.ConnectionProblem(ctx.Err(), "peer %v: no reply to the call %v", address, method)
 	}
 	if call.Error == nil {
 		return nil
 	}
-	if _, answered := call.Error.(rpc.ServerError); answered {
-		return trace.Errorf("peer %v %v: %v", address, method, call.Error)
+	if _, fromPeer := call.Error.(rpc.ServerError); fromPeer {
+		return trace.Errorf("peer %v returned an error from the call %v: %v", address, method, call.Error)
 	}
-	c.drop(address, conn)
-	return trace.ConnectionProblem(call.Error, "peer %v %v", address, method)
+	c.closeConn(address, conn)
+	return trace.ConnectionProblem(call.Error, "connection to peer %v failed in the call %v", address, method)
 }
 
-// fetch makes a call whose answer is a T. The answer is decoded into a value
-// of its own, since a call given up on may still be answered later.
-func fetch[T any](ctx context.Context, c *Client, address, method string, in any) (T, error) {
-	return fetchFrom[T](ctx, c, address, serviceName, method, in)
+// callPeer calls a method of the Peer service whose reply is a T.
+func callPeer[T any](ctx context.Context, c *Client, address, method string, in any) (T, error) {
+	return callService[T](ctx, c, address, serviceName, method, in)
 }
 
-// fetchFrom is fetch for a service by name.
-func fetchFrom[T any](ctx context.Context, c *Client, address, service, method string, in any) (T, error) {
+// callService calls a method of the named service whose reply is a T. The reply is decoded
+// into a new value, because net/rpc may still write to it after the call has timed out.
+func callService[T any](ctx context.Context, c *Client, address, service, method string, in any) (T, error) {
 	out := new(T)
 	if err := c.call(ctx, address, service, method, in, out); err != nil {
 		var zero T
@@ -155,70 +158,73 @@
 	return *out, nil
 }
 
-// Heartbeat exchanges news with a peer.
+// Heartbeat sends a heartbeat and returns the heartbeat of the peer.
 func (c *Client) Heartbeat(ctx context.Context, address string, h Heartbeat) (Heartbeat, error) {
-	return fetch[Heartbeat](ctx, c, address, "Heartbeat", h)
+	return callPeer[Heartbeat](ctx, c, address, "Heartbeat", h)
 }
 
-// Config fetches what this daemon lacks of the configuration.
+// Config fetches the configuration documents and roll-outs that differ from those known here.
 func (c *Client) Config(ctx context.Context, address string, r ConfigRequest) (config.Delta, error) {
-	return fetch[config.Delta](ctx, c, address, "Config", r)
+	return callPeer[config.Delta](ctx, c, address, "Config", r)
 }
 
-// Members fetches every daemon the peer knows.
+// Members fetches all daemons in the peer's membership table.
 func (c *Client) Members(ctx context.Context, address string) ([]member.Daemon, error) {
-	return fetch[[]member.Daemon](ctx, c, address, "Members", Empty{})
+	return callPeer[[]member.Daemon](ctx, c, address, "Members", Empty{})
 }
 
-// Hold hands copies of bills to a peer.
+// HoldBills sends copies of bills for the peer to hold.
 func (c *Client) Hold(ctx context.Context, address string, r HoldRequest) error {
-	_, err := fetch[Empty](ctx, c, address, "Hold", r)
+	_, err := callPeer[Empty](ctx, c, address, "Hold", r)
 	return err
 }
 
-// Release tells a peer to drop copies.
+// ReleaseBills asks the peer to drop copies of bills.
 func (c *Client) Release(ctx context.Context, address string, r ReleaseRequest) error {
-	_, err := fetch[Empty](ctx, c, address, "Release", r)
+	_, err := callPeer[Empty](ctx, c, address, "Release", r)
 	return err
 }
 
-// Take asks a peer for an idempotency key.
+// TakeKey asks the peer for the ownership of an idempotency key.
 func (c *Client) Take(ctx context.Context, address string, r TakeRequest) (claim.Result, error) {
-	return fetch[claim.Result](ctx, c, address, "Take", r)
+	return callPeer[claim.Result](ctx, c, address, "Take", r)
 }
 
-// Answer fetches a part of an answer.
+// Answer fetches a part of a stored answer.
 func (c *Client) Answer(ctx context.Context, address string, r AnswerRequest) (AnswerReply, error) {
-	return fetch[AnswerReply](ctx, c, address, "Answer", r)
+	return callPeer[AnswerReply](ctx, c, address, "Answer", r)
 }
 
-// Credit asks the duty holder of a roll-out for credits.
+// RequestCredits asks the daemon that holds the lease of a roll-out for exposure credits and
+// returns the number granted.
 func (c *Client) Credit(ctx context.Context, address string, r CreditRequest) (int, error) {
-	return fetch[int](ctx, c, address, "Credit", r)
+	return callPeer[int](ctx, c, address, "Credit", r)
 }
 
-// Demand reports demand and returns the shares allotted.
+// ReportDemand reports the demand of organisations and returns the shares of their limits that
+// this daemon may use.
 func (c *Client) Demand(ctx context.Context, address string, r DemandRequest) (map[string]limit.Share, error) {
-	return fetch[map[string]limit.Share](ctx, c, address, "Demand", r)
+	return callPeer[map[string]limit.Share](ctx, c, address, "Demand", r)
 }
 
-// Ratings fetches a peer's rating summary.
+// Ratings fetches the rating summary of a peer.
 func (c *Client) Ratings(ctx context.Context, address string) (rating.Summary, error) {
-	return fetch[rating.Summary](ctx, c, address, "Ratings", Empty{})
+	return callPeer[rating.Summary](ctx, c, address, "Ratings", Empty{})
 }
 
-// Keys fetches the signing keys.
+// Keys fetches the session signing keys.
 func (c *Client) Keys(ctx context.Context, address string) ([]session.Key, error) {
-	return fetch[[]session.Key](ctx, c, address, "Keys", Empty{})
+	return callPeer[[]session.Key](ctx, c, address, "Keys", Empty{})
 }
 
-// Handover passes on what this daemon remembers.
+// Handover sends the idempotency keys and answers of this daemon, which is stopping, to its
+// successor.
 func (c *Client) Handover(ctx context.Context, address string, r HandoverRequest) error {
-	_, err := fetch[Empty](ctx, c, address, "Handover", r)
+	_, err := callPeer[Empty](ctx, c, address, "Handover", r)
 	return err
 }
 
-// Instances fetches the last list of instances that a peer has.
+// Instances fetches the latest instance list that the peer has.
 func (c *Client) Instances(ctx context.Context, address string) ([]backing.Instance, error) {
-	return fetch[[]backing.Instance](ctx, c, address, "Instances", Empty{})
+	return callPeer[[]backing.Instance](ctx, c, address, "Instances", Empty{})
 }
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -9,35 +9,36 @@
 	"time"
 )
 
-// frames reads and writes the gob values of one connection and counts their bytes.
-// The codecs of net/rpc do the same without counting.
-type frames struct {
+// frameConn reads and writes frames of a header and a body, both gob values, on one connection
+// and counts their bytes per method. The default codecs of net/rpc use the same encoding but
+// do not count.
+type frameConn struct {
 	conn    net.Conn
 	traffic *Traffic
-	in      *countedReader
+	reader  *countingReader
 	dec     *gob.Decoder
-	out     *bufio.Writer
-	written *countedWriter
+	buffer  *bufio.Writer
+	writer  *countingWriter
 	enc     *gob.Encoder
-	// before is in.bytes at the start of the frame being read, and kind its method.
-	// Only the reading goroutine uses them.
-	before int64
-	kind   string
+	// frameStart is reader.bytes at the start of the frame being read, and method its net/rpc
+	// method. Only the reading goroutine uses them.
+	frameStart int64
+	method     string
 }
 
-func newFrames(conn net.Conn, traffic *Traffic) *frames {
-	f := &frames{conn: conn, traffic: traffic, in: &countedReader{Reader: bufio.NewReader(conn)}, out: bufio.NewWriter(conn)}
-	f.written = &countedWriter{to: f.out}
-	f.dec, f.enc = gob.NewDecoder(f.in), gob.NewEncoder(f.written)
+func newFrameConn(conn net.Conn, traffic *Traffic) *frameConn {
+	f := &frameConn{conn: conn, traffic: traffic, reader: &countingReader{Reader: bufio.NewReader(conn)}, buffer: bufio.NewWriter(conn)}
+	f.writer = &countingWriter{dst: f.buffer}
+	f.dec, f.enc = gob.NewDecoder(f.reader), gob.NewEncoder(f.writer)
 	return f
 }
 
-// write sends a header and a body as one frame. A frame that the link has not taken
-// within CallTimeout fails: its sender holds the lock that all calls to this peer
-// need, and a peer that does not read would hold them, and the round of heartbeats
-// that waits for them, for as long as it lives.
-func (f *frames) write(kind string, header, body any) error {
-	before := f.written.bytes
+// write sends a header and a body as one frame. It fails if the connection does not accept the
+// frame within CallTimeout. The caller holds the lock that serialises all calls to the peer:
+// without the deadline a peer that stops reading would block them, and with them the heartbeat
+// round, until it exits.
+func (f *frameConn) write(method string, header, body any) error {
+	start := f.writer.bytes
 	if err := f.conn.SetWriteDeadline(time.Now().Add(CallTimeout)); err != nil {
 		return err
 	}
@@ -47,45 +48,45 @@
 	if err := f.enc.Encode(body); err != nil {
 		return err
 	}
-	if err := f.out.Flush(); err != nil {
+	if err := f.buffer.Flush(); err != nil {
 		return err
 	}
-	f.traffic.sent(kind, f.written.bytes-before)
+	f.traffic.addSent(method, f.writer.bytes-start)
 	return nil
 }
 
-// readHeader reads the header of a frame; its method is to be noted in kind.
-func (f *frames) readHeader(header any) error {
-	f.before = f.in.bytes
+// readHeader reads the header of a frame. The caller then sets f.method from it.
+func (f *frameConn) readHeader(header any) error {
+	f.frameStart = f.reader.bytes
 	return f.dec.Decode(header)
 }
 
-// readBody reads the body of a frame; nil skips it.
-func (f *frames) readBody(body any) error {
+// readBody reads the body of a frame; a nil body discards it.
+func (f *frameConn) readBody(body any) error {
 	err := f.dec.Decode(body)
-	f.traffic.received(f.kind, f.in.bytes-f.before)
+	f.traffic.addReceived(f.method, f.reader.bytes-f.frameStart)
 	return err
 }
 
-// Close ends the connection.
-func (f *frames) Close() error { return f.conn.Close() }
+// Close closes the connection.
+func (f *frameConn) Close() error { return f.conn.Close() }
 
-// countedReader counts what the decoder takes. It has ReadByte, so that the decoder
-// reads no further than the value that it decodes.
-type countedReader struct {
+// countingReader counts the bytes that the decoder consumes. It implements io.ByteReader, so
+// that the decoder does not add a buffer of its own and read past the current value.
+type countingReader struct {
 	*bufio.Reader
 	bytes int64
 }
 
 // Read implements io.Reader.
-func (r *countedReader) Read(p []byte) (int, error) {
+func (r *countingReader) Read(p []byte) (int, error) {
 	n, err := r.Reader.Read(p)
 	r.bytes += int64(n)
 	return n, err
 }
 
 // ReadByte implements io.ByteReader.
-func (r *countedReader) ReadByte() (byte, error) {
+func (r *countingReader) ReadByte() (byte, error) {
 	b, err := r.Reader.ReadByte()
 	if err == nil {
 		r.bytes++
@@ -93,21 +94,21 @@
 	return b, err
 }
 
-// countedWriter counts what is written.
-type countedWriter struct {
-	to    io.Writer
+// countingWriter counts the bytes written to dst.
+type countingWriter struct {
+	dst   io.Writer
 	bytes int64
 }
 
 // Write implements io.Writer.
-func (w *countedWriter) Write(p []byte) (int, error) {
-	n, err := w.to.Write(p)
+func (w *countingWriter) Write(p []byte) (int, error) {
+	n, err := w.dst.Write(p)
 	w.bytes += int64(n)
 	return n, err
 }
 
-// clientCodec is the calling side of a connection.
-type clientCodec struct{ *frames }
+// clientCodec is the client side of a connection; it implements rpc.ClientCodec.
+type clientCodec struct{ *frameConn }
 
 // WriteRequest implements rpc.ClientCodec.
 func (c *clientCodec) WriteRequest(r *rpc.Request, body any) error {
@@ -117,28 +118,28 @@
 // ReadResponseHeader implements rpc.ClientCodec.
 func (c *clientCodec) ReadResponseHeader(r *rpc.Response) error {
 	err := c.readHeader(r)
-	c.kind = r.ServiceMethod
+	c.method = r.ServiceMethod
 	return err
 }
 
 // ReadResponseBody implements rpc.ClientCodec.
 func (c *clientCodec) ReadResponseBody(body any) error { return c.readBody(body) }
 
-// serverCodec is the answering side of a connection.
-type serverCodec struct{ *frames }
+// serverCodec is the server side of a connection; it implements rpc.ServerCodec.
+type serverCodec struct{ *frameConn }
 
 // ReadRequestHeader implements rpc.ServerCodec.
 func (c *serverCodec) ReadRequestHeader(r *rpc.Request) error {
 	err := c.readHeader(r)
-	c.kind = r.ServiceMethod
+	c.method = r.ServiceMethod
 	return err
 }
 
 // ReadRequestBody implements rpc.ServerCodec.
 func (c *serverCodec) ReadRequestBody(body any) error { return c.readBody(body) }
 
-// WriteResponse implements rpc.ServerCodec. A connection that cannot take an answer
-// is of no use any more: part of a frame may have gone out.
+// WriteResponse implements rpc.ServerCodec. A failed write closes the connection: a partial
+// frame may have been sent, after which the client cannot decode further frames.
 func (c *serverCodec) WriteResponse(r *rpc.Response, body any) error {
 	err := c.write(r.ServiceMethod, r, body)
 	if err != nil {
--- a/internal/peer/codec_test.go
+++ b/internal/peer/codec_test.go
@@ -12,19 +12,19 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/shift"
 )
 
-// echoPeer answers heartbeats with themselves and takes in states.
-type echoPeer struct{ RoutesHandler }
+// echoHandler returns each heartbeat to its sender and ignores roll-out states.
+type echoHandler struct{ RoutesHandler }
 
-// OnBeat implements RoutesHandler.
-func (echoPeer) OnBeat(b Beat) Beat { return b }
+// OnHeartbeat implements RoutesHandler.
+func (echoHandler) OnBeat(b Beat) Beat { return b }
 
-// OnState implements RoutesHandler.
-func (echoPeer) OnState(shift.State) {}
+// OnRolloutState implements RoutesHandler.
+func (echoHandler) OnState(shift.State) {}
 
-// An operator sees callers' answers late and asks what fills a daemon's link. Both
-// ends count each frame under the kind of its call, and count the same bytes.
-func TestTrafficIsCountedByKind(t *testing.T) {
-	server, err := ListenRoutes("127.0.0.1:0", echoPeer{})
+// Client and server must count each frame under its method, with the same number of bytes.
+// Operators use these counters to find out which calls fill the link of a daemon.
+func TestTrafficCountedByMethod(t *testing.T) {
+	server, err := ListenRoutes("127.0.0.1:0", echoHandler{})
 	require.NoError(t, err)
 	defer server.Close()
 	client := NewClient(nil)
@@ -35,34 +35,33 @@
 	}
 	require.NoError(t, client.State(context.Background(), server.Address(), shift.State{Service: "s"}))
 
-	called := client.Traffic().Kinds()
+	called := client.Traffic().ByMethod()
 	require.Equal(t, int64(3), called["Routes.Beat"].Calls)
 	require.Equal(t, int64(1), called["Routes.State"].Calls)
-	for kind, c := range called {
-		require.Positive(t, c.Sent, kind)
-		// The server counts an answer once it is written, which the caller may read first.
+	for method, c := range called {
+		require.Positive(t, c.Sent, method)
+		// The server counts a reply after writing it, so the client may have read it before.
 		require.EventuallyWithT(t, func(t *assert.CollectT) {
-			s := server.Traffic().Kinds()[kind]
-			assert.Equal(t, c.Calls, s.Calls, kind)
-			assert.Equal(t, c.Sent, s.Received, kind)
-			assert.Equal(t, c.Received, s.Sent, kind)
+			s := server.Traffic().ByMethod()[method]
+			assert.Equal(t, c.Calls, s.Calls, method)
+			assert.Equal(t, c.Sent, s.Received, method)
+			assert.Equal(t, c.Received, s.Sent, method)
 		}, 10*time.Second, time.Millisecond)
 	}
 }
 
-// A peer accepts a connection and then reads nothing, as one does whose link is
-// cut. A large frame fills the buffers on the way, and the call did not come back:
-// it held the round of heartbeats that waited for it, so that the other daemons took
-// this one for dead as well.
-func TestCallToAPeerThatDoesNotReadEnds(t *testing.T) {
-	deaf, err := net.Listen("tcp", "127.0.0.1:0")
+// Guards against calls that hang because the peer accepts a connection and does not read from
+// it, as behind a cut link. A large frame fills the socket buffers; without a write deadline
+// the call blocked the heartbeat round, and the other daemons then suspected this one too.
+func TestCallTimesOutWhenPeerDoesNotRead(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer deaf.Close()
+	defer listener.Close()
 	client := NewClient(nil)
 	defer client.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
-	const tooMuch = 64 << 20
-	err = client.News(ctx, deaf.Addr().String(), News{Manifest: make([]byte, tooMuch)})
+	const frameBytes = 64 << 20
+	err = client.News(ctx, listener.Addr().String(), News{Manifest: make([]byte, frameBytes)})
 	require.Error(t, err)
 }
--- a/internal/peer/quarantine.go
+++ b/internal/peer/quarantine.go
@@ -7,71 +7,75 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/quarantine"
 )
 
-// CrashReport tells a judge which upstream instances ended under requests of a daemon.
+// CrashReport reports upstream instances that ended while they ran requests of a daemon. It is
+// sent to the daemons that decide about quarantine.
 type CrashReport struct {
 	Crashes []quarantine.Crash
 }
 
-// CrashReply is the answer.
+// CrashReply is the reply to a CrashReport.
 type CrashReply struct {
-	// First are those of the requests told of that were on no other ended instance.
+	// First are the reported requests that were on at most one ended instance, as far as the
+	// receiver knows. The sender may retry them at once.
 	First []quarantine.Digest
 }
 
-// InquiryRequest asks a daemon what speaks for requests that are about to be quarantined.
+// QuarantineEvidenceRequest asks a daemon for its evidence about requests before they are
+// quarantined.
 type InquiryRequest struct {
 	Digests []quarantine.Digest
-	// Within is how old the crashes may be that are asked for.
+	// Within is the maximum age of the crashes to return.
 	Within time.Duration
 }
 
-// Inquiry is the answer.
+// QuarantineEvidence is what a daemon knows about requests that may be quarantined.
 type Inquiry struct {
-	// Up is how long the daemon has been running: of the time before it knows nothing.
+	// Up is how long the daemon has been running. It has no evidence from before its start.
 	Up time.Duration
-	// Finished has, for those requests that ran to their end at this daemon lately, how
-	// long ago that was.
+	// Finished has, for those of the requests that recently ran to completion at this daemon,
+	// the time since then.
 	Finished map[quarantine.Digest]time.Duration
-	// Crashes are those that this daemon has seen lately, told before or not.
+	// Crashes are the recent crashes that this daemon observed, including those already
+	// reported.
 	Crashes []quarantine.Crash
 }
 
-// QuarantineNews has requests that were quarantined or released.
+// QuarantineUpdate has requests that were quarantined or released.
 type QuarantineNews struct {
 	From    string
 	Entries []quarantine.Entry
 }
 
-// Crashes takes in which instances ended under a peer's requests.
+// Crashes receives a crash report.
 func (s *routesService) Crashes(in CrashReport, out *CrashReply) error {
 	*out = s.handler.OnCrashes(in)
 	return nil
 }
 
-// Inquire returns what speaks for some requests.
+// Inquire returns the evidence of this daemon about some requests.
 func (s *routesService) Inquire(in InquiryRequest, out *Inquiry) error {
 	*out = s.handler.OnInquiry(in)
 	return nil
 }
 
-// Quarantine takes in requests that were quarantined or released.
+// Quarantine receives requests that were quarantined or released.
 func (s *routesService) Quarantine(in QuarantineNews, _ *Empty) error {
 	s.handler.OnQuarantine(in)
 	return nil
 }
 
-// Crashes tells a peer which instances ended under requests of this daemon.
+// ReportCrashes sends a crash report to a peer that decides about quarantine.
 func (c *Client) Crashes(ctx context.Context, address string, r CrashReport) (CrashReply, error) {
-	return fetchFrom[CrashReply](ctx, c, address, routesName, "Crashes", r)
+	return callService[CrashReply](ctx, c, address, routesName, "Crashes", r)
 }
 
-// Inquire asks a peer what speaks for some requests.
+// QuarantineEvidence asks a peer for its evidence about some requests.
 func (c *Client) Inquire(ctx context.Context, address string, r InquiryRequest) (Inquiry, error) {
-	return fetchFrom[Inquiry](ctx, c, address, routesName, "Inquire", r)
+	return callService[Inquiry](ctx, c, address, routesName, "Inquire", r)
 }
 
-// Quarantine tells a peer of requests that were quarantined or released.
+// SendQuarantineUpdate sends requests that were quarantined or released to a peer.
 func (c *Client) Quarantine(ctx context.Context, address string, n QuarantineNews) error {
-	_, err := fetchFrom[Empty](ctx, c, address, routesName, "Quarantine", n)
+	_, err := callService[Empty](ctx, c, address, routesName, "Quarantine", n)
 	return err
 }
--- a/internal/peer/relay.go
+++ b/internal/peer/relay.go
@@ -7,20 +7,20 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/shift"
 )
 
-// StoreCall is a call to the platform's store that a daemon asks a peer to make,
-// because the store turns the asker away. One of its fields is set.
+// StoreCall is an operation on the platform's store that a daemon asks a peer to perform,
+// because the store rejects or does not answer the daemon itself. Exactly one field is set.
 type StoreCall struct {
-	// Get is the key of a row to read.
+	// Get is the key of the row to read.
 	Get string
-	// Commit is a transaction. Its checks name the revisions of rows, so one
-	// that is carried out twice does nothing the second time.
+	// Commit is a transaction. It is conditional on the revisions of rows, so executing it a
+	// second time has no effect.
 	Commit *backing.Txn
-	// Publish is what the operator is to be told.
+	// Publish writes the status of a roll-out for the operator.
 	Publish *Publication
 }
 
-// Publication is how a roll-out stands, to be written only if the row of Guard
-// has its revision.
+// RolloutStatusWrite writes the status of a roll-out for the operator, provided that the row
+// named by Guard still has the revision given there.
 type Publication struct {
 	Service string
 	To      string
@@ -28,39 +28,39 @@
 	Guard   backing.Check
 }
 
-// StoreOutcome is what became of a StoreCall.
+// StoreOutcome is the result of a StoreCall.
 type StoreOutcome int
 
-// Outcomes of calls to the store.
+// Results of a StoreCall.
 const (
 	StoreDone StoreOutcome = iota
-	// StoreNoRow says that the row asked for does not exist.
+	// StoreNoRow: the row to read does not exist.
 	StoreNoRow
-	// StoreCheckFailed says that a check did not hold and nothing was done.
+	// StoreCheckFailed: a revision check failed and nothing was written.
 	StoreCheckFailed
-	// StoreNotDone says that the store was not reached or refused.
+	// StoreNotDone: the store was not reached or rejected the call; nothing was written.
 	StoreNotDone
-	// StoreUnknown says that a write may have been done.
+	// StoreUnknown: a write may or may not have been executed.
 	StoreUnknown
 )
 
-// StoreReply is the answer to a StoreCall.
+// StoreReply is the reply to a StoreCall.
 type StoreReply struct {
 	Outcome StoreOutcome
-	// Row is the row asked for, Revision that of the rows written.
+	// Row is the row read by Get; Revision is the revision of the rows written by Commit.
 	Row      backing.Row
 	Revision int64
-	// Why is the error behind an outcome, for logs.
+	// Why is the error text behind the outcome, for logs.
 	Why string
 }
 
-// Store makes a call to the platform's store for a peer.
+// Store performs an operation on the platform's store for a peer.
 func (s *routesService) Store(in StoreCall, out *StoreReply) error {
 	*out = s.handler.OnStoreCall(in)
 	return nil
 }
 
-// Store asks a peer to make a call to the platform's store.
+// Store asks a peer to perform an operation on the platform's store.
 func (c *Client) Store(ctx context.Context, address string, call StoreCall) (StoreReply, error) {
-	return fetchFrom[StoreReply](ctx, c, address, routesName, "Store", call)
+	return callService[StoreReply](ctx, c, address, routesName, "Store", call)
 }
--- a/internal/peer/routes.go
+++ b/internal/peer/routes.go
@@ -11,119 +11,125 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/shift"
 )
 
-// routesName is the name of the net/rpc service between daemons that serve
-// plain HTTP callers.
+// routesName is the name of the net/rpc service between daemons that serve plain HTTP callers.
 const routesName = "Routes"
 
-// Beat is the heartbeat between them, sent both ways.
+// RoutesHeartbeat is the heartbeat between these daemons, used as request and as reply. Its
+// versions, revisions and digests let the receiver find out what it lacks; it then asks with a
+// SyncRequest.
 type Beat struct {
 	From member.Daemon
+	// News are recent membership changes.
 	News []member.Daemon
-	// Digest is equal at daemons that know the same daemons.
+	// Digest is a digest of the membership table; daemons with the same table have the same
+	// value.
 	Digest uint64
-	// Config is the version of the configuration in force, List the revision
-	// of the list of upstream instances, Shifts the sum of the steps of all
-	// roll-outs.
+	// Config is the version of the active configuration, List the revision of the list of
+	// upstream instances, and Shifts a number that grows with each step of any roll-out.
 	Config int64
 	List   int64
 	Shifts int64
-	// Quarantine is equal at daemons that refuse the same requests.
+	// Quarantine is a digest of the quarantined requests; 0 if there are none.
 	Quarantine uint64
-	// Evacuated is equal at daemons that know the same evacuations; 0 is not known.
+	// Evacuated is a digest of the evacuation orders; 0 if they are not known.
 	Evacuated uint64
-	// Left are upstream instances that were found to be leaving in the last seconds.
+	// Left are upstream instances that were found to be leaving within the last seconds.
 	Left []inventory.Life
-	// Limits are those of upstream instances that changed in the last seconds, and Limited
-	// is equal at daemons that know the same ones in force.
+	// Limits are rate limits of upstream instances that changed within the last seconds.
+	// Limited is a digest of all limits in force; 0 if there are none.
 	Limits  []inventory.Limit
 	Limited uint64
 }
 
-// BeliefsRequest asks for what the asker lacks. A list of upstream instances or
-// of daemons has some tens of kilobytes in a large fleet, so each is sent only
-// when asked for. Sent with every difference of any kind they are a third of what
-// daemons exchange between failure domains.
+// SyncRequest asks a peer for the kinds of state that differ from those of the sender. The
+// list of upstream instances and that of daemons are some tens of kilobytes each in a large
+// fleet, so each kind is sent only when asked for. If every difference caused both lists to be
+// sent, they would make up a third of the traffic between failure domains.
 type BeliefsRequest struct {
-	// Config is the version of the asker's configuration; a newer one is sent.
+	// Config is the version of the sender's configuration; a newer one is returned.
 	Config int64
-	// Instances asks for the list of upstream instances if it is newer than
-	// the revision List.
+	// Instances asks for the list of upstream instances if its revision is newer than List.
 	Instances bool
 	List      int64
-	// Shifts asks for orders and states of roll-outs, Members for all daemons.
+	// Shifts asks for the orders and states of roll-outs, Members for all daemons.
 	Shifts  bool
 	Members bool
-	// Quarantine asks for the requests that are refused.
+	// Quarantine asks for the quarantined requests.
 	Quarantine bool
-	// Evacuations asks for the operator's orders about failure domains.
+	// Evacuations asks for the operator's evacuation orders.
 	Evacuations bool
-	// Limits asks for what is known of the limits of upstream instances.
+	// Limits asks for the rate limits of upstream instances.
 	Limits bool
 }
 
-// Beliefs is what a daemon knows of the installation. It is what a daemon
-// starts from when the platform's store cannot be reached.
+// SyncReply is the requested part of what a daemon knows about the installation. A daemon that
+// starts while the platform's store is unreachable takes its initial state from it.
 type Beliefs struct {
-	// Manifest is the encoded configuration, if it is newer than asked for.
+	// Manifest is the encoded configuration; empty if it is not newer than the sender's.
 	Manifest []byte
-	// Instances is set if the list is newer than asked for.
+	// Instances is the list of upstream instances; nil if it was not requested or is not
+	// newer.
 	Instances *inventory.Snapshot
-	// Doubted is for how long others that the asker has are kept.
+	// Doubted is how long the receiver keeps instances that it knows and the list lacks.
 	Doubted time.Duration
 	Orders  []shift.Order
 	States  []shift.State
 	Members []member.Daemon
-	// Quarantine are the requests that are refused.
+	// Quarantine are the quarantined requests.
 	Quarantine []quarantine.Entry
-	// Evacuations are all orders about failure domains if EvacuationsKnown is set.
+	// Evacuations are all evacuation orders, if EvacuationsKnown is set.
 	Evacuations      []evacuation.Order
 	EvacuationsKnown bool
-	// Limits are those of upstream instances, lifted ones included.
+	// Limits are the rate limits of upstream instances, including lifted ones.
 	Limits []inventory.Limit
 }
 
-// News is what a daemon that reads the store tells those that do not.
+// StoreUpdate is what a daemon that reads the store sends to the daemons of its group that do
+// not.
 type News struct {
 	From string
-	// Manifest is the encoded configuration when it has changed.
+	// Manifest is the encoded configuration; empty if it has not changed.
 	Manifest []byte
 	Orders   []shift.Order
-	// OperatorRead is the revision up to which the operator's rows were read,
-	// OperatorChanged the one at which they last changed, and OperatorAge how
-	// long ago that was known to be the newest.
+	// OperatorRead is the revision up to which the sender has read the operator's rows,
+	// OperatorChanged the revision at which they last changed, and OperatorAge the time since
+	// the sender last knew that it had the newest rows.
 	OperatorRead    int64
 	OperatorChanged int64
 	OperatorAge     time.Duration
-	// OperatorBase is the revision from which Manifest, Orders and Evacuations lead on if
-	// OperatorWhole is set: nothing of what changed since is left out.
+	// If OperatorWhole is set, Manifest, Orders and Evacuations contain every change after
+	// revision OperatorBase. A receiver that has all rows up to there then need not read the
+	// store itself.
 	OperatorBase  int64
 	OperatorWhole bool
-	// Evacuations are all orders about failure domains when they have changed; Evacuated is
-	// equal at daemons that know the same of them.
+	// Evacuations are all evacuation orders; empty if they have not changed. Evacuated is a
+	// digest of the orders known to the sender.
 	Evacuations []evacuation.Order
 	Evacuated   uint64
-	// Whole is the whole list where it was read whole; there are no Changes then.
+	// Whole is the full list of upstream instances, set after the sender has read it in full.
+	// Changes is empty then.
 	Whole *inventory.Snapshot
-	// Changes lead from the revision Base of the list to List, which was the
-	// newest ListAge ago.
+	// Changes are the changes of the list between the revisions Base and List. The sender knew
+	// List to be the newest revision ListAge ago.
 	Changes []inventory.Change
 	Base    int64
 	List    int64
 	ListAge time.Duration
-	// Doubted is for how long entries missing from the list are kept: its
-	// reader had no answer from the store until shortly before.
+	// Doubted is how long the receiver keeps instances that the list lacks. It is set if the
+	// sender has only recently regained access to the store, whose list may then be
+	// incomplete.
 	Doubted time.Duration
 }
 
-// EvidenceRequest asks for what a daemon has seen of a roll-out.
+// EvidenceRequest asks a daemon for its measurements of a roll-out.
 type EvidenceRequest struct {
 	Service string
-	// Holder is set by the holder of the roll-out's duty. Others ask while
-	// nobody seems to hold it.
+	// Holder is set if the sender holds the lease of the roll-out. Other daemons ask while the
+	// lease seems to have no holder.
 	Holder bool
 }
 
-// RoutesHandler is what such a daemon does for its peers.
+// RoutesHandler handles the calls of the Routes service.
 type RoutesHandler interface {
 	OnBeat(b Beat) Beat
 	OnBeliefs(r BeliefsRequest) Beliefs
@@ -138,85 +144,85 @@
 	OnQuarantine(n QuarantineNews)
 }
 
-// routesService adapts a RoutesHandler to the method shape of net/rpc.
+// routesService exposes a RoutesHandler with the method signatures that net/rpc requires.
 type routesService struct{ handler RoutesHandler }
 
-// Beat exchanges heartbeats.
+// Beat receives a heartbeat and returns that of this daemon.
 func (s *routesService) Beat(in Beat, out *Beat) error {
 	*out = s.handler.OnBeat(in)
 	return nil
 }
 
-// Beliefs returns what the asker lacks.
+// Beliefs returns the requested parts of this daemon's state.
 func (s *routesService) Beliefs(in BeliefsRequest, out *Beliefs) error {
 	*out = s.handler.OnBeliefs(in)
 	return nil
 }
 
-// Evidence returns what this daemon has seen of a roll-out.
+// Evidence returns the measurements of this daemon for a roll-out.
 func (s *routesService) Evidence(in EvidenceRequest, out *shift.Evidence) error {
 	*out = s.handler.OnEvidence(in)
 	return nil
 }
 
-// State takes in the state of a roll-out.
+// State receives the state of a roll-out.
 func (s *routesService) State(in shift.State, _ *Empty) error {
 	s.handler.OnState(in)
 	return nil
 }
 
-// News takes in what a peer has read.
+// News receives an update from a daemon that reads the store.
 func (s *routesService) News(in News, _ *Empty) error {
 	s.handler.OnNews(in)
 	return nil
 }
 
-// GroupWork takes in the work of all daemons and returns that of this one.
+// GroupWork receives the work of all daemons and returns that of this daemon.
 func (s *routesService) GroupWork(in GroupWork, out *OwnWork) error {
 	*out = s.handler.OnGroupWork(in)
 	return nil
 }
 
-// DomainWork takes in the work of another failure domain.
+// DomainWork receives the work of another failure domain.
 func (s *routesService) DomainWork(in DomainWork, _ *Empty) error {
 	s.handler.OnDomainWork(in)
 	return nil
 }
 
-// News tells a peer what was read.
+// SendStoreUpdate sends an update read from the store to a peer.
 func (c *Client) News(ctx context.Context, address string, n News) error {
-	_, err := fetchFrom[Empty](ctx, c, address, routesName, "News", n)
+	_, err := callService[Empty](ctx, c, address, routesName, "News", n)
 	return err
 }
 
-// GroupWork tells a peer the work of all daemons and returns its own.
+// SendFleetWork sends the work of all daemons to a peer and returns that of the peer.
 func (c *Client) GroupWork(ctx context.Context, address string, w GroupWork) (OwnWork, error) {
-	return fetchFrom[OwnWork](ctx, c, address, routesName, "GroupWork", w)
+	return callService[OwnWork](ctx, c, address, routesName, "GroupWork", w)
 }
 
-// DomainWork tells a peer the work of this failure domain.
+// SendDomainWork sends the work of this failure domain to a peer in another one.
 func (c *Client) DomainWork(ctx context.Context, address string, w DomainWork) error {
-	_, err := fetchFrom[Empty](ctx, c, address, routesName, "DomainWork", w)
+	_, err := callService[Empty](ctx, c, address, routesName, "DomainWork", w)
 	return err
 }
 
-// Beat exchanges heartbeats with a peer.
+// RoutesHeartbeat sends a heartbeat and returns the heartbeat of the peer.
 func (c *Client) Beat(ctx context.Context, address string, b Beat) (Beat, error) {
-	return fetchFrom[Beat](ctx, c, address, routesName, "Beat", b)
+	return callService[Beat](ctx, c, address, routesName, "Beat", b)
 }
 
-// Beliefs fetches what this daemon lacks.
+// Sync fetches the requested parts of a peer's state.
 func (c *Client) Beliefs(ctx context.Context, address string, r BeliefsRequest) (Beliefs, error) {
-	return fetchFrom[Beliefs](ctx, c, address, routesName, "Beliefs", r)
+	return callService[Beliefs](ctx, c, address, routesName, "Beliefs", r)
 }
 
-// Evidence fetches what a peer has seen of a roll-out.
+// Evidence fetches a peer's measurements of a roll-out.
 func (c *Client) Evidence(ctx context.Context, address string, r EvidenceRequest) (shift.Evidence, error) {
-	return fetchFrom[shift.Evidence](ctx, c, address, routesName, "Evidence", r)
+	return callService[shift.Evidence](ctx, c, address, routesName, "Evidence", r)
 }
 
-// State tells a peer the state of a roll-out.
+// SendRolloutState sends the state of a roll-out to a peer.
 func (c *Client) State(ctx context.Context, address string, s shift.State) error {
-	_, err := fetchFrom[Empty](ctx, c, address, routesName, "State", s)
+	_, err := callService[Empty](ctx, c, address, routesName, "State", s)
 	return err
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -17,7 +17,9 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/session"
 )
 
-// Server serves a Handler to the peers.
+// Server accepts connections from other daemons and serves one net/rpc service on them.
+//
+// Lock order: mu is never held together with another lock.
 type Server struct {
 	listener net.Listener
 	rpc      *rpc.Server
@@ -28,12 +30,13 @@
 	closed bool
 }
 
-// Listen starts serving on address. tlsConfig may be nil.
+// Listen serves the Peer service on address. Without tlsConfig connections are plain TCP.
 func Listen(address string, tlsConfig *tls.Config, handler Handler) (*Server, error) {
 	return listen(address, tlsConfig, serviceName, &service{handler: handler})
 }
 
-// ListenRoutes starts serving daemons that serve plain HTTP callers.
+// ListenRoutes serves the Routes service on address, for daemons that serve plain HTTP
+// callers.
 func ListenRoutes(address string, handler RoutesHandler) (*Server, error) {
 	return listen(address, nil, routesName, &routesService{handler: handler})
 }
@@ -54,10 +57,10 @@
 	return s, nil
 }
 
-// Address returns host:port.
+// Address returns the listening address as host:port.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Traffic returns the counters of what peers call here and are answered.
+// Traffic returns the counters of the calls that this server receives.
 func (s *Server) Traffic() *Traffic { return s.traffic }
 
 func (s *Server) accept() {
@@ -79,13 +82,13 @@
 }
 
 func (s *Server) serve(conn net.Conn) {
-	s.rpc.ServeCodec(&serverCodec{frames: newFrames(conn, s.traffic)})
+	s.rpc.ServeCodec(&serverCodec{frameConn: newFrameConn(conn, s.traffic)})
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, conn)
 }
 
-// Close ends the server and its connections.
+// Close closes the listener and all connections.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,28 +99,28 @@
 	}
 }
 
-// service adapts a Handler to the method shape of net/rpc.
+// service exposes a Handler with the method signatures that net/rpc requires.
 type service struct{ handler Handler }
 
-// Heartbeat exchanges news.
+// Heartbeat receives a heartbeat and returns that of this daemon.
 func (s *service) Heartbeat(in Heartbeat, out *Heartbeat) error {
 	*out = s.handler.OnHeartbeat(in)
 	return nil
 }
 
-// Config returns what the asker lacks of the configuration.
+// Config returns the configuration documents and roll-outs that the caller lacks.
 func (s *service) Config(in ConfigRequest, out *config.Delta) error {
 	*out = s.handler.OnConfig(in)
 	return nil
 }
 
-// Members returns every known daemon.
+// Members returns all daemons in the membership table.
 func (s *service) Members(_ Empty, out *[]member.Daemon) error {
 	*out = s.handler.OnMembers()
 	return nil
 }
 
-// Hold takes copies of bills.
+// Hold stores copies of bills.
 func (s *service) Hold(in HoldRequest, _ *Empty) error {
 	s.handler.OnHold(in)
 	return nil
@@ -129,13 +132,13 @@
 	return nil
 }
 
-// Take hands over an idempotency key.
+// Take decides whether the caller gets the ownership of an idempotency key.
 func (s *service) Take(in TakeRequest, out *claim.Result) error {
 	*out = s.handler.OnTake(in)
 	return nil
 }
 
-// Answer returns a part of an answer.
+// Answer returns a part of a stored answer.
 func (s *service) Answer(in AnswerRequest, out *AnswerReply) error {
 	*out = s.handler.OnAnswer(in)
 	return nil
@@ -148,7 +151,7 @@
 	return err
 }
 
-// Demand takes demand and returns shares.
+// Demand receives the demand of organisations and returns the shares of their limits.
 func (s *service) Demand(in DemandRequest, out *map[string]limit.Share) error {
 	*out = s.handler.OnDemand(in)
 	return nil
@@ -160,19 +163,19 @@
 	return nil
 }
 
-// Keys returns the signing keys.
+// Keys returns the session signing keys.
 func (s *service) Keys(_ Empty, out *[]session.Key) error {
 	*out = s.handler.OnKeys()
 	return nil
 }
 
-// Handover takes what a stopping daemon remembers.
+// Handover receives the idempotency keys and answers of a stopping daemon.
 func (s *service) Handover(in HandoverRequest, _ *Empty) error {
 	s.handler.OnHandover(in)
 	return nil
 }
 
-// Instances returns the last list of instances.
+// Instances returns the latest instance list that this daemon has.
 func (s *service) Instances(_ Empty, out *[]backing.Instance) error {
 	*out = s.handler.OnInstances()
 	return nil
--- a/internal/peer/traffic.go
+++ b/internal/peer/traffic.go
@@ -6,65 +6,66 @@
 	"time"
 )
 
-// KindTraffic is what calls of one kind cost a daemon's link.
-type KindTraffic struct {
-	// Calls counts frames sent: calls made, or answers given.
+// MethodTraffic counts the traffic of one net/rpc method at a client or a server.
+type MethodTraffic struct {
+	// Calls counts frames sent: requests of a client, replies of a server.
 	Calls int64 `json:"calls"`
-	// Sent and Received are the bytes of frames, both ways.
+	// Sent and Received count the bytes of frames in each direction.
 	Sent     int64 `json:"sent_bytes"`
 	Received int64 `json:"received_bytes"`
-	// TookMS is how long calls made took until they were answered, in milliseconds,
-	// all together. It grows when a link is too slow for what is told over it.
+	// TookMS is the total time from request to reply in milliseconds, over the answered calls
+	// of a client. It grows when a link is too slow for its traffic.
 	TookMS int64 `json:"took_ms"`
 }
 
-// Traffic counts what daemons tell each other, by kind of call.
+// Traffic counts calls between daemons and their bytes, per net/rpc method.
 //
-// Lock order: mu is taken alone.
+// Lock order: mu is never held together with another lock.
 type Traffic struct {
-	mu    sync.Mutex
-	kinds map[string]*KindTraffic
+	mu      sync.Mutex
+	methods map[string]*MethodTraffic
 }
 
 // NewTraffic returns counters at zero.
-func NewTraffic() *Traffic { return &Traffic{kinds: map[string]*KindTraffic{}} }
+func NewTraffic() *Traffic { return &Traffic{methods: map[string]*MethodTraffic{}} }
 
-// Kinds returns the counters by kind of call, "Service.Method".
-func (t *Traffic) Kinds() map[string]KindTraffic {
+// ByMethod returns a copy of the counters, keyed by "Service.Method".
+func (t *Traffic) ByMethod() map[string]MethodTraffic {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := make(map[string]KindTraffic, len(t.kinds))
-	for kind, k := range t.kinds {
-		out[kind] = *k
+	out := make(map[string]MethodTraffic, len(t.methods))
+	for method, m := range t.methods {
+		out[method] = *m
 	}
 	return out
 }
 
 // MarshalJSON implements json.Marshaler.
-func (t *Traffic) MarshalJSON() ([]byte, error) { return json.Marshal(t.Kinds()) }
+func (t *Traffic) MarshalJSON() ([]byte, error) { return json.Marshal(t.ByMethod()) }
 
-func (t *Traffic) sent(kind string, bytes int64) {
-	t.count(kind, func(k *KindTraffic) {
-		k.Calls++
-		k.Sent += bytes
+func (t *Traffic) addSent(method string, bytes int64) {
+	t.update(method, func(m *MethodTraffic) {
+		m.Calls++
+		m.Sent += bytes
 	})
 }
 
-func (t *Traffic) answered(kind string, took time.Duration) {
-	t.count(kind, func(k *KindTraffic) { k.TookMS += took.Milliseconds() })
+func (t *Traffic) addLatency(method string, took time.Duration) {
+	t.update(method, func(m *MethodTraffic) { m.TookMS += took.Milliseconds() })
 }
 
-func (t *Traffic) received(kind string, bytes int64) {
-	t.count(kind, func(k *KindTraffic) { k.Received += bytes })
+func (t *Traffic) addReceived(method string, bytes int64) {
+	t.update(method, func(m *MethodTraffic) { m.Received += bytes })
 }
 
-func (t *Traffic) count(kind string, f func(*KindTraffic)) {
+// update applies f to the counters of a method while mu is held.
+func (t *Traffic) update(method string, f func(*MethodTraffic)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	k := t.kinds[kind]
-	if k == nil {
-		k = &KindTraffic{}
-		t.kinds[kind] = k
+	m := t.methods[method]
+	if m == nil {
+		m = &MethodTraffic{}
+		t.methods[method] = m
 	}
-	f(k)
+	f(m)
 }
--- a/internal/peer/wire.go
+++ b/internal/peer/wire.go
@@ -1,4 +1,6 @@
-// Package peer is the boundary to the other daemons: net/rpc over TCP.
+// Package peer implements the calls between daemons with net/rpc over TCP. It has two
+// services: Peer, between the daemons of package daemon, and Routes, between those of package
+// entry, which serve plain HTTP callers.
 package peer
 
 import (
@@ -13,48 +15,51 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/session"
 )
 
-// serviceName is the name of the net/rpc service.
+// serviceName is the name of the net/rpc service between the daemons of package daemon.
 const serviceName = "Peer"
 
-// Heartbeat is sent both ways: as the call and as its answer.
+// Heartbeat is used both as the request and as the reply of a heartbeat.
 type Heartbeat struct {
 	From member.Daemon
-	// News are daemons that came, went or changed.
+	// News are recent membership changes.
 	News []member.Daemon
-	// Digest is equal at daemons that know the same daemons.
+	// Digest is a digest of the membership table; daemons with the same table have the same
+	// value.
 	Digest uint64
-	// Generation is the configuration in force, and ConfirmedMS how many
-	// milliseconds ago it was known to be the newest; negative is never.
+	// Generation is the generation of the active configuration. ConfirmedMS is the time in
+	// milliseconds since it was last known to be the newest; negative if it never was.
 	Generation  int64
 	ConfirmedMS int64
-	// Leaving lists upstreams known to leave.
+	// Leaving are the ids of upstreams that are known to be leaving.
 	Leaving []string
-	// Stopped lists versions whose exposure was stopped.
+	// Stopped are versions in a roll-out that get no new sessions any more.
 	Stopped []config.VersionRef
-	// RatingSeq is the last rating counted.
+	// RatingSeq is the sequence number of the last rating that the sender has counted.
 	RatingSeq int64
 }
 
-// ConfigRequest asks for what the asker lacks.
+// ConfigRequest asks for the configuration of Site that is newer than Known.
 type ConfigRequest struct {
 	Site  string
 	Known config.Head
 }
 
-// HoldRequest hands over copies of bills.
+// HoldRequest sends copies of bills of the daemon Owner. After is the last batch in the
+// owner's ledger log when the copies were made; the bills can only be in later batches.
 type HoldRequest struct {
 	Owner string
 	After int64
 	Bills []ledger.Bill
 }
 
-// ReleaseRequest says that copies are not needed any more.
+// ReleaseRequest names copies of bills, by request id, that are no longer needed.
 type ReleaseRequest struct {
 	Owner string
 	IDs   []string
 }
 
-// TakeRequest asks for an idempotency key.
+// TakeRequest asks for the ownership of an idempotency key on behalf of the daemon Asker.
+// Digest is that of the request sent with the key.
 type TakeRequest struct {
 	Key    claim.Key
 	Home   claim.Home
@@ -62,50 +67,53 @@
 	Asker  string
 }
 
-// AnswerRequest asks for a part of an answer.
+// AnswerRequest asks for the events of a stored answer that follow the event offset After; -1
+// asks for all. HaveHead is set if the sender already has the head.
 type AnswerRequest struct {
 	RequestID string
 	After     int
 	HaveHead  bool
-	// WaitMS is how long to wait for something new, in milliseconds.
+	// WaitMS is how long to wait for new events, in milliseconds.
 	WaitMS int64
 }
 
-// AnswerReply is a part of an answer. Found is false when the daemon does not
-// have it; an empty View means that nothing came in time.
+// AnswerReply is a part of a stored answer. Found is false if the daemon does not have it; a
+// View without events means that none arrived within WaitMS.
 type AnswerReply struct {
 	Found bool
 	View  answer.View
 }
 
-// CreditRequest asks the duty holder of a roll-out for credits.
+// CreditRequest asks the daemon that holds the lease of a roll-out for Want exposure credits.
 type CreditRequest struct {
 	Version config.VersionRef
 	Want    int
-	// Lapsed credits are given back.
+	// Lapsed is the number of expired credits that the sender returns.
 	Lapsed int
 }
 
-// DemandRequest reports demand to the daemon that allots shares.
+// DemandRequest reports demand to the daemon that divides the limits of organisations among
+// all daemons.
 type DemandRequest struct {
 	From    string
 	Demands []limit.Demand
-	// Leaving gives all shares back.
+	// Leaving is set when the sender stops; it returns all its shares.
 	Leaving bool
 }
 
-// HandoverRequest passes on what a stopping daemon remembers.
+// HandoverRequest sends the idempotency keys and answers of a stopping daemon to its
+// successor. Homes are the incarnations whose keys the successor then answers for.
 type HandoverRequest struct {
 	Homes   []string
 	Entries []claim.Handover
 	Answers []answer.View
 }
 
-// Empty is an empty argument or answer. The field is there because gob does
-// not encode types without any.
+// Empty is an empty request or reply. gob cannot encode a struct without fields, so it has an
+// unused one.
 type Empty struct{ Unused bool }
 
-// Handler is what a daemon does for its peers.
+// Handler handles the calls of the Peer service.
 type Handler interface {
 	OnHeartbeat(h Heartbeat) Heartbeat
 	OnConfig(r ConfigRequest) config.Delta
--- a/internal/peer/work.go
+++ b/internal/peer/work.go
@@ -6,80 +6,81 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/inventory"
 )
 
-// GroupWork is what a reader tells the daemons of its group of the work at upstream
-// instances.
+// FleetWork is the outstanding work of all daemons at upstream instances. A daemon that reads
+// the store sends it to the daemons of its group.
 type GroupWork struct {
-	// Amounts are what all daemons have under way, packed.
+	// Amounts is the work per instance, encoded by PackWork.
 	Amounts []byte
-	// Readings are beginnings of prompts that daemons sent since the last time, packed.
+	// Readings are the prompt prefixes that daemons sent to instances since the last message,
+	// encoded by PackReadings.
 	Readings []byte
 }
 
-// OwnWork is the answer: what one daemon has under way, and sent.
+// DaemonWork is the reply to FleetWork: the outstanding work of one daemon, and the prompt
+// prefixes that it sent to instances.
 type OwnWork struct {
 	Incarnation string
 	Amounts     []byte
 	Readings    []byte
 }
 
-// DomainWork is what the daemons of a failure domain have under way, and sent since
-// the last time.
+// DomainWork is the outstanding work of all daemons of a failure domain, and the prompt
+// prefixes that they sent to instances since the last message.
 type DomainWork struct {
 	Domain   string
 	Amounts  []byte
 	Readings []byte
 }
 
-// Work and readings are packed, since they are what daemons tell each other most of:
-// gob took 25 bytes for an amount and 35 for a reading, 6 and 8 suffice. On links of 10
-// Mbit/s that is the difference between callers who wait for news to pass and those who
-// do not.
+// Work and readings have a compact encoding, because they make up most of the traffic between
+// daemons: an amount takes about 6 bytes instead of 25 with gob, a reading 8 instead of 35. On
+// links of 10 Mbit/s the gob encoding delays the responses to callers.
 
-// workUnit is the precision of packed work, in prompt tokens: a hundredth of a
-// long prompt.
-const workUnit = 50
+// workResolution is the resolution of encoded work in prompt tokens: a hundredth of a long
+// prompt.
+const workResolution = 50
 
-// PackWork returns the packed form of w.
+// PackWork returns the encoding of w. Negative values are encoded as 0.
 func PackWork(w inventory.Work) []byte {
 	var out []byte
 	for instance, a := range w {
 		out = binary.BigEndian.AppendUint32(out, uint32(instance))
-		out = binary.AppendUvarint(out, uint64(max(a.Waiting, 0)/workUnit))
+		out = binary.AppendUvarint(out, uint64(max(a.Waiting, 0)/workResolution))
 		out = binary.AppendUvarint(out, uint64(max(a.Open, 0)))
 	}
 	return out
 }
 
-// UnpackWork returns work from its packed form. Of a form that breaks off, what came
-// before that counts.
+// UnpackWork decodes the output of PackWork. If the input is truncated, it returns the
+// complete records before the cut.
 func UnpackWork(packed []byte) inventory.Work {
 	out := inventory.Work{}
-	for len(packed) > numberBytes {
+	for len(packed) > instanceBytes {
 		instance := inventory.Number(binary.BigEndian.Uint32(packed))
-		waiting, n := binary.Uvarint(packed[numberBytes:])
+		waiting, n := binary.Uvarint(packed[instanceBytes:])
 		if n <= 0 {
 			break
 		}
-		open, m := binary.Uvarint(packed[numberBytes+n:])
+		open, m := binary.Uvarint(packed[instanceBytes+n:])
 		if m <= 0 {
 			break
 		}
-		out[instance] = inventory.Amount{Waiting: float64(waiting) * workUnit, Open: int(open)}
-		packed = packed[numberBytes+n+m:]
+		out[instance] = inventory.Amount{Waiting: float64(waiting) * workResolution, Open: int(open)}
+		packed = packed[instanceBytes+n+m:]
 	}
 	return out
 }
 
 const (
-	// numberBytes is the length of a packed inventory.Number, keyBytes that of an
+	// instanceBytes is the encoded length of an inventory.Number, keyBytes that of an
 	// inventory.PromptKey.
-	numberBytes = 4
-	keyBytes    = 4
-	// ReadingBytes is the length of a packed reading.
-	ReadingBytes = keyBytes + numberBytes
+	instanceBytes = 4
+	keyBytes      = 4
+	// ReadingBytes is the encoded length of an inventory.Reading.
+	ReadingBytes = keyBytes + instanceBytes
 )
 
-// PackReadings returns the packed form of readings.
+// PackReadings returns the encoding of readings.
 func PackReadings(all []inventory.Reading) []byte {
 	out := make([]byte, 0, ReadingBytes*len(all))
 	for _, r := range all {
@@ -89,7 +90,7 @@
 	return out
 }
 
-// UnpackReadings returns readings from their packed form.
+// UnpackReadings decodes the output of PackReadings. It ignores an incomplete last record.
 func UnpackReadings(packed []byte) []inventory.Reading {
 	var out []inventory.Reading
 	for ; len(packed) >= ReadingBytes; packed = packed[ReadingBytes:] {
--- a/internal/peer/work_test.go
+++ b/internal/peer/work_test.go
@@ -9,7 +9,9 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/inventory"
 )
 
-func TestWorkIsPacked(t *testing.T) {
+// Work must survive encoding, in fewer than 8 bytes per instance. Negative values become 0,
+// and truncated input yields no record that was not complete.
+func TestPackWorkRoundTrip(t *testing.T) {
 	w := inventory.Work{1: {Waiting: 1500, Open: 3}, math.MaxUint32: {Waiting: 400_000, Open: 0}}
 	packed := PackWork(w)
 	require.Equal(t, w, UnpackWork(packed))
@@ -20,7 +22,8 @@
 	}
 }
 
-func TestReadingsArePacked(t *testing.T) {
+// Readings must survive encoding, and an incomplete last record is ignored.
+func TestPackReadingsRoundTrip(t *testing.T) {
 	all := []inventory.Reading{{Key: 1, Instance: 2}, {Key: math.MaxUint32, Instance: math.MaxUint32}}
 	packed := PackReadings(all)
 	require.Equal(t, all, UnpackReadings(packed))
