--- a/internal/dial/dial.go
+++ b/internal/dial/dial.go
@@ -14,14 +14,13 @@
 
 const (
 	// Keep-alive probes close an idle connection 400 + 3*300 ms after the peer became
-	// unresponsive. That is less than half of the two seconds after which callers abandon a
-	// stalled stream, and less than the time in which an accepted configuration must be
-	// active.
+	// unresponsive. That is less than the two seconds after which callers abandon a stalled
+	// stream, and less than the time in which an accepted configuration must be active.
 	probeIdle     = 400 * time.Millisecond
 	probeInterval = 300 * time.Millisecond
 	probeCount    = 3
-	// unackedTimeout closes a connection on which sent data stays unacknowledged for so long;
-	// probes are not sent then.
+	// unackedTimeout closes a connection on which sent data has not been acknowledged for this
+	// time. Probes do not cover this case: they are sent on idle connections only.
 	unackedTimeout = 1200 * time.Millisecond
 )
 
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -142,15 +142,15 @@
 	defer r.mu.Unlock()
 	changed := false
 	for _, d := range updates {
-		changed = r.learn(d) || changed
+		changed = r.merge(d) || changed
 	}
 	if changed {
 		r.refresh()
 	}
 }
 
-// learn merges one update and reports whether the table changed.
-func (r *Registry) learn(d Daemon) bool {
+// merge merges one update and reports whether the table changed.
+func (r *Registry) merge(d Daemon) bool {
 	if d.Incarnation == "" {
 		return false
 	}
@@ -230,7 +230,7 @@
 	}
 	d := rec.daemon
 	d.State = Suspect
-	if r.learn(d) {
+	if r.merge(d) {
 		r.refresh()
 	}
 }
@@ -316,7 +316,8 @@
 
 // TopRanked returns the first n live daemons that keep accepts, in rendezvous order for name.
 // All daemons with the same table get the same order, and a daemon that comes or goes does not
-// change the order of the others.
+// change the order of the others. keep is called with the registry locked and must not call
+// its methods.
 func (r *Registry) Firsts(name string, n int, keep func(Daemon) bool) []Daemon {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -328,7 +329,8 @@
 }
 
 // HeartbeatTargets returns the daemons to send the next heartbeat to: the next ones on the
-// ring, ordered by incarnation, whose failure this daemon detects, and some drawn at random.
+// ring of daemons sorted by incarnation, whose failure this daemon detects, and some drawn at
+// random. In a small installation these are all other daemons.
 func (r *Registry) Targets() []Daemon {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -395,8 +397,8 @@
 	now := r.clock.Now()
 	changed := false
 	for id, rec := range r.records {
-		expired := rec.daemon.State == Left || rec.daemon.State == Suspect
-		if expired && now.Sub(rec.learnedAt) > r.options.ForgetAfter {
+		inactive := rec.daemon.State == Left || rec.daemon.State == Suspect
+		if inactive && now.Sub(rec.learnedAt) > r.options.ForgetAfter {
 			delete(r.records, id)
 			changed = true
 		}
--- a/internal/member/upstreams.go
+++ b/internal/member/upstreams.go
@@ -55,7 +55,8 @@
 
 // Upstreams is the table of upstreams.
 //
-// Lock order: mu is never held together with another lock.
+// Lock order: policy is called while mu is held. It may take a lock of its own, but must not
+// call methods of Upstreams.
 type Upstreams struct {
 	clock  clockwork.Clock
 	policy func() config.UpstreamPolicy
--- a/internal/peer/codec_test.go
+++ b/internal/peer/codec_test.go
@@ -52,7 +52,7 @@
 
 // Guards against calls that hang because the peer accepts a connection and does not read from
 // it, as behind a cut link. A large frame fills the socket buffers; without a write deadline
-// the call blocked the heartbeat round, and the other daemons then suspected this one too.
+// the call then blocks the heartbeat round, and the other daemons suspect this one too.
 func TestCallTimesOutWhenPeerDoesNotRead(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/peer/routes.go
+++ b/internal/peer/routes.go
@@ -31,7 +31,7 @@
 	Shifts int64
 	// Quarantine is a digest of the quarantined requests; 0 if there are none.
 	Quarantine uint64
-	// Evacuated is a digest of the evacuation orders; 0 if they are not known.
+	// Evacuated is a digest of the evacuations in force; 0 if they are not known.
 	Evacuated uint64
 	// Left are upstream instances that were found to be leaving within the last seconds.
 	Left []inventory.Life
@@ -65,10 +65,10 @@
 // SyncReply is the requested part of what a daemon knows about the installation. A daemon that
 // starts while the platform's store is unreachable takes its initial state from it.
 type Beliefs struct {
-	// Manifest is the encoded configuration; empty if it is not newer than the sender's.
+	// Manifest is the encoded configuration; empty if it is not newer than SyncRequest.Config.
 	Manifest []byte
-	// Instances is the list of upstream instances; nil if it was not requested or is not
-	// newer.
+	// Instances is the list of upstream instances; nil if it was not requested or is not newer
+	// than SyncRequest.List.
 	Instances *inventory.Snapshot
 	// Doubted is how long the receiver keeps instances that it knows and the list lacks.
 	Doubted time.Duration
@@ -88,7 +88,8 @@
 // not.
 type News struct {
 	From string
-	// Manifest is the encoded configuration; empty if it has not changed.
+	// Manifest is the encoded configuration; empty if it has not changed or is too large to be
+	// passed on.
 	Manifest []byte
 	Orders   []shift.Order
 	// OperatorRead is the revision up to which the sender has read the operator's rows,
@@ -103,7 +104,7 @@
 	OperatorBase  int64
 	OperatorWhole bool
 	// Evacuations are all evacuation orders; empty if they have not changed. Evacuated is a
-	// digest of the orders known to the sender.
+	// digest of the evacuations in force that the sender knows.
 	Evacuations []evacuation.Order
 	Evacuated   uint64
 	// Whole is the full list of upstream instances, set after the sender has read it in full.
