--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -16,38 +16,37 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/upstream"
 )
 
-// Check is a condition of a write.
+// Check is a precondition of a write.
 type Check = backing.Check
 
-// creditsKey is the key of the row that counts the credits of a roll-out. It is
-// apart from the roll-out's own row, which comes into force everywhere with
-// each write.
+// creditsKey is the key prefix of the row that counts the credits of a roll-out. It is not the
+// roll-out's own row, because every write of that row is distributed to all daemons.
 const creditsKey = "rollout/credits/"
 
-// creditsRow counts credits granted or set aside.
+// creditsRow counts the credits that were granted or reserved for grants.
 type creditsRow struct {
 	Reserved int `json:"reserved"`
 }
 
-// reserveChunk is how many credits are set aside at once, at most, so that not
-// every grant needs a write.
+// reserveChunk is the largest number of credits reserved ahead, so that not every grant needs
+// a write.
 const reserveChunk = 16
 
 // Engine is an engine that can be ordered to load a version.
 type Engine struct {
 	ID      string
 	Address string
-	// Serves has the versions that the engine reports, loading ones included.
+	// Serves holds the versions that the engine reports, including those being loaded.
 	Serves map[config.VersionRef]bool
 }
 
-// Orderer sends orders to engines.
+// Orderer sends orders to engines and reads their load.
 type Orderer interface {
 	Order(ctx context.Context, address string, o upstream.Order) error
 	Load(ctx context.Context, address string) (upstream.LoadReport, error)
 }
 
-// Lease is the right to act on one roll-out.
+// Lease is the exclusive right to act on one roll-out.
 type Lease interface {
 	Renew(ctx context.Context) (bool, error)
 	Held() bool
@@ -56,7 +55,7 @@
 	Release(ctx context.Context) error
 }
 
-// Deps is what a Controller works with.
+// Deps are the dependencies of a Controller.
 type Deps struct {
 	Writer   Writer
 	Orders   Orderer
@@ -64,50 +63,50 @@
 	Snapshot func() *config.Snapshot
 	// Evidence returns the ratings of a version.
 	Evidence func(*config.Snapshot, config.VersionRef) []Evidence
-	// Engines returns the engines in sight.
+	// Engines returns the engines known to this daemon.
 	Engines func() []Engine
-	// NewLease returns the lease of a roll-out.
+	// NewLease returns the lease with the given name.
 	NewLease func(name string) Lease
-	// Duty reports whether this daemon is the one to try for a lease.
+	// Eligible reports whether this daemon should try to acquire the lease with the given
+	// name.
 	Duty func(name string) bool
-	// Table holds the counts of credits.
+	// Table stores the credit rows.
 	Table backing.Table
 }
 
-// duty is the work on one roll-out that this daemon holds the lease of.
-type duty struct {
-	lease Lease
-	bank  *Bank
-	// reserved is the count in the credits row, at creditsRevision, and spare
-	// how many of them are not granted yet.
+// leasedRollout is a roll-out of which this daemon holds the lease, or tries to acquire it.
+type leasedRollout struct {
+	lease   Lease
+	account *CreditAccount
+	// reserved is the count in the credits row, creditsRevision the row's revision, and
+	// ungranted how many of the reserved credits are not granted yet.
 	reserved        int
 	creditsRevision int64
-	spare           int
-	// tookOver is when the lease was taken.
+	ungranted       int
+	// tookOver is when the lease was acquired.
 	tookOver time.Time
 }
 
-// Controller does this daemon's share of the roll-outs.
+// Controller runs the roll-outs whose leases this daemon holds.
 //
-// Lock order: mu is held for a whole step or grant; no other lock is held
-// when it is taken.
+// Lock order: mu is held for a whole step or grant; no other lock is held when it is taken.
 type Controller struct {
 	deps Deps
 
 	mu     sync.Mutex
-	duties map[config.VersionRef]*duty
+	leased map[config.VersionRef]*leasedRollout
 }
 
-// NewController returns a controller without duties.
+// NewController returns a controller without leases.
 func NewController(deps Deps) *Controller {
-	return &Controller{deps: deps, duties: map[config.VersionRef]*duty{}}
+	return &Controller{deps: deps, leased: map[config.VersionRef]*leasedRollout{}}
 }
 
-// LeaseName returns the name of the lease on a roll-out.
+// LeaseName returns the name of the lease of a roll-out.
 func LeaseName(ref config.VersionRef) string { return "rollout/" + ref.String() }
 
-// Step does what is due for each roll-out under way and reports whether this
-// daemon holds the duty of any.
+// Step advances each roll-out in progress whose lease this daemon holds. It reports whether
+// there is any.
 func (c *Controller) Step(ctx context.Context) bool {
 	snapshot := c.deps.Snapshot()
 	if snapshot == nil {
@@ -134,76 +133,78 @@
 	return holding
 }
 
+// drop releases the lease of a roll-out, if this daemon has one.
 func (c *Controller) drop(ctx context.Context, ref config.VersionRef) {
-	if d, ok := c.duties[ref]; ok {
+	if d, ok := c.leased[ref]; ok {
 		_ = d.lease.Release(ctx)
-		delete(c.duties, ref)
+		delete(c.leased, ref)
 	}
 }
 
-// acquire returns the duty when this daemon holds its lease.
-func (c *Controller) acquire(ctx context.Context, ref config.VersionRef, snapshot *config.Snapshot) (*duty, bool) {
-	d, ok := c.duties[ref]
+// acquire renews or acquires the lease of a roll-out. It returns false if this daemon does not
+// hold the lease afterwards.
+func (c *Controller) acquire(ctx context.Context, ref config.VersionRef, snapshot *config.Snapshot) (*leasedRollout, bool) {
+	d, ok := c.leased[ref]
 	if !c.deps.Duty(LeaseName(ref)) {
 		c.drop(ctx, ref)
 		return nil, false
 	}
 	if !ok {
-		d = &duty{lease: c.deps.NewLease(LeaseName(ref))}
-		c.duties[ref] = d
+		d = &leasedRollout{lease: c.deps.NewLease(LeaseName(ref))}
+		c.leased[ref] = d
 	}
 	fence := d.lease.Fence()
 	held, err := d.lease.Renew(ctx)
 	if err != nil || !held {
 		return nil, false
 	}
-	if d.bank == nil || d.lease.Fence() != fence {
+	if d.account == nil || d.lease.Fence() != fence {
 		if err := c.takeOver(ctx, d, snapshot, ref); err != nil {
-			d.bank = nil
+			d.account = nil
 			return nil, false
 		}
 	}
 	return d, true
 }
 
-// takeOver starts the account of credits from the row: all that is reserved and
-// not rated may be in use.
-func (c *Controller) takeOver(ctx context.Context, d *duty, snapshot *config.Snapshot, ref config.VersionRef) error {
+// takeOver opens the credit account from the stored row: all credits that are reserved and not
+// rated may be in use.
+func (c *Controller) takeOver(ctx context.Context, d *leasedRollout, snapshot *config.Snapshot, ref config.VersionRef) error {
 	var row creditsRow
 	revision, err := backing.GetJSON(ctx, c.deps.Table, creditsKey+ref.String(), &row)
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	now := c.deps.Clock.Now()
-	good, bad := Counts(c.deps.Evidence(snapshot, ref))
-	d.bank = NewBank(snapshot.Doc.Rollouts, row.Reserved, good+bad, now)
-	d.reserved, d.creditsRevision, d.spare = row.Reserved, revision, 0
+	good, bad := SumRatings(c.deps.Evidence(snapshot, ref))
+	d.account = NewBank(snapshot.Doc.Rollouts, row.Reserved, good+bad, now)
+	d.reserved, d.creditsRevision, d.ungranted = row.Reserved, revision, 0
 	d.tookOver = now
 	slog.Info("rollout.duty_taken", "version", ref, "fence", d.lease.Fence(), "reserved", row.Reserved)
 	return nil
 }
 
-// reserve sets credits aside in the row before they are granted, so that a
-// successor knows of all that may be in use.
-func (c *Controller) reserve(ctx context.Context, ref config.VersionRef, d *duty, n int) error {
+// reserve reserves n credits in the row before they are granted, so that the next lease holder
+// knows of all credits that may be in use.
+func (c *Controller) reserve(ctx context.Context, ref config.VersionRef, d *leasedRollout, n int) error {
 	key := creditsKey + ref.String()
 	revision, err := c.deps.Table.Commit(ctx, backing.Txn{
 		Checks: []backing.Check{d.lease.Check(), {Key: key, Revision: d.creditsRevision}},
 		Puts:   []backing.Put{backing.PutJSON(key, creditsRow{Reserved: d.reserved + n})},
 	})
 	if err != nil {
-		// Whether it was written is read anew with the next step.
-		d.bank = nil
+		// The write may have taken effect. The next step reads the row again.
+		d.account = nil
 		return trace.Wrap(err)
 	}
 	d.reserved += n
-	d.spare += n
+	d.ungranted += n
 	d.creditsRevision = revision
 	return nil
 }
 
-// advance acts on the evidence and has engines load the version.
-func (c *Controller) advance(ctx context.Context, snapshot *config.Snapshot, r config.Rollout, d *duty) error {
+// advance acts on the evidence and orders engines to load the version.
+func (c *Controller) advance(ctx context.Context, snapshot *config.Snapshot, r config.Rollout, d *leasedRollout) error {
 	evidence := c.deps.Evidence(snapshot, r.VersionRef)
 	test := NewTest(snapshot.Doc.Rollouts)
 	switch test.Verdict(evidence) {
@@ -211,17 +212,17 @@
 		return c.withdraw(ctx, r, evidence, d)
 	case Good:
 		if r.Share < 1 || r.State != config.Serving {
-			if err := c.finish(ctx, snapshot, r, evidence, d); err != nil {
+			if err := c.complete(ctx, snapshot, r, evidence, d); err != nil {
 				return err
 			}
 		}
-		return c.order(ctx, r, 1, d)
+		return c.orderLoads(ctx, r, 1, d)
 	}
 	policy := snapshot.Doc.Rollouts.WithDefaults()
 	stage := max(test.Stage(evidence), r.Stage)
 	share := policy.Stages[stage]
 	if stage == len(policy.Stages)-1 {
-		// Full share is for a version that has passed the test.
+		// Full share requires the verdict Good.
 		stage, share = stage-1, policy.Stages[max(stage-1, 0)]
 	}
 	if stage > r.Stage {
@@ -229,12 +230,12 @@
 			return err
 		}
 	}
-	return c.order(ctx, r, share, d)
+	return c.orderLoads(ctx, r, share, d)
 }
 
-// write changes the row under the lease.
-func (c *Controller) write(ctx context.Context, r config.Rollout, evidence []Evidence, d *duty, change func(*config.Rollout)) error {
-	good, bad := Counts(evidence)
+// write updates the roll-out's row, on the condition that the lease is still held.
+func (c *Controller) write(ctx context.Context, r config.Rollout, evidence []Evidence, d *leasedRollout, change func(*config.Rollout)) error {
+	good, bad := SumRatings(evidence)
 	generation, err := c.deps.Writer.WriteRollouts(ctx, []config.VersionRef{r.VersionRef}, []Check{d.lease.Check()},
 		func(now map[config.VersionRef]config.Rollout) ([]config.Rollout, error) {
 			next, found := now[r.VersionRef]
@@ -251,19 +252,20 @@
 	return trace.Wrap(err)
 }
 
-var errNotRollingOut = errors.New("the version is not rolling out any more")
+var errNotRollingOut = errors.New("the version is no longer rolling out")
 
-func (c *Controller) withdraw(ctx context.Context, r config.Rollout, evidence []Evidence, d *duty) error {
+// withdraw marks the version as withdrawn because of its ratings.
+func (c *Controller) withdraw(ctx context.Context, r config.Rollout, evidence []Evidence, d *leasedRollout) error {
 	return c.write(ctx, r, evidence, d, func(n *config.Rollout) {
 		n.State, n.Share, n.Reason = config.Withdrawn, 0, "ratings below the target"
 	})
 }
 
-// finish gives the version its full share and lets the one before drain, in
-// one generation.
-func (c *Controller) finish(ctx context.Context, snapshot *config.Snapshot, r config.Rollout, evidence []Evidence, d *duty) error {
+// complete gives the version full share and lets the version that it replaces drain, in one
+// generation of the configuration.
+func (c *Controller) complete(ctx context.Context, snapshot *config.Snapshot, r config.Rollout, evidence []Evidence, d *leasedRollout) error {
 	from := config.VersionRef{Model: r.Model, Version: r.From}
-	good, bad := Counts(evidence)
+	good, bad := SumRatings(evidence)
 	last := len(snapshot.Doc.Rollouts.WithDefaults().Stages) - 1
 	refs := []config.VersionRef{r.VersionRef}
 	if r.From != "" {
@@ -289,17 +291,16 @@
 	return trace.Wrap(err)
 }
 
-// orderSettle is the longest time an order can be on its way.
-const orderSettle = 2 * time.Second
+// maxOrderDelay is the longest time that an order can take to arrive.
+const maxOrderDelay = 2 * time.Second
 
-// order has as many engines load the version as its share asks for.
+// orderLoads orders as many engines to load the version as its share requires.
 //
-// Engines that ignore fencing numbers obey whoever asks. So the lease is
-// looked at before each order, with the margin that Held keeps, and after a
-// take-over the new holder lets the orders of the old one run out before it
-// sends its own.
-func (c *Controller) order(ctx context.Context, r config.Rollout, share float64, d *duty) error {
-	if c.deps.Clock.Since(d.tookOver) < orderSettle {
+// Engines that ignore fencing numbers obey any daemon. The lease is therefore checked before
+// each order, with the margin that Held keeps, and after a takeover the new lease holder waits
+// until the orders of the old one have arrived before it sends its own.
+func (c *Controller) orderLoads(ctx context.Context, r config.Rollout, share float64, d *leasedRollout) error {
+	if c.deps.Clock.Since(d.tookOver) < maxOrderDelay {
 		return nil
 	}
 	have, candidates := c.candidates(r)
@@ -309,7 +310,7 @@
 			return nil
 		}
 		if !d.lease.Held() {
-			return trace.CompareFailed("lease lapsed before an order")
+			return trace.CompareFailed("the lease expired before an order was sent")
 		}
 		o := upstream.Order{Fence: d.lease.Fence(), Action: upstream.OrderLoad, Model: r.Model, Version: r.Version}
 		err := c.deps.Orders.Order(ctx, engine.Address, o)
@@ -319,7 +320,7 @@
 			have++
 			slog.Info("rollout.ordered", "version", r.VersionRef, "upstream", engine.ID, "fence", o.Fence)
 		case errors.As(err, &refused) && refused.Reason == upstream.RefusedBusy:
-			// The weight store is at its rate; the next step goes on.
+			// The weight store is at its rate limit; the next step continues.
 			return nil
 		default:
 			slog.Warn("rollout.order_failed", "version", r.VersionRef, "upstream", engine.ID, "error", err)
@@ -328,8 +329,8 @@
 	return nil
 }
 
-// candidates returns how many engines have the version and which others could
-// load it: those that serve the version it replaces, or any of its model.
+// candidates returns how many engines have the version, and the others that could load it:
+// those that serve the version it replaces, or any version of its model if it replaces none.
 func (c *Controller) candidates(r config.Rollout) (have int, out []Engine) {
 	for _, engine := range c.deps.Engines() {
 		if engine.Serves[r.VersionRef] {
@@ -346,14 +347,14 @@
 	return have, out
 }
 
-// Grant hands out credits for a version, if this daemon holds its duty, and
-// takes lapsed ones back.
-func (c *Controller) Grant(ctx context.Context, ref config.VersionRef, want, lapsed int) (int, error) {
+// Grant takes back expired credits for a version and grants up to want new ones. It returns a
+// NotFound error if this daemon does not hold the version's lease.
+func (c *Controller) Grant(ctx context.Context, ref config.VersionRef, want, expired int) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	d, ok := c.duties[ref]
-	if !ok || d.bank == nil || !d.lease.Held() {
-		return 0, trace.NotFound("the duty for %v is not held here", ref)
+	d, ok := c.leased[ref]
+	if !ok || d.account == nil || !d.lease.Held() {
+		return 0, trace.NotFound("this daemon does not hold the lease of the roll-out of %v", ref)
 	}
 	snapshot := c.deps.Snapshot()
 	if snapshot.Rollouts[ref].State != config.RollingOut {
@@ -364,28 +365,28 @@
 		return 0, nil
 	}
 	now := c.deps.Clock.Now()
-	good, bad := Counts(evidence)
-	d.bank.Return(lapsed)
-	available := d.bank.Available(good, bad, now)
+	good, bad := SumRatings(evidence)
+	d.account.Return(expired)
+	available := d.account.Available(good, bad, now)
 	n := min(want, available)
-	if n > d.spare {
-		// What is set aside beyond the need is lost for a rating horizon when
-		// this daemon dies, so it stays a small part.
+	if n > d.ungranted {
+		// Credits reserved ahead are lost for a rating horizon if this daemon dies, so they
+		// stay a small part of those available.
 		ahead := min((available-n)/4, reserveChunk)
-		if err := c.reserve(ctx, ref, d, n-d.spare+ahead); err != nil {
+		if err := c.reserve(ctx, ref, d, n-d.ungranted+ahead); err != nil {
 			return 0, err
 		}
 	}
-	d.spare -= n
-	d.bank.Grant(n, now)
+	d.ungranted -= n
+	d.account.Grant(n, now)
 	return n, nil
 }
 
-// ReleaseAll gives up every duty, before a planned stop.
+// ReleaseAll releases all leases, before a planned stop.
 func (c *Controller) ReleaseAll(ctx context.Context) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for ref := range c.duties {
+	for ref := range c.leased {
 		c.drop(ctx, ref)
 	}
 }
--- a/internal/rollout/credit.go
+++ b/internal/rollout/credit.go
@@ -9,80 +9,81 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/config"
 )
 
-// CreditTTL is how long a daemon may use a granted credit.
+// CreditTTL is how long a daemon may use its credits for a version, counted from its latest
+// request that brought new ones.
 const CreditTTL = 10 * time.Second
 
-// grant is a number of credits given at a time.
+// grant is a number of credits granted at the same time.
 type grant struct {
 	at time.Time
 	n  int
 }
 
-// Bank is the duty holder's account of the exposure of one version: answers
-// that were allowed and not rated yet stay under a budget that grows with
-// good ratings. Only a part of all answers is ever rated; those past the
-// policy's rating horizon no longer count, or they would use up the budget for
-// good. It is not safe for concurrent use.
-type Bank struct {
+// CreditAccount bounds the exposure of one version at its lease holder. It keeps the answers
+// that were allowed and are not rated yet under a budget that grows with good ratings. Only
+// part of all answers is ever rated, so answers older than the policy's rating horizon no
+// longer count; otherwise they would use up the budget permanently. It is not safe for
+// concurrent use.
+type CreditAccount struct {
 	policy config.RolloutPolicy
 	grants []grant
-	// rated is how many ratings have been set off against grants.
+	// rated is the number of ratings already offset against grants.
 	rated int64
 }
 
-// NewBank returns the account of a holder that takes over at now, when
-// reserved credits had been set aside in the row and rated answers counted.
-// All that is reserved and not rated counts as given just now.
-func NewBank(policy config.RolloutPolicy, reserved int, rated int64, now time.Time) *Bank {
-	b := &Bank{policy: policy.WithDefaults(), rated: rated}
+// NewCreditAccount returns the account of a lease holder that takes over at now. reserved is
+// the number of credits reserved in the row, rated the number of rated answers. All credits
+// that are reserved and not rated count as granted at now.
+func NewBank(policy config.RolloutPolicy, reserved int, rated int64, now time.Time) *CreditAccount {
+	a := &CreditAccount{policy: policy.WithDefaults(), rated: rated}
 	if outstanding := reserved - int(rated); outstanding > 0 {
-		b.grants = append(b.grants, grant{at: now, n: outstanding})
+		a.grants = append(a.grants, grant{at: now, n: outstanding})
 	}
-	return b
+	return a
 }
 
-// Budget is how many unrated answers the evidence allows.
-func (b *Bank) Budget(good, bad int64) int {
-	earned := b.policy.BudgetPerGood * float64(good-bad)
-	return b.policy.ExposureBudget + max(int(earned), 0)
+// Budget returns how many unrated answers the ratings allow.
+func (a *CreditAccount) Budget(good, bad int64) int {
+	earned := a.policy.BudgetPerGood * float64(good-bad)
+	return a.policy.ExposureBudget + max(int(earned), 0)
 }
 
 // Available returns how many credits may be granted now.
-func (b *Bank) Available(good, bad int64, now time.Time) int {
-	b.settle(good+bad, now)
-	return max(b.Budget(good, bad)-b.outstanding(), 0)
+func (a *CreditAccount) Available(good, bad int64, now time.Time) int {
+	a.settle(good+bad, now)
+	return max(a.Budget(good, bad)-a.outstanding(), 0)
 }
 
-// Grant notes n credits as given.
-func (b *Bank) Grant(n int, now time.Time) {
+// Grant records n granted credits.
+func (a *CreditAccount) Grant(n int, now time.Time) {
 	if n > 0 {
-		b.grants = append(b.grants, grant{at: now, n: n})
+		a.grants = append(a.grants, grant{at: now, n: n})
 	}
 }
 
-// Return takes back credits that lapsed unused.
-func (b *Bank) Return(n int) {
-	for n > 0 && len(b.grants) > 0 {
-		last := &b.grants[len(b.grants)-1]
+// Return takes back n credits that expired unused, from the latest grants first.
+func (a *CreditAccount) Return(n int) {
+	for n > 0 && len(a.grants) > 0 {
+		last := &a.grants[len(a.grants)-1]
 		taken := min(n, last.n)
 		last.n -= taken
 		n -= taken
 		if last.n > 0 {
 			return
 		}
-		b.grants = b.grants[:len(b.grants)-1]
+		a.grants = a.grants[:len(a.grants)-1]
 	}
 }
 
-// settle sets ratings off against the oldest grants and drops those past the
+// settle offsets new ratings against the oldest grants and drops grants past the rating
 // horizon.
-func (b *Bank) settle(rated int64, now time.Time) {
-	newly := max(int(rated-b.rated), 0)
-	b.rated = max(rated, b.rated)
-	for len(b.grants) > 0 {
-		first := &b.grants[0]
-		if now.Sub(first.at) > b.policy.RatingHorizon() {
-			b.grants = b.grants[1:]
+func (a *CreditAccount) settle(rated int64, now time.Time) {
+	newly := max(int(rated-a.rated), 0)
+	a.rated = max(rated, a.rated)
+	for len(a.grants) > 0 {
+		first := &a.grants[0]
+		if now.Sub(first.at) > a.policy.RatingHorizon() {
+			a.grants = a.grants[1:]
 			continue
 		}
 		used := min(first.n, newly)
@@ -91,135 +92,135 @@
 		if first.n > 0 {
 			return
 		}
-		b.grants = b.grants[1:]
+		a.grants = a.grants[1:]
 	}
 }
 
-func (b *Bank) outstanding() int {
+func (a *CreditAccount) outstanding() int {
 	n := 0
-	for _, g := range b.grants {
+	for _, g := range a.grants {
 		n += g.n
 	}
 	return n
 }
 
-// wallet holds a daemon's credits for one version.
-type wallet struct {
+// creditBalance holds a daemon's credits for one version.
+type creditBalance struct {
 	credits int
 	expires time.Time
-	// asked is how many requests wanted a credit since the last refill.
-	asked int
-	// lapsed is how many credits lapsed unused and were not given back yet.
-	lapsed int
+	// requested is the number of calls of Take since the last call of Want.
+	requested int
+	// expired is how many credits expired unused and were not returned yet.
+	expired int
 }
 
-// Exposure is a daemon's right to use unproven versions.
+// DaemonCredits holds a daemon's credits, each of which allows one use of an unproven version.
 //
-// Lock order: mu is taken alone.
+// Lock order: no other lock is held when mu is taken.
 type Exposure struct {
 	clock clockwork.Clock
 
-	mu      sync.Mutex
-	wallets map[config.VersionRef]*wallet
-	stopped map[config.VersionRef]bool
+	mu       sync.Mutex
+	balances map[config.VersionRef]*creditBalance
+	stopped  map[config.VersionRef]bool
 }
 
-// NewExposure returns an Exposure without credits.
+// NewDaemonCredits returns a DaemonCredits without credits.
 func NewExposure(clock clockwork.Clock) *Exposure {
-	return &Exposure{clock: clock, wallets: map[config.VersionRef]*wallet{}, stopped: map[config.VersionRef]bool{}}
+	return &Exposure{clock: clock, balances: map[config.VersionRef]*creditBalance{}, stopped: map[config.VersionRef]bool{}}
 }
 
-// Take uses one credit. It fails when there is none, when they have lapsed, or
-// when the version was stopped.
+// Take uses one credit. It returns false if there is none, if the credits have expired, or if
+// the version was stopped.
 //
-// Credits lapse because the duty holder or the store may be gone: then nobody
-// watches the ratings, and a daemon that went on by itself would expose
-// callers to a version that nobody can stop. Out of credits, new sessions get
-// the proven version.
-func (e *Exposure) Take(ref config.VersionRef) bool {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	w := e.wallet(ref)
-	w.asked++
-	w.lapse(e.clock.Now())
-	if e.stopped[ref] || w.credits == 0 {
+// Credits expire because the lease holder or the store may be unavailable. Then nobody watches
+// the ratings, and a daemon that continued by itself would expose callers to a version that
+// nobody can stop. Without credits, new sessions get the proven version.
+func (c *Exposure) Take(ref config.VersionRef) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	b := c.balance(ref)
+	b.requested++
+	b.expire(c.clock.Now())
+	if c.stopped[ref] || b.credits == 0 {
 		return false
 	}
-	w.credits--
+	b.credits--
 	return true
 }
 
-func (e *Exposure) wallet(ref config.VersionRef) *wallet {
-	w, ok := e.wallets[ref]
+func (c *Exposure) balance(ref config.VersionRef) *creditBalance {
+	b, ok := c.balances[ref]
 	if !ok {
-		w = &wallet{}
-		e.wallets[ref] = w
+		b = &creditBalance{}
+		c.balances[ref] = b
 	}
-	return w
+	return b
 }
 
-// Refill adds credits that were granted when asked for at asked, and notes that
-// returned lapsed ones were given back.
-func (e *Exposure) Refill(ref config.VersionRef, n, returned int, asked time.Time) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	w := e.wallet(ref)
-	w.lapse(e.clock.Now())
-	w.lapsed -= returned
+// Refill adds n granted credits, and records that the given number of expired credits was
+// returned. If n is above 0, all credits for the version expire CreditTTL after requestedAt.
+func (c *Exposure) Refill(ref config.VersionRef, n, returned int, requestedAt time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	b := c.balance(ref)
+	b.expire(c.clock.Now())
+	b.expired -= returned
 	if n > 0 {
-		w.credits += n
-		w.expires = asked.Add(CreditTTL)
+		b.credits += n
+		b.expires = requestedAt.Add(CreditTTL)
 	}
 }
 
-// lapse drops credits past their time.
-func (w *wallet) lapse(now time.Time) {
-	if !now.Before(w.expires) {
-		w.lapsed += w.credits
-		w.credits = 0
+// expire drops the credits if their time is over.
+func (b *creditBalance) expire(now time.Time) {
+	if !now.Before(b.expires) {
+		b.expired += b.credits
+		b.credits = 0
 	}
 }
 
-// maxWant bounds the credits asked for at once.
+// maxWant is the largest number of credits requested at once.
 const maxWant = 32
 
-// Want returns how many credits to ask for: what was asked of the wallet since
-// the last time, less what it still has. lapsed is how many to give back.
-func (e *Exposure) Want(ref config.VersionRef) (want, lapsed int) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	w := e.wallet(ref)
-	w.lapse(e.clock.Now())
-	want = min(max(w.asked, 1), maxWant) - w.credits
-	w.asked = 0
-	return max(want, 0), w.lapsed
-}
-
-// Stop ends the exposure of new sessions to a version at this daemon and
-// reports whether that is news. It needs nobody's consent: stopping is safe.
-func (e *Exposure) Stop(ref config.VersionRef) bool {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.stopped[ref] {
+// Want returns how many credits to request: as many as were wanted since the last call, at
+// least one and at most maxWant, less those that are left. expired is how many credits to
+// return.
+func (c *Exposure) Want(ref config.VersionRef) (want, expired int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	b := c.balance(ref)
+	b.expire(c.clock.Now())
+	want = min(max(b.requested, 1), maxWant) - b.credits
+	b.requested = 0
+	return max(want, 0), b.expired
+}
+
+// Stop ends the exposure of new sessions to a version at this daemon. It reports whether the
+// version was not stopped before. It needs no lease, since stopping is always safe.
+func (c *Exposure) Stop(ref config.VersionRef) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.stopped[ref] {
 		return false
 	}
-	e.stopped[ref] = true
+	c.stopped[ref] = true
 	return true
 }
 
 // Allow undoes Stop after an operator started the version again.
-func (e *Exposure) Allow(ref config.VersionRef) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	delete(e.stopped, ref)
-}
-
-// Stopped lists the versions stopped here.
-func (e *Exposure) Stopped() []config.VersionRef {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	out := make([]config.VersionRef, 0, len(e.stopped))
-	for ref := range e.stopped {
+func (c *Exposure) Allow(ref config.VersionRef) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.stopped, ref)
+}
+
+// Stopped returns the versions stopped at this daemon.
+func (c *Exposure) Stopped() []config.VersionRef {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	out := make([]config.VersionRef, 0, len(c.stopped))
+	for ref := range c.stopped {
 		out = append(out, ref)
 	}
 	return out
--- a/internal/rollout/operator.go
+++ b/internal/rollout/operator.go
@@ -7,13 +7,13 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/fault"
 )
 
-// Writer writes roll-out rows; *config.Store is one.
+// Writer writes roll-out rows; *config.Store implements it.
 type Writer interface {
 	WriteRollouts(ctx context.Context, refs []config.VersionRef, checks []Check, edit func(map[config.VersionRef]config.Rollout) ([]config.Rollout, error)) (int64, error)
 }
 
-// Start begins the roll-out of a version. from is the version that serves
-// now; it starts to drain once the new one serves in full.
+// Start begins the roll-out of a version. from is the version that serves now; it starts to
+// drain when the new one reaches full share.
 func Start(ctx context.Context, w Writer, snapshot *config.Snapshot, ref config.VersionRef, from string) (int64, error) {
 	if err := checkStart(snapshot, ref, from); err != nil {
 		return 0, err
@@ -35,9 +35,9 @@
 
 func startConflict(r config.Rollout) error {
 	if r.State == config.Withdrawn {
-		return fault.New(fault.ConfigConflict, "%s was withdrawn (%s); give the mended version a new name", r.VersionRef, r.Reason)
+		return fault.New(fault.ConfigConflict, "%s was withdrawn (%s); give the corrected version a new name", r.VersionRef, r.Reason)
 	}
-	return fault.New(fault.ConfigConflict, "%s is %s already", r.VersionRef, r.State)
+	return fault.New(fault.ConfigConflict, "%s is already %s", r.VersionRef, r.State)
 }
 
 func checkStart(snapshot *config.Snapshot, ref config.VersionRef, from string) error {
@@ -52,7 +52,7 @@
 		return fault.New(fault.ConfigConflict, "%s is withdrawn in the documents", ref)
 	}
 	if state == config.Serving {
-		return fault.New(fault.ConfigConflict, "%s serves already", ref)
+		return fault.New(fault.ConfigConflict, "%s is already serving", ref)
 	}
 	if from == "" {
 		return nil
@@ -63,7 +63,8 @@
 	return nil
 }
 
-// Withdraw takes a version out at once: it gets no new work in any session.
+// Withdraw takes a version out of use at once: it gets no new requests, also in existing
+// sessions.
 func Withdraw(ctx context.Context, w Writer, snapshot *config.Snapshot, ref config.VersionRef, reason string) (int64, error) {
 	if snapshot == nil {
 		return 0, fault.New(fault.NotReady, "no configuration yet")
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -22,6 +22,7 @@
 	leaseFor = 9 * time.Second
 )
 
+// Guards against a sequential test whose rates of wrong verdicts exceed the policy's.
 func TestVerdictErrorRates(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	const runs = 1000
@@ -46,15 +47,16 @@
 	require.LessOrEqual(t, wrong(0.8, Good), 20, "stated rate 1%")
 }
 
-// engine takes orders; refusing ones check fencing numbers.
+// engine is a fake engine that records orders; with checksFences it refuses orders with an old
+// fencing number.
 type engine struct {
-	refusing bool
-	fence    int64
-	orders   []upstream.Order
+	checksFences bool
+	fence        int64
+	orders       []upstream.Order
 }
 
 func (e *engine) Order(_ context.Context, _ string, o upstream.Order) error {
-	if e.refusing && o.Fence < e.fence {
+	if e.checksFences && o.Fence < e.fence {
 		return &upstream.RefusedError{Reason: upstream.RefusedFence}
 	}
 	e.fence = o.Fence
@@ -66,8 +68,8 @@
 	return upstream.LoadReport{}, nil
 }
 
-// world is a store, an engine and the controllers of two daemons.
-type world struct {
+// env is a store, an engine and the controllers of two daemons.
+type env struct {
 	t        *testing.T
 	clock    *clockwork.FakeClock
 	memory   *backing.Memory
@@ -75,138 +77,141 @@
 	engine   *engine
 	evidence Evidence
 	a, b     *Controller
-	// duty names the daemon whose turn it is.
-	duty string
+	// eligible names the daemon that should try to acquire leases.
+	eligible string
 }
 
-func newWorld(t *testing.T) *world {
-	w := &world{t: t, clock: clockwork.NewFakeClock(), memory: backing.NewMemory(), engine: &engine{}, duty: "a"}
-	w.store = config.NewStore(w.memory, w.clock.Now)
-	w.evidence.Target = 0.9
-	_, err := w.store.WriteRollouts(ctx, []config.VersionRef{ref}, nil, func(map[config.VersionRef]config.Rollout) ([]config.Rollout, error) {
+func newEnv(t *testing.T) *env {
+	e := &env{t: t, clock: clockwork.NewFakeClock(), memory: backing.NewMemory(), engine: &engine{}, eligible: "a"}
+	e.store = config.NewStore(e.memory, e.clock.Now)
+	e.evidence.Target = 0.9
+	_, err := e.store.WriteRollouts(ctx, []config.VersionRef{ref}, nil, func(map[config.VersionRef]config.Rollout) ([]config.Rollout, error) {
 		return []config.Rollout{{VersionRef: ref, From: "1", State: config.RollingOut, Share: 0.1}}, nil
 	})
 	require.NoError(t, err)
-	w.a, w.b = w.controller("a"), w.controller("b")
-	return w
+	e.a, e.b = e.controller("a"), e.controller("b")
+	return e
 }
 
-func (w *world) row() config.Rollout {
-	r, _, err := w.store.Rollout(ctx, ref.String())
-	require.NoError(w.t, err)
+func (e *env) row() config.Rollout {
+	r, _, err := e.store.Rollout(ctx, ref.String())
+	require.NoError(e.t, err)
 	return r
 }
 
-func (w *world) snapshot() *config.Snapshot {
+func (e *env) snapshot() *config.Snapshot {
 	doc := config.Document{
 		Rollouts: policy,
 		Models:   map[string]config.Model{"m": {Versions: map[string]config.Version{"1": {State: config.Serving}, "2": {State: config.RollingOut}}}},
 	}
-	return config.NewSnapshot(1, doc, []config.Rollout{w.row()})
+	return config.NewSnapshot(1, doc, []config.Rollout{e.row()})
 }
 
-func (w *world) controller(self string) *Controller {
+func (e *env) controller(self string) *Controller {
 	return NewController(Deps{
-		Writer:   w.store,
-		Orders:   w.engine,
-		Clock:    w.clock,
-		Snapshot: w.snapshot,
-		Evidence: func(*config.Snapshot, config.VersionRef) []Evidence { return []Evidence{w.evidence} },
+		Writer:   e.store,
+		Orders:   e.engine,
+		Clock:    e.clock,
+		Snapshot: e.snapshot,
+		Evidence: func(*config.Snapshot, config.VersionRef) []Evidence { return []Evidence{e.evidence} },
 		Engines: func() []Engine {
 			return []Engine{{ID: "e", Address: "e", Serves: map[config.VersionRef]bool{{Model: "m", Version: "1"}: true}}}
 		},
-		NewLease: func(name string) Lease { return lease.New(name, self, leaseFor, w.memory, w.clock) },
-		Duty:     func(string) bool { return w.duty == self },
-		Table:    w.memory,
+		NewLease: func(name string) Lease { return lease.New(name, self, leaseFor, e.memory, e.clock) },
+		Duty:     func(string) bool { return e.eligible == self },
+		Table:    e.memory,
 	})
 }
 
-// hold steps a controller until it holds the duty and old orders have run out.
-func (w *world) hold(c *Controller) {
+// acquire steps a controller until it holds the lease and the old holder's orders have
+// arrived.
+func (e *env) acquire(c *Controller) {
 	for range 20 {
 		c.Step(ctx)
-		w.clock.Advance(time.Second)
+		e.clock.Advance(time.Second)
 	}
-	require.True(w.t, c.Step(ctx))
+	require.True(e.t, c.Step(ctx))
 }
 
-// The duty holder is paused past its lease and wakes after another daemon took
-// over. Its orders must not undo the new holder's, whether the engine checks
-// fencing numbers or not, and its writes must not reach the row.
-func TestPausedDutyHolder(t *testing.T) {
-	for name, refusing := range map[string]bool{"engine refuses old fences": true, "engine ignores fences": false} {
+// Guards against a lease holder that is paused until its lease expires and resumes after
+// another daemon took over. Its orders must not undo those of the new holder, whether or not
+// the engine checks fencing numbers, and its writes must not reach the row.
+func TestPausedLeaseHolder(t *testing.T) {
+	for name, checksFences := range map[string]bool{"engine refuses old fences": true, "engine ignores fences": false} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t)
-			w.engine.refusing = refusing
-			w.hold(w.a)
-			require.NotEmpty(t, w.engine.orders)
-			paused := w.a.duties[ref]
-			w.duty = "b"
-			w.hold(w.b)
-			newest := w.engine.orders[len(w.engine.orders)-1]
+			e := newEnv(t)
+			e.engine.checksFences = checksFences
+			e.acquire(e.a)
+			require.NotEmpty(t, e.engine.orders)
+			paused := e.a.leased[ref]
+			e.eligible = "b"
+			e.acquire(e.b)
+			newest := e.engine.orders[len(e.engine.orders)-1]
 			require.Greater(t, newest.Fence, paused.lease.Fence())
-			sent := len(w.engine.orders)
-			w.evidence.Bad = 1000
-			require.Error(t, w.a.advance(ctx, w.snapshot(), w.row(), paused))
-			require.Error(t, w.a.order(ctx, w.row(), 1, paused))
-			require.Len(t, w.engine.orders, sent, "no order after the lease lapsed")
-			require.Equal(t, config.RollingOut, w.row().State)
+			sent := len(e.engine.orders)
+			e.evidence.Bad = 1000
+			require.Error(t, e.a.advance(ctx, e.snapshot(), e.row(), paused))
+			require.Error(t, e.a.orderLoads(ctx, e.row(), 1, paused))
+			require.Len(t, e.engine.orders, sent, "no order after the lease expired")
+			require.Equal(t, config.RollingOut, e.row().State)
 		})
 	}
 }
 
-// A holder dies in the middle of a roll-out. Another daemon goes on from the
-// row: the stage does not fall back, and credits that may be in use count.
-func TestRolloutGoesOnFromTheRow(t *testing.T) {
-	w := newWorld(t)
-	w.hold(w.a)
-	n, err := w.a.Grant(ctx, ref, 100, 0)
+// Guards against a new lease holder that ignores the stored row after the old one died: the
+// stage must not fall back, and credits that may be in use must count.
+func TestRolloutContinuesFromTheRow(t *testing.T) {
+	e := newEnv(t)
+	e.acquire(e.a)
+	n, err := e.a.Grant(ctx, ref, 100, 0)
 	require.NoError(t, err)
 	require.Equal(t, policy.ExposureBudget, n)
-	w.evidence.Good = 20
-	w.a.Step(ctx)
-	stage := w.row().Stage
+	e.evidence.Good = 20
+	e.a.Step(ctx)
+	stage := e.row().Stage
 	require.Positive(t, stage)
-	w.duty = "b"
-	w.evidence.Good = 0
-	w.hold(w.b)
-	require.Equal(t, stage, w.row().Stage)
-	n, err = w.b.Grant(ctx, ref, 100, 0)
+	e.eligible = "b"
+	e.evidence.Good = 0
+	e.acquire(e.b)
+	require.Equal(t, stage, e.row().Stage)
+	n, err = e.b.Grant(ctx, ref, 100, 0)
 	require.NoError(t, err)
-	require.Zero(t, n, "what the dead holder granted or set aside may still be in use")
-	n, err = w.b.Grant(ctx, ref, 100, policy.ExposureBudget)
+	require.Zero(t, n, "credits that the dead holder granted or reserved may still be in use")
+	n, err = e.b.Grant(ctx, ref, 100, policy.ExposureBudget)
 	require.NoError(t, err)
-	require.Equal(t, policy.ExposureBudget, n, "daemons gave back what lapsed unused")
+	require.Equal(t, policy.ExposureBudget, n, "daemons returned the credits that expired unused")
 }
 
-func TestGoodVersionTakesOver(t *testing.T) {
-	w := newWorld(t)
-	w.hold(w.a)
-	w.evidence.Good = 200
-	w.a.Step(ctx)
-	require.Equal(t, config.Serving, w.row().State)
-	old, _, err := w.store.Rollout(ctx, "m@1")
+// A version with good ratings gets full share, and the version that it replaces drains.
+func TestGoodVersionReplacesTheOld(t *testing.T) {
+	e := newEnv(t)
+	e.acquire(e.a)
+	e.evidence.Good = 200
+	e.a.Step(ctx)
+	require.Equal(t, config.Serving, e.row().State)
+	old, _, err := e.store.Rollout(ctx, "m@1")
 	require.NoError(t, err)
 	require.Equal(t, config.Draining, old.State)
 }
 
+// A version with bad ratings is withdrawn, gets no credits, and cannot be started again.
 func TestBadVersionIsWithdrawn(t *testing.T) {
-	w := newWorld(t)
-	w.hold(w.a)
-	w.evidence.Bad = 10
-	w.a.Step(ctx)
-	require.Equal(t, config.Withdrawn, w.row().State)
-	n, err := w.a.Grant(ctx, ref, 10, 0)
+	e := newEnv(t)
+	e.acquire(e.a)
+	e.evidence.Bad = 10
+	e.a.Step(ctx)
+	require.Equal(t, config.Withdrawn, e.row().State)
+	n, err := e.a.Grant(ctx, ref, 10, 0)
 	require.NoError(t, err)
 	require.Zero(t, n)
-	snapshot := w.snapshot()
-	_, err = Start(ctx, w.store, snapshot, ref, "1")
+	snapshot := e.snapshot()
+	_, err = Start(ctx, e.store, snapshot, ref, "1")
 	require.ErrorContains(t, err, "was withdrawn")
 }
 
-// The duty holder, or the store, is gone. Credits lapse and new sessions get
-// the proven version instead of one that nobody watches.
-func TestCreditsLapse(t *testing.T) {
+// Guards against new sessions using a version whose ratings nobody watches because the lease
+// holder or the store is unavailable: credits expire, and new sessions get the proven version.
+func TestCreditsExpire(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	e := NewExposure(clock)
 	require.False(t, e.Take(ref))
@@ -214,9 +219,9 @@
 	require.True(t, e.Take(ref))
 	clock.Advance(CreditTTL)
 	require.False(t, e.Take(ref))
-	want, lapsed := e.Want(ref)
+	want, expired := e.Want(ref)
 	require.Positive(t, want)
-	require.Equal(t, 1, lapsed)
+	require.Equal(t, 1, expired)
 	e.Refill(ref, 1, 0, clock.Now())
 	require.True(t, e.Take(ref))
 	require.False(t, e.Take(ref))
@@ -226,12 +231,13 @@
 	require.False(t, e.Take(ref), "stopped")
 }
 
-func TestBankStaysUnderItsBudget(t *testing.T) {
+// Guards against granting more credits than the budget for unrated answers allows.
+func TestCreditAccountStaysUnderItsBudget(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	b := NewBank(policy, 0, 0, now)
 	require.Equal(t, 10, b.Available(0, 0, now))
 	b.Grant(10, now)
 	require.Zero(t, b.Available(0, 0, now))
-	require.Equal(t, 4+4, b.Available(4, 0, now), "four rated, and four earned")
+	require.Equal(t, 4+4, b.Available(4, 0, now), "four grants rated, and four credits earned")
 	require.Zero(t, b.Available(4, 8, now.Add(5*time.Minute))-10, "all but the budget has passed the horizon")
 }
--- a/internal/rollout/verdict.go
+++ b/internal/rollout/verdict.go
@@ -1,5 +1,5 @@
-// Package rollout brings new versions to full share while bounding how many
-// answers a bad one can give, and withdraws those that turn out bad.
+// Package rollout brings a new version of a model to full share, bounds how many answers a bad
+// version can give, and withdraws versions whose ratings are below the target.
 package rollout
 
 import (
@@ -8,7 +8,7 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/config"
 )
 
-// Verdict is the outcome of the test of a new version.
+// Verdict is the result of the test of a new version.
 type Verdict int
 
 // Verdicts.
@@ -18,28 +18,29 @@
 	Bad
 )
 
-// Evidence is the ratings of a version for one kind of request.
+// Evidence holds the ratings of a version for one kind of request.
 type Evidence struct {
 	Good int64
 	Bad  int64
-	// Target is the kind's quality target.
+	// Target is the quality target of the kind, as the fraction of good ratings.
 	Target float64
 }
 
-// Test is Wald's sequential probability ratio test between "at the target"
-// and "below the target by the tolerance", with the policy's error rates.
+// Test is Wald's sequential probability ratio test between the hypotheses "quality at the
+// target" and "quality below the target by the tolerance", with the policy's error rates.
 type Test struct {
 	policy config.RolloutPolicy
 }
 
-// NewTest returns a test with the error rates of policy.
+// NewTest returns a test with the tolerance and the error rates of policy.
 func NewTest(policy config.RolloutPolicy) Test { return Test{policy: policy.WithDefaults()} }
 
-// minQuality keeps the bad hypothesis a probability.
+// minQuality is the lower bound of the quality under the bad hypothesis, which must be above
+// 0.
 const minQuality = 0.01
 
-// ratio is the log-likelihood ratio of bad to good, summed over the kinds.
-func (t Test) ratio(evidence []Evidence) float64 {
+// logLikelihoodRatio returns the log-likelihood ratio of bad to good, summed over the kinds.
+func (t Test) logLikelihoodRatio(evidence []Evidence) float64 {
 	sum := 0.0
 	for _, e := range evidence {
 		good := e.Target
@@ -49,40 +50,42 @@
 	return sum
 }
 
-func (t Test) upper() float64 {
+// withdrawBound is the log-likelihood ratio from which a version is bad.
+func (t Test) withdrawBound() float64 {
 	return math.Log((1 - t.policy.FalseAcceptance) / t.policy.FalseWithdrawal)
 }
 
-func (t Test) lower() float64 {
+// acceptBound is the log-likelihood ratio down to which a version is good.
+func (t Test) acceptBound() float64 {
 	return math.Log(t.policy.FalseAcceptance / (1 - t.policy.FalseWithdrawal))
 }
 
-// Verdict decides on the evidence so far.
+// Verdict returns the verdict on the evidence so far.
 func (t Test) Verdict(evidence []Evidence) Verdict {
-	r := t.ratio(evidence)
+	r := t.logLikelihoodRatio(evidence)
 	switch {
-	case r >= t.upper():
+	case r >= t.withdrawBound():
 		return Bad
-	case r <= t.lower():
+	case r <= t.acceptBound():
 		return Good
 	default:
 		return Undecided
 	}
 }
 
-// Progress is how far the evidence has come towards Good, from 0 to 1.
+// Progress returns how close the evidence is to the verdict Good, from 0 to 1.
 func (t Test) Progress(evidence []Evidence) float64 {
-	return min(max(t.ratio(evidence)/t.lower(), 0), 1)
+	return min(max(t.logLikelihoodRatio(evidence)/t.acceptBound(), 0), 1)
 }
 
-// Stage returns the stage that the evidence has earned.
+// Stage returns the index of the policy's stage that matches the progress.
 func (t Test) Stage(evidence []Evidence) int {
 	last := len(t.policy.Stages) - 1
 	return min(int(t.Progress(evidence)*float64(last)), last)
 }
 
-// Counts sums evidence.
-func Counts(evidence []Evidence) (good, bad int64) {
+// SumRatings sums the ratings of all kinds.
+func SumRatings(evidence []Evidence) (good, bad int64) {
 	for _, e := range evidence {
 		good += e.Good
 		bad += e.Bad
