--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,5 +1,5 @@
-// Package lease gives control duties to one daemon at a time through rows of
-// the table.
+// Package lease provides leases with fencing numbers, each stored as a row of the table. At
+// most one daemon holds a lease at a time.
 package lease
 
 import (
@@ -14,19 +14,17 @@
 
 const keyPrefix = "lease/"
 
-// row is a lease in the table.
+// row is the stored form of a lease.
 type row struct {
 	Holder string `json:"holder"`
-	// Fence rises by one with each change of holder.
+	// Fence increases by one with each change of holder.
 	Fence int64 `json:"fence"`
-	// Renewals rises with each renewal. A contender that sees it unchanged
-	// for a whole duration knows that the lease has lapsed, without comparing
-	// clocks.
+	// Renewals increases with each renewal. A contender that sees the row unchanged for a
+	// whole duration knows that the lease has expired, without comparing clocks.
 	Renewals int64 `json:"renewals"`
 }
 
-// Lease is a duty that one daemon at a time may hold. It is not safe for
-// concurrent use.
+// Lease is one daemon's view of a lease. It is not safe for concurrent use.
 type Lease struct {
 	name     string
 	self     string
@@ -34,26 +32,30 @@
 	table    backing.Table
 	clock    clockwork.Clock
 
+	// held is the row last written as the holder, and revision its revision. held.Fence is
+	// also set when the outcome of a write is unknown.
 	held     row
 	revision int64
-	// renewed is when the renewal that last succeeded was sent.
+	// renewed is when the last successful renewal was sent; zero if there is none.
 	renewed time.Time
 
-	seen   int64
-	seenAt time.Time
-	// fence is the highest fencing number seen. The table may have lost it.
+	// seenRevision is the last revision of the row that was read or written, and seenAt is
+	// when it was first seen.
+	seenRevision int64
+	seenAt       time.Time
+	// fence is the highest fencing number seen, which the table may have lost.
 	fence int64
 
-	// Gone reports whether the process of a holder has certainly ended; nil
-	// leaves that to time.
+	// HolderEnded reports whether the process of a holder has certainly ended. If it is nil,
+	// the lease of an ended process stays taken until it expires.
 	//
-	// When all daemons were killed at once, nobody held any duty for five
-	// seconds, until the lease of a process that was no more had lapsed.
+	// It avoids the time without a holder, up to a whole duration, after all daemons were
+	// killed at once.
 	Gone func(ctx context.Context, holder string) bool
 }
 
-// New returns a lease on the duty name for the daemon self. It lapses when it
-// is not renewed for duration.
+// New returns the lease with the given name for the daemon self. The lease expires if it is
+// not renewed for duration.
 func New(name, self string, duration time.Duration, table backing.Table, clock clockwork.Clock) *Lease {
 	return &Lease{name: name, self: self, duration: duration, table: table, clock: clock}
 }
@@ -61,41 +63,42 @@
 // Key returns the key of the lease's row.
 func (l *Lease) Key() string { return keyPrefix + l.name }
 
-// Renew takes or extends the lease and reports whether it is held.
+// Renew acquires or extends the lease and reports whether it is held.
 //
-// Holders and contenders time the lease on their own clocks: the holder from
-// before it sent its last successful renewal, a contender from when it first
-// saw that renewal. So the holder stops first, however far the wall clocks
-// differ.
+// The holder and the contenders time the lease on their own clocks: the holder from before it
+// sent its last successful renewal, a contender from when it first saw that renewal. The
+// holder therefore stops first, however far the wall clocks differ.
 func (l *Lease) Renew(ctx context.Context) (bool, error) {
-	var now row
-	revision, err := backing.GetJSON(ctx, l.table, l.Key(), &now)
+	var current row
+	revision, err := backing.GetJSON(ctx, l.table, l.Key(), &current)
 	if err != nil {
 		return l.Held(), trace.Wrap(err)
 	}
-	if revision != l.seen {
-		l.seen, l.seenAt = revision, l.clock.Now()
+	if revision != l.seenRevision {
+		l.seenRevision, l.seenAt = revision, l.clock.Now()
 	}
-	l.fence = max(l.fence, now.Fence)
-	mine := now.Holder == l.self && now.Fence == l.held.Fence && revision != 0
-	if !mine && !l.lapsed(ctx, revision, now.Holder) {
+	l.fence = max(l.fence, current.Fence)
+	own := current.Holder == l.self && current.Fence == l.held.Fence && revision != 0
+	if !own && !l.available(ctx, revision, current.Holder) {
 		return false, nil
 	}
-	next := row{Holder: l.self, Fence: now.Fence, Renewals: now.Renewals + 1}
-	if !mine {
+	next := row{Holder: l.self, Fence: current.Fence, Renewals: current.Renewals + 1}
+	if !own {
 		next.Fence = l.fence + 1
 	}
 	return l.write(ctx, revision, next)
 }
 
-// lapsed reports whether a lease that another daemon holds may be taken.
-func (l *Lease) lapsed(ctx context.Context, revision int64, holder string) bool {
+// available reports whether this daemon may take a lease that is not its own.
+func (l *Lease) available(ctx context.Context, revision int64, holder string) bool {
 	if revision == 0 || holder == "" || l.clock.Since(l.seenAt) >= l.duration {
 		return true
 	}
 	return l.Gone != nil && l.Gone(ctx, holder)
 }
 
+// write stores the next row if the current one still has the given revision, and reports
+// whether the lease is held.
 func (l *Lease) write(ctx context.Context, revision int64, next row) (bool, error) {
 	sent := l.clock.Now()
 	written, err := l.table.Commit(ctx, backing.Txn{
@@ -106,9 +109,8 @@
 		return false, nil
 	}
 	if err != nil {
-		// If the write took effect, the next Renew finds the row with this
-		// holder. Until then only the time of the last confirmed renewal
-		// counts.
+		// If the write took effect, the next Renew finds the row with this daemon as the
+		// holder. Until then only the last confirmed renewal counts.
 		if backing.IsUnknownOutcome(err) && next.Fence != l.held.Fence {
 			l.held.Fence = next.Fence
 			l.renewed = time.Time{}
@@ -117,29 +119,29 @@
 	}
 	l.held, l.revision, l.renewed = next, written, sent
 	l.fence = max(l.fence, next.Fence)
-	l.seen, l.seenAt = written, sent
+	l.seenRevision, l.seenAt = written, sent
 	return true, nil
 }
 
-// Held reports whether the lease is held with time to spare: a third of its
-// duration, so that an order sent now arrives before a contender can start.
+// Held reports whether the lease is held for at least another third of its duration, so that
+// an order sent now arrives before a contender can take the lease.
 func (l *Lease) Held() bool {
 	return !l.renewed.IsZero() && l.clock.Since(l.renewed) < l.duration*2/3
 }
 
-// Fence returns the fencing number of the holding.
+// Fence returns the fencing number under which this daemon holds the lease.
 func (l *Lease) Fence() int64 { return l.held.Fence }
 
-// Check returns the condition under which a write is made by the holder only.
+// Check returns the precondition that makes a write succeed only for the lease holder.
 //
-// A holder can be paused between looking at its clock and writing. Its write
-// then arrives after another daemon took over; since the take-over changed the
-// row, the condition fails and nothing is overwritten.
+// A holder can be paused between checking Held and writing, so that its write arrives after
+// another daemon took the lease. That takeover changed the row, so the precondition fails and
+// nothing is overwritten.
 func (l *Lease) Check() backing.Check {
 	return backing.Check{Key: l.Key(), Revision: l.revision}
 }
 
-// Release gives the lease up so that another daemon can take it at once.
+// Release gives up the lease so that another daemon can take it at once.
 func (l *Lease) Release(ctx context.Context) error {
 	if l.renewed.IsZero() {
 		return nil
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -21,8 +21,8 @@
 	return held
 }
 
-// A holder is paused past its lease; another daemon takes over. When the old
-// holder wakes it must see by itself that it holds nothing, its write must
+// Guards against a holder that is paused until its lease expires and continues to act after
+// another daemon took it. It must see from its own clock that it holds nothing, its write must
 // fail, and its fencing number must be the lower one.
 func TestHolderPausedPastItsLease(t *testing.T) {
 	clock := clockwork.NewFakeClock()
@@ -32,7 +32,7 @@
 	require.False(t, renew(t, b))
 	clock.Advance(duration - time.Second)
 	require.False(t, a.Held())
-	require.False(t, renew(t, b), "the lease has not lapsed for a contender yet")
+	require.False(t, renew(t, b), "the lease has not expired for a contender yet")
 	clock.Advance(time.Second)
 	require.True(t, renew(t, b))
 	require.False(t, a.Held())
@@ -45,8 +45,8 @@
 	require.False(t, renew(t, a))
 }
 
-// A contender starts long after the last renewal it could have seen. It cannot
-// know how old the row is, and waits a whole duration.
+// Guards against a contender taking a lease that is still held. It starts long after the last
+// renewal and cannot know the age of the row, so it waits a whole duration.
 func TestContenderWaitsAWholeDuration(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	store := backing.NewMemory()
@@ -59,8 +59,8 @@
 	require.True(t, renew(t, b))
 }
 
-// The answer to a renewal is lost. The holder goes on only as long as its last
-// confirmed renewal lasts, and finds its lease again when the store answers.
+// Guards against a holder counting a renewal whose answer was lost. The lease is held only as
+// long as the last confirmed renewal lasts, and is recovered when the store answers again.
 func TestLostAnswerToARenewal(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	store := backing.NewMemory()
@@ -80,7 +80,8 @@
 	require.True(t, a.Held())
 }
 
-func TestReleaseLetsOthersInAtOnce(t *testing.T) {
+// A released lease can be taken at once, with a higher fencing number.
+func TestReleasedLeaseIsTakenAtOnce(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	store := backing.NewMemory()
 	a, b := New("duty", "a", duration, store, clock), New("duty", "b", duration, store, clock)
@@ -90,9 +91,8 @@
 	require.Equal(t, int64(2), b.Fence())
 }
 
-// All daemons are killed and start again. The lease names a process that has
-// certainly ended; nobody needs to wait for its time to run out, while a holder of
-// which nothing is known keeps it.
+// Guards against waiting for the lease of a process that has certainly ended, after all
+// daemons were killed and restarted. A holder whose state is unknown keeps its lease.
 func TestLeaseOfAnEndedProcessIsTakenAtOnce(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	store := backing.NewMemory()
@@ -105,7 +105,7 @@
 	require.Greater(t, b.Fence(), a.Fence())
 }
 
-// Guards against fencing numbers that are given out twice because the table has lost a lease.
+// Guards against issuing a fencing number twice because the table has lost a lease.
 func TestFenceRisesAfterTheTableLostTheLease(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	table := backing.NewMemory()
--- a/internal/rating/rating.go
+++ b/internal/rating/rating.go
@@ -1,5 +1,5 @@
-// Package rating counts the ratings of answers by version and kind and makes
-// beliefs about quality of them.
+// Package rating counts the ratings of answers by version and kind of request, and estimates
+// the quality of versions from them.
 package rating
 
 import (
@@ -17,25 +17,26 @@
 	checkpointKey = "rating/summary"
 	// pageSize is the number of ratings read at once.
 	pageSize = 2000
-	// memory is the number of ratings after which an old one counts little:
-	// each new rating shrinks the weight of the earlier ones by 1/memory.
-	memory = 1000
-	// checkpointEvery is how many ratings pass between two checkpoints.
-	checkpointEvery = 5000
+	// decayWindow is the number of ratings after which an old one counts little: each new
+	// rating shrinks the weight of the earlier ones by 1/decayWindow.
+	decayWindow = 1000
+	// checkpointInterval is the smallest number of ratings between two checkpoints.
+	checkpointInterval = 5000
 )
 
-// Key names what ratings are counted for.
+// Key identifies what ratings are counted for: a version and a kind of request.
 type Key struct {
 	Version config.VersionRef `json:"version"`
 	Kind    string            `json:"kind"`
 }
 
-// Count is what is known of a key.
+// Count holds the ratings of a key.
 type Count struct {
 	// Good and Bad count all ratings.
 	Good int64 `json:"good"`
 	Bad  int64 `json:"bad"`
-	// RecentGood and RecentBad weigh old ratings less.
+	// RecentGood and RecentBad count ratings with weights that decrease exponentially with the
+	// number of later ratings of the key.
 	RecentGood float64 `json:"recent_good"`
 	RecentBad  float64 `json:"recent_bad"`
 }
@@ -46,15 +47,15 @@
 	Count
 }
 
-// Summary is the state of a reader after the rating numbered Seq.
+// Summary holds all counts up to and including the rating with the sequence number Seq.
 type Summary struct {
 	Seq   int64  `json:"seq"`
 	Lines []Line `json:"lines"`
 }
 
-// Table holds the newest summary known.
+// Counter holds the counts of all ratings received so far.
 //
-// Lock order: mu is taken alone.
+// Lock order: no other lock is held when mu is taken, and none is taken under it.
 type Table struct {
 	mu     sync.Mutex
 	seq    int64
@@ -63,17 +64,17 @@
 	saved int64
 }
 
-// NewTable returns an empty table.
+// NewCounter returns a Counter without ratings.
 func NewTable() *Table { return &Table{counts: map[Key]Count{}} }
 
-// Seq returns the number of the last rating counted.
+// Seq returns the sequence number of the last rating counted.
 func (t *Table) Seq() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.seq
 }
 
-// Install takes a summary if it is newer.
+// Install replaces the counts by a summary if the summary is newer.
 func (t *Table) Install(s Summary) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -87,7 +88,7 @@
 	}
 }
 
-// Summary returns the present state.
+// Summary returns the current counts.
 func (t *Table) Summary() Summary {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -98,7 +99,8 @@
 	return s
 }
 
-// Add counts ratings that follow the ones counted.
+// Add counts ratings, which must be in order of their sequence numbers, and skips those
+// already counted.
 func (t *Table) Add(ratings []backing.Rating) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -112,8 +114,9 @@
 	}
 }
 
+// add returns the count with one more rating.
 func (c Count) add(good bool) Count {
-	const keep = 1 - 1.0/memory
+	const keep = 1 - 1.0/decayWindow
 	c.RecentGood *= keep
 	c.RecentBad *= keep
 	if good {
@@ -126,14 +129,14 @@
 	return c
 }
 
-// Count returns the count of a key.
+// Count returns the count of a key; zero if it has no ratings.
 func (t *Table) Count(key Key) Count {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.counts[key]
 }
 
-// ByKind returns the counts of a version.
+// ByKind returns the counts of a version by kind of request.
 func (t *Table) ByKind(ref config.VersionRef) map[string]Count {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -146,13 +149,14 @@
 	return out
 }
 
-// Default prior of versions whose documents give none.
+// The prior of versions whose documents specify none.
 const (
 	defaultPriorMean   = 0.5
 	defaultPriorWeight = 2
 )
 
-// Quality returns the belief about a version for a kind.
+// Quality returns the estimated quality of a version for the kind of key: the prior from its
+// documents, updated with the recent ratings.
 func (t *Table) Quality(version config.Version, key Key) route.Quality {
 	prior, ok := version.Prior[key.Kind]
 	if !ok {
@@ -165,7 +169,7 @@
 	return route.NewQuality(prior.Mean, prior.Weight, count.RecentGood, count.RecentBad)
 }
 
-// Restore starts from the checkpoint, if it is newer.
+// Restore loads the checkpoint if it is newer than the counts.
 func (t *Table) Restore(ctx context.Context, table backing.Table) error {
 	var s Summary
 	if _, err := backing.GetJSON(ctx, table, checkpointKey, &s); err != nil {
@@ -178,7 +182,7 @@
 	return nil
 }
 
-// Read counts the ratings that are new in the feed and reports how many.
+// Read counts the new ratings of the feed and returns how many it read.
 func (t *Table) Read(ctx context.Context, feed backing.Ratings) (int, error) {
 	total := 0
 	for {
@@ -194,11 +198,12 @@
 	}
 }
 
-// Checkpoint writes the summary now and then, so that a daemon that starts
-// need not read the feed from its beginning.
+// Checkpoint stores the summary if at least checkpointInterval ratings were counted since the
+// last checkpoint, so that a starting daemon need not read the feed from its beginning. It
+// does not overwrite a newer checkpoint of another daemon.
 func (t *Table) Checkpoint(ctx context.Context, table backing.Table) error {
 	t.mu.Lock()
-	due := t.seq-t.saved >= checkpointEvery
+	due := t.seq-t.saved >= checkpointInterval
 	t.mu.Unlock()
 	if !due {
 		return nil
