--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -120,12 +120,12 @@
 			c.drop(ctx, ref)
 			continue
 		}
-		d, held := c.acquire(ctx, ref, snapshot)
+		l, held := c.acquire(ctx, ref, snapshot)
 		if !held {
 			continue
 		}
 		holding = true
-		err := c.advance(ctx, snapshot, r, d)
+		err := c.advance(ctx, snapshot, r, l)
 		if err != nil && !errors.Is(err, errNotRollingOut) && ctx.Err() == nil {
 			slog.Warn("rollout.step_failed", "version", ref, "error", err)
 		}
@@ -135,8 +135,8 @@
 
 // drop releases the lease of a roll-out, if this daemon has one.
 func (c *Controller) drop(ctx context.Context, ref config.VersionRef) {
-	if d, ok := c.leased[ref]; ok {
-		_ = d.lease.Release(ctx)
+	if l, ok := c.leased[ref]; ok {
+		_ = l.lease.Release(ctx)
 		delete(c.leased, ref)
 	}
 }
@@ -144,32 +144,32 @@
 // acquire renews or acquires the lease of a roll-out. It returns false if this daemon does not
 // hold the lease afterwards.
 func (c *Controller) acquire(ctx context.Context, ref config.VersionRef, snapshot *config.Snapshot) (*leasedRollout, bool) {
-	d, ok := c.leased[ref]
+	l, ok := c.leased[ref]
 	if !c.deps.Duty(LeaseName(ref)) {
 		c.drop(ctx, ref)
 		return nil, false
 	}
 	if !ok {
-		d = &leasedRollout{lease: c.deps.NewLease(LeaseName(ref))}
-		c.leased[ref] = d
+		l = &leasedRollout{lease: c.deps.NewLease(LeaseName(ref))}
+		c.leased[ref] = l
 	}
-	fence := d.lease.Fence()
-	held, err := d.lease.Renew(ctx)
+	fence := l.lease.Fence()
+	held, err := l.lease.Renew(ctx)
 	if err != nil || !held {
 		return nil, false
 	}
-	if d.account == nil || d.lease.Fence() != fence {
-		if err := c.takeOver(ctx, d, snapshot, ref); err != nil {
-			d.account = nil
+	if l.account == nil || l.lease.Fence() != fence {
+		if err := c.takeOver(ctx, l, snapshot, ref); err != nil {
+			l.account = nil
 			return nil, false
 		}
 	}
-	return d, true
+	return l, true
 }
 
 // takeOver opens the credit account from the stored row: all credits that are reserved and not
 // rated may be in use.
-func (c *Controller) takeOver(ctx context.Context, d *leasedRollout, snapshot *config.Snapshot, ref config.VersionRef) error {
+func (c *Controller) takeOver(ctx context.Context, l *leasedRollout, snapshot *config.Snapshot, ref config.VersionRef) error {
 	var row creditsRow
 	revision, err := backing.GetJSON(ctx, c.deps.Table, creditsKey+ref.String(), &row)
 	if err != nil {
@@ -177,46 +177,46 @@
 	}
 	now := c.deps.Clock.Now()
 	good, bad := SumRatings(c.deps.Evidence(snapshot, ref))
-	d.account = NewBank(snapshot.Doc.Rollouts, row.Reserved, good+bad, now)
-	d.reserved, d.creditsRevision, d.ungranted = row.Reserved, revision, 0
-	d.tookOver = now
-	slog.Info("rollout.duty_taken", "version", ref, "fence", d.lease.Fence(), "reserved", row.Reserved)
+	l.account = NewBank(snapshot.Doc.Rollouts, row.Reserved, good+bad, now)
+	l.reserved, l.creditsRevision, l.ungranted = row.Reserved, revision, 0
+	l.tookOver = now
+	slog.Info("rollout.duty_taken", "version", ref, "fence", l.lease.Fence(), "reserved", row.Reserved)
 	return nil
 }
 
 // reserve reserves n credits in the row before they are granted, so that the next lease holder
 // knows of all credits that may be in use.
-func (c *Controller) reserve(ctx context.Context, ref config.VersionRef, d *leasedRollout, n int) error {
+func (c *Controller) reserve(ctx context.Context, ref config.VersionRef, l *leasedRollout, n int) error {
 	key := creditsKey + ref.String()
 	revision, err := c.deps.Table.Commit(ctx, backing.Txn{
-		Checks: []backing.Check{d.lease.Check(), {Key: key, Revision: d.creditsRevision}},
-		Puts:   []backing.Put{backing.PutJSON(key, creditsRow{Reserved: d.reserved + n})},
+		Checks: []backing.Check{l.lease.Check(), {Key: key, Revision: l.creditsRevision}},
+		Puts:   []backing.Put{backing.PutJSON(key, creditsRow{Reserved: l.reserved + n})},
 	})
 	if err != nil {
 		// The write may have taken effect. The next step reads the row again.
-		d.account = nil
+		l.account = nil
 		return trace.Wrap(err)
 	}
-	d.reserved += n
-	d.ungranted += n
-	d.creditsRevision = revision
+	l.reserved += n
+	l.ungranted += n
+	l.creditsRevision = revision
 	return nil
 }
 
 // advance acts on the evidence and orders engines to load the version.
-func (c *Controller) advance(ctx context.Context, snapshot *config.Snapshot, r config.Rollout, d *leasedRollout) error {
+func (c *Controller) advance(ctx context.Context, snapshot *config.Snapshot, r config.Rollout, l *leasedRollout) error {
 	evidence := c.deps.Evidence(snapshot, r.VersionRef)
 	test := NewTest(snapshot.Doc.Rollouts)
 	switch test.Verdict(evidence) {
 	case Bad:
-		return c.withdraw(ctx, r, evidence, d)
+		return c.withdraw(ctx, r, evidence, l)
 	case Good:
 		if r.Share < 1 || r.State != config.Serving {
-			if err := c.complete(ctx, snapshot, r, evidence, d); err != nil {
+			if err := c.complete(ctx, snapshot, r, evidence, l); err != nil {
 				return err
 			}
 		}
-		return c.orderLoads(ctx, r, 1, d)
+		return c.orderLoads(ctx, r, 1, l)
 	}
 	policy := snapshot.Doc.Rollouts.WithDefaults()
 	stage := max(test.Stage(evidence), r.Stage)
@@ -226,28 +226,28 @@
 		stage, share = stage-1, policy.Stages[max(stage-1, 0)]
 	}
 	if stage > r.Stage {
-		if err := c.write(ctx, r, evidence, d, func(n *config.Rollout) { n.Stage, n.Share = stage, share }); err != nil {
+		if err := c.write(ctx, r, evidence, l, func(n *config.Rollout) { n.Stage, n.Share = stage, share }); err != nil {
 			return err
 		}
 	}
-	return c.orderLoads(ctx, r, share, d)
+	return c.orderLoads(ctx, r, share, l)
 }
 
 // write updates the roll-out's row, on the condition that the lease is still held.
-func (c *Controller) write(ctx context.Context, r config.Rollout, evidence []Evidence, d *leasedRollout, change func(*config.Rollout)) error {
+func (c *Controller) write(ctx context.Context, r config.Rollout, evidence []Evidence, l *leasedRollout, change func(*config.Rollout)) error {
 	good, bad := SumRatings(evidence)
-	generation, err := c.deps.Writer.WriteRollouts(ctx, []config.VersionRef{r.VersionRef}, []Check{d.lease.Check()},
+	generation, err := c.deps.Writer.WriteRollouts(ctx, []config.VersionRef{r.VersionRef}, []Check{l.lease.Check()},
 		func(now map[config.VersionRef]config.Rollout) ([]config.Rollout, error) {
 			next, found := now[r.VersionRef]
 			if !found || next.State != config.RollingOut {
 				return nil, errNotRollingOut
 			}
-			next.Good, next.Bad, next.Fence = int(good), int(bad), d.lease.Fence()
+			next.Good, next.Bad, next.Fence = int(good), int(bad), l.lease.Fence()
 			change(&next)
 			return []config.Rollout{next}, nil
 		})
 	if err == nil {
-		slog.Info("rollout.written", "version", r.VersionRef, "generation", generation, "good", good, "bad", bad, "fence", d.lease.Fence())
+		slog.Info("rollout.written", "version", r.VersionRef, "generation", generation, "good", good, "bad", bad, "fence", l.lease.Fence())
 	}
 	return trace.Wrap(err)
 }
@@ -255,15 +255,15 @@
 var errNotRollingOut = errors.New("the version is no longer rolling out")
 
 // withdraw marks the version as withdrawn because of its ratings.
-func (c *Controller) withdraw(ctx context.Context, r config.Rollout, evidence []Evidence, d *leasedRollout) error {
-	return c.write(ctx, r, evidence, d, func(n *config.Rollout) {
+func (c *Controller) withdraw(ctx context.Context, r config.Rollout, evidence []Evidence, l *leasedRollout) error {
+	return c.write(ctx, r, evidence, l, func(n *config.Rollout) {
 		n.State, n.Share, n.Reason = config.Withdrawn, 0, "ratings below the target"
 	})
 }
 
 // complete gives the version full share and lets the version that it replaces drain, in one
 // generation of the configuration.
-func (c *Controller) complete(ctx context.Context, snapshot *config.Snapshot, r config.Rollout, evidence []Evidence, d *leasedRollout) error {
+func (c *Controller) complete(ctx context.Context, snapshot *config.Snapshot, r config.Rollout, evidence []Evidence, l *leasedRollout) error {
 	from := config.VersionRef{Model: r.Model, Version: r.From}
 	good, bad := SumRatings(evidence)
 	last := len(snapshot.Doc.Rollouts.WithDefaults().Stages) - 1
@@ -271,18 +271,18 @@
 	if r.From != "" {
 		refs = append(refs, from)
 	}
-	_, err := c.deps.Writer.WriteRollouts(ctx, refs, []Check{d.lease.Check()},
+	_, err := c.deps.Writer.WriteRollouts(ctx, refs, []Check{l.lease.Check()},
 		func(now map[config.VersionRef]config.Rollout) ([]config.Rollout, error) {
 			next, found := now[r.VersionRef]
 			if !found || next.State != config.RollingOut {
 				return nil, nil
 			}
 			next.State, next.Share, next.Stage, next.Reason = config.Serving, 1, last, "passed"
-			next.Good, next.Bad, next.Fence = int(good), int(bad), d.lease.Fence()
+			next.Good, next.Bad, next.Fence = int(good), int(bad), l.lease.Fence()
 			rows := []config.Rollout{next}
 			if old := now[from]; r.From != "" && old.State != config.Withdrawn {
 				old.VersionRef = from
-				old.State, old.Share, old.Fence = config.Draining, 0, d.lease.Fence()
+				old.State, old.Share, old.Fence = config.Draining, 0, l.lease.Fence()
 				old.Reason = "replaced by " + r.Version
 				rows = append(rows, old)
 			}
@@ -299,8 +299,8 @@
 // Engines that ignore fencing numbers obey any daemon. The lease is therefore checked before
 // each order, with the margin that Held keeps, and after a takeover the new lease holder waits
 // until the orders of the old one have arrived before it sends its own.
-func (c *Controller) orderLoads(ctx context.Context, r config.Rollout, share float64, d *leasedRollout) error {
-	if c.deps.Clock.Since(d.tookOver) < maxOrderDelay {
+func (c *Controller) orderLoads(ctx context.Context, r config.Rollout, share float64, l *leasedRollout) error {
+	if c.deps.Clock.Since(l.tookOver) < maxOrderDelay {
 		return nil
 	}
 	have, candidates := c.candidates(r)
@@ -309,10 +309,10 @@
 		if have >= want {
 			return nil
 		}
-		if !d.lease.Held() {
+		if !l.lease.Held() {
 			return trace.CompareFailed("the lease expired before an order was sent")
 		}
-		o := upstream.Order{Fence: d.lease.Fence(), Action: upstream.OrderLoad, Model: r.Model, Version: r.Version}
+		o := upstream.Order{Fence: l.lease.Fence(), Action: upstream.OrderLoad, Model: r.Model, Version: r.Version}
 		err := c.deps.Orders.Order(ctx, engine.Address, o)
 		var refused *upstream.RefusedError
 		switch {
@@ -352,8 +352,8 @@
 func (c *Controller) Grant(ctx context.Context, ref config.VersionRef, want, expired int) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	d, ok := c.leased[ref]
-	if !ok || d.account == nil || !d.lease.Held() {
+	l, ok := c.leased[ref]
+	if !ok || l.account == nil || !l.lease.Held() {
 		return 0, trace.NotFound("this daemon does not hold the lease of the roll-out of %v", ref)
 	}
 	snapshot := c.deps.Snapshot()
@@ -366,19 +366,19 @@
 	}
 	now := c.deps.Clock.Now()
 	good, bad := SumRatings(evidence)
-	d.account.Return(expired)
-	available := d.account.Available(good, bad, now)
+	l.account.Return(expired)
+	available := l.account.Available(good, bad, now)
 	n := min(want, available)
-	if n > d.ungranted {
+	if n > l.ungranted {
 		// Credits reserved ahead are lost for a rating horizon if this daemon dies, so they
 		// stay a small part of those available.
 		ahead := min((available-n)/4, reserveChunk)
-		if err := c.reserve(ctx, ref, d, n-d.ungranted+ahead); err != nil {
+		if err := c.reserve(ctx, ref, l, n-l.ungranted+ahead); err != nil {
 			return 0, err
 		}
 	}
-	d.ungranted -= n
-	d.account.Grant(n, now)
+	l.ungranted -= n
+	l.account.Grant(n, now)
 	return n, nil
 }
 
--- a/internal/rollout/verdict.go
+++ b/internal/rollout/verdict.go
@@ -50,12 +50,12 @@
 	return sum
 }
 
-// withdrawBound is the log-likelihood ratio from which a version is bad.
+// withdrawBound is the log-likelihood ratio at or above which a version is bad.
 func (t Test) withdrawBound() float64 {
 	return math.Log((1 - t.policy.FalseAcceptance) / t.policy.FalseWithdrawal)
 }
 
-// acceptBound is the log-likelihood ratio down to which a version is good.
+// acceptBound is the log-likelihood ratio at or below which a version is good.
 func (t Test) acceptBound() float64 {
 	return math.Log(t.policy.FalseAcceptance / (1 - t.policy.FalseWithdrawal))
 }
--- a/internal/shift/book.go
+++ b/internal/shift/book.go
@@ -114,8 +114,8 @@
 // setIDs records the ID under which the order was first known, and its ID and era after a
 // restore of the store.
 //
-// Treated as a new order, the roll-out would start again and take sessions back to the old
-// version.
+// If the order counted as a new one, its roll-out would start again and take sessions back to
+// the old version.
 func (r *rollout) setIDs(first, restated, era int64) {
 	r.order.ID, r.order.Restated, r.order.Era = first, restated, era
 	r.state.Order, r.state.Restated = first, restated
@@ -140,8 +140,8 @@
 	}
 }
 
-// UpdateAge takes in how long ago an order was given. The longest age received counts;
-// UpdateAge reports whether it changed the time of the order.
+// UpdateAge records how long ago an order was given, and keeps the longest age received. It
+// reports whether the time of the order changed.
 func (t *Book) Aged(service string, order int64, age time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -166,7 +166,8 @@
 	return true
 }
 
-// ApplyState takes in a state. It reports whether the state is newer than the known one, or
+// ApplyState replaces the known state by a newer one. A stop, and the versions that an earlier
+// order's state withdraws, apply whatever the step. It reports whether the state is newer, or
 // is the first that stops the version.
 func (t *Book) Learn(s State) bool {
 	t.mu.Lock()
--- a/internal/shift/counts.go
+++ b/internal/shift/counts.go
@@ -89,15 +89,15 @@
 
 // addLatency adds a latency, divided by the expected one of o, n times; n = -1 removes it. A
 // latency of 0 is ignored.
-func (c *Count) addLatency(o Observation, took time.Duration, n int) {
-	if took == 0 {
+func (c *Count) addLatency(o Observation, latency time.Duration, n int) {
+	if latency == 0 {
 		return
 	}
 	unit := time.Second
 	if o.Expected > 0 {
 		unit = o.Expected
 	}
-	l := math.Log(float64(took) / float64(unit))
+	l := math.Log(float64(latency) / float64(unit))
 	c.Timed += n
 	c.LogSum += float64(n) * l
 	c.LogSquares += float64(n) * l * l
--- a/internal/shift/exposure.go
+++ b/internal/shift/exposure.go
@@ -28,16 +28,16 @@
 func (e Exposure) FirstShare() float64 { return firstShareFraction * float64(e) }
 
 // nextShare returns the fraction of the sessions that use the new version next.
-func (e Exposure) nextShare(now float64, o Order, in Known) float64 {
+func (e Exposure) nextShare(current float64, o Order, in Known) float64 {
 	switch {
-	case now == 0 && in.Elapsed < settleTime:
+	case current == 0 && in.Elapsed < settleTime:
 		return 0
-	case now == 0:
+	case current == 0:
 		return e.FirstShare()
 	case e.canMoveAll(o, in) && !SuspectRegression(in.Fresh, in.Old):
 		return 1
 	default:
-		return now
+		return current
 	}
 }
 
--- a/internal/shift/exposure_test.go
+++ b/internal/shift/exposure_test.go
@@ -175,7 +175,7 @@
 
 	clock.Advance(time.Second)
 	orders, _ := started.Orders()
-	told := newTracker(clock)
-	told.Ordered(orders[0])
-	require.Equal(t, 11*time.Second, told.Running()[0].Elapsed)
+	informed := newTracker(clock)
+	informed.Ordered(orders[0])
+	require.Equal(t, 11*time.Second, informed.Running()[0].Elapsed)
 }
--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -16,7 +16,6 @@
 
 // Phases. Completed and RolledBack are final.
 const (
-	// Phases. Completed and RolledBack are final.
 	Running    Phase = "running"
 	Completed  Phase = "completed"
 	RolledBack Phase = "rolled_back"
--- a/internal/shift/shift_test.go
+++ b/internal/shift/shift_test.go
@@ -307,11 +307,11 @@
 	started.Learn(back)
 	require.False(t, uses(started, "v2"))
 
-	told := newTracker(clockwork.NewFakeClock())
-	told.Ordered(next)
+	informed := newTracker(clockwork.NewFakeClock())
+	informed.Ordered(next)
 	_, states := stayed.Orders()
-	told.Learn(Next(states[0], next, Known{Elapsed: settleTime}, limit))
-	require.False(t, uses(told, "v2"))
+	informed.Learn(Next(states[0], next, Known{Elapsed: settleTime}, limit))
+	require.False(t, uses(informed, "v2"))
 
 	stayed.Ordered(Order{ID: 11, Service: "engines", To: "v2", Allowed: allowed})
 	require.True(t, uses(stayed, "v2"), "ordered again, it is tried again")
