--- a/internal/cascade/cascade_test.go
+++ b/internal/cascade/cascade_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestLargerIsAskedInTime(t *testing.T) {
+func TestLargeModelRunsOnlyIfInTime(t *testing.T) {
 	const objective, patience = 4 * time.Second, 10 * time.Second
 	require.True(t, Larger{Confidence: 10, Elapsed: time.Second, Total: 3 * time.Second, Objective: objective, Patience: patience}.Worthwhile())
 	require.False(t, Larger{Confidence: 90, Elapsed: time.Second, Total: 3 * time.Second, Objective: objective, Patience: patience}.Worthwhile())
@@ -18,7 +18,7 @@
 
 // Engines are overloaded: answers of the large model run into their deadline.
 // It is not asked while that is expected, and asked again some seconds after.
-func TestExpectationsRiseAndFade(t *testing.T) {
+func TestLatencyEstimateRisesAndDecays(t *testing.T) {
 	const objective, patience = 8 * time.Second, 8 * time.Second
 	now := time.Now()
 	ts := NewTimes()
@@ -32,14 +32,14 @@
 		ts.Note(large, 8*time.Second, 0, 50, now)
 	}
 	require.False(t, Larger{Confidence: 0, Elapsed: 500 * time.Millisecond, Total: ts.Expect(large, 10, now), Objective: objective, Patience: patience}.Worthwhile())
-	later := now.Add(2 * timeHalfLife)
+	later := now.Add(2 * estimateHalfLife)
 	require.True(t, Larger{Confidence: 0, Elapsed: 500 * time.Millisecond, Total: ts.Expect(large, 10, later), Objective: objective, Patience: patience}.Worthwhile())
 }
 
 // Every third answer of the large model meets an engine that reads long prompts
 // and takes three times as long. A caller with time for the mean but not for
 // those keeps the small model's answer: one in 25 callers lost both.
-func TestExpectationsCountTheExcess(t *testing.T) {
+func TestLatencyEstimateIncludesOverrun(t *testing.T) {
 	now := time.Now()
 	steady, varied := NewTimes(), NewTimes()
 	kind := Kind{"r", "large"}
@@ -59,7 +59,7 @@
 
 // Prompts wait longer and longer. Answers that are almost surely wrong are dropped for
 // longer than those that are merely doubtful; with idle engines both are.
-func TestSmallAnswersStandUnderLoad(t *testing.T) {
+func TestLoadRaisesTheBarForLargeModel(t *testing.T) {
 	asked := func(confidence int, wait time.Duration) bool {
 		return Larger{
 			Confidence: confidence, Elapsed: 100 * time.Millisecond, Head: time.Second, Total: 3 * time.Second,
@@ -75,22 +75,22 @@
 
 // Engines turn out half as fast as was taken, and later twice as fast: the expected
 // time follows within a few answers, also without many observations.
-func TestPaceFollowsWhatIsObserved(t *testing.T) {
+func TestPrefillRateFollowsObservations(t *testing.T) {
 	now := time.Now()
 	p := &Pace{}
-	require.InDelta(t, 1, p.Expect(firstPace, now).Seconds(), 0.01)
+	require.InDelta(t, 1, p.Expect(initialRate, now).Seconds(), 0.01)
 	observe := func(pace float64) {
 		for range 20 {
 			now = now.Add(500 * time.Millisecond)
 			p.Note(8000, BaseHead+time.Duration(8000/pace*float64(time.Second)), now)
 		}
 	}
-	observe(firstPace / 2)
-	require.InDelta(t, 2, p.Expect(firstPace, now).Seconds(), 0.25)
-	now = now.Add(2 * paceHalfLife)
-	observe(firstPace * 2)
-	require.InDelta(t, 0.5, p.Expect(firstPace, now).Seconds(), 0.25)
-	before := p.Expect(firstPace, now)
-	p.Note(leastWork/2, 10*time.Second, now)
-	require.Equal(t, before, p.Expect(firstPace, now), "a short prompt says nothing of the pace")
+	observe(initialRate / 2)
+	require.InDelta(t, 2, p.Expect(initialRate, now).Seconds(), 0.25)
+	now = now.Add(2 * observationHalfLife)
+	observe(initialRate * 2)
+	require.InDelta(t, 0.5, p.Expect(initialRate, now).Seconds(), 0.25)
+	before := p.Expect(initialRate, now)
+	p.Note(minWork/2, 10*time.Second, now)
+	require.Equal(t, before, p.Expect(initialRate, now), "a short prompt says nothing of the pace")
 }
--- a/internal/cascade/larger.go
+++ b/internal/cascade/larger.go
@@ -9,16 +9,16 @@
 	// priceOfLarge is the part of an answer's worth that the larger model's run
 	// costs, beside the time of engines: for the use of the model, and for the callers
 	// whose answers are written more slowly beside it.
-	priceOfLarge = 0.4
+	runCost = 0.4
 	// priceOfWait is what the run costs others, as a part of the answer's worth, for
 	// each second that a prompt waits on average at an instance. It is meant for
 	// overload: more of it costs calm installations answers that are worth it.
-	priceOfWait = 0.12
+	waitCostPerSecond = 0.12
 	// within is the part of the caller's time in which the larger model's answer must
 	// be expected to end. While engines are overloaded those answers end at their
 	// deadline or not at all; then the small model's answer in time is the better
 	// one, and not asking the large model is what lets the engines recover.
-	within = 0.85
+	deadlineFraction = 0.85
 )
 
 // Larger is what is known when a small model's answer may be dropped for one of the
@@ -44,9 +44,9 @@
 // not count. The more waits already the more a run costs others. An answer whose first
 // event is not expected in time keeps the engines from those that are.
 func (l Larger) Worthwhile() bool {
-	if l.Elapsed+l.Head >= l.Objective || float64(l.Elapsed+l.Total) >= within*float64(l.Patience) {
+	if l.Elapsed+l.Head >= l.Objective || float64(l.Elapsed+l.Total) >= deadlineFraction*float64(l.Patience) {
 		return false
 	}
 	better := 1 - float64(l.Confidence)/100
-	return better > priceOfLarge+priceOfWait*l.Wait.Seconds()
+	return better > runCost+waitCostPerSecond*l.Wait.Seconds()
 }
--- a/internal/limit/allocator.go
+++ b/internal/limit/allocator.go
@@ -12,10 +12,10 @@
 
 // shareFloor is the part of a limit that is kept for daemons without demand
 // when the demand of all is above the limit.
-const shareFloor = 0.1
+const evenFraction = 0.1
 
 // granted is a daemon's share of an organisation's limits.
-type granted struct {
+type grant struct {
 	demand   float64
 	fraction float64
 	until    time.Time
@@ -33,15 +33,15 @@
 	daemons func() int
 
 	mu    sync.Mutex
-	table map[string]map[string]*granted
+	table map[string]map[string]*grant
 	// since is when this daemon first allotted an organisation.
-	since map[string]time.Time
+	firstReport map[string]time.Time
 }
 
 // NewAllocator returns an allocator. daemons returns how many daemons share
 // the limits.
 func NewAllocator(clock clockwork.Clock, daemons func() int) *Allocator {
-	return &Allocator{clock: clock, daemons: daemons, table: map[string]map[string]*granted{}, since: map[string]time.Time{}}
+	return &Allocator{clock: clock, daemons: daemons, table: map[string]map[string]*grant{}, firstReport: map[string]time.Time{}}
 }
 
 // Report takes a daemon's demand and returns its shares.
@@ -54,11 +54,11 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.clock.Now()
-	out := map[string]Share{}
+	shares := map[string]Share{}
 	for _, d := range demands {
-		out[d.Organisation] = a.allot(from, d, now)
+		shares[d.Organisation] = a.allocate(from, d, now)
 	}
-	return out
+	return shares
 }
 
 // Return gives back the shares of a daemon that stops.
@@ -70,12 +70,12 @@
 	}
 }
 
-func (a *Allocator) allot(from string, d Demand, now time.Time) Share {
+func (a *Allocator) allocate(from string, d Demand, now time.Time) Share {
 	shares := a.table[d.Organisation]
 	if shares == nil {
-		shares = map[string]*granted{}
+		shares = map[string]*grant{}
 		a.table[d.Organisation] = shares
-		a.since[d.Organisation] = now
+		a.firstReport[d.Organisation] = now
 	}
 	total, taken := 0.0, 0.0
 	for id, g := range shares {
@@ -88,19 +88,19 @@
 			taken += g.fraction
 		}
 	}
-	mine := &granted{demand: d.Used, until: now.Add(ShareTTL)}
-	total += mine.demand
+	own := &grant{demand: d.Used, until: now.Add(ShareTTL)}
+	total += own.demand
 	// One part stays free for a daemon that has just started.
 	parts := float64(max(a.daemons(), 1) + 1)
 	switch {
-	case now.Sub(a.since[d.Organisation]) < ShareTTL:
-		mine.fraction = 1 / parts
+	case now.Sub(a.firstReport[d.Organisation]) < ShareTTL:
+		own.fraction = 1 / parts
 	case total < 1:
-		mine.fraction = mine.demand + (1-total)/parts
+		own.fraction = own.demand + (1-total)/parts
 	default:
-		mine.fraction = shareFloor/parts + (1-shareFloor)*mine.demand/total
+		own.fraction = evenFraction/parts + (1-evenFraction)*own.demand/total
 	}
-	mine.fraction = max(min(mine.fraction, 1-taken), 0)
-	shares[from] = mine
-	return Share{Fraction: mine.fraction, Until: mine.until}
+	own.fraction = max(min(own.fraction, 1-taken), 0)
+	shares[from] = own
+	return Share{Fraction: own.fraction, Until: own.until}
 }
--- a/internal/limit/budget.go
+++ b/internal/limit/budget.go
@@ -11,28 +11,28 @@
 	burst float64
 
 	mu    sync.Mutex
-	saved float64
+	available float64
 }
 
 // NewRetryBudget returns a full budget.
 func NewRetryBudget(burst float64) *RetryBudget {
-	return &RetryBudget{burst: burst, saved: burst}
+	return &RetryBudget{burst: burst, available: burst}
 }
 
 // Success earns a part of a retry.
 func (b *RetryBudget) Success(ratio float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.saved = min(b.saved+ratio, b.burst)
+	b.available = min(b.available+ratio, b.burst)
 }
 
 // Take spends one retry, or reports that there is none.
 func (b *RetryBudget) Take() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.saved < 1 {
+	if b.available < 1 {
 		return false
 	}
-	b.saved--
+	b.available--
 	return true
 }
--- a/internal/limit/fleet.go
+++ b/internal/limit/fleet.go
@@ -19,13 +19,13 @@
 // fleetMargin is the part of the budget that is used. Windows of the daemons
 // and of those who check do not begin at the same time, and requests that were
 // not read count for callers but not here.
-const fleetMargin = 0.85
+const usableFraction = 0.85
 
 // fleetBuckets is the number of steps in which a window slides. Repeats are
 // remembered for one step more, so that the one that is not over is on the safe
 // side: with a window that is up to a step short, 81 repeats passed where 78
 // were allowed.
-const fleetBuckets = 10
+const windowSteps = 10
 
 // FleetBudget bounds the repeats of this daemon to its share of what all of
 // them may send to a service: its own requests times the ratio, and an equal
@@ -35,7 +35,7 @@
 // Lock order: mu is taken alone.
 type FleetBudget struct {
 	clock   clockwork.Clock
-	sharers func() int
+	daemons func() int
 	// origin is where steps are counted from.
 	origin time.Time
 
@@ -45,18 +45,18 @@
 }
 
 type fleetWindow struct {
-	firsts, repeats [fleetBuckets + 1]int
+	requests, retries [windowSteps + 1]int
 	// at is the bucket of the present step, counted from the budget's origin.
-	at int64
+	step int64
 }
 
 // slot is the index of the step that is ahead of the present one.
-func (w *fleetWindow) slot(ahead int64) int { return int((w.at + ahead) % int64(len(w.firsts))) }
+func (w *fleetWindow) slot(ahead int64) int { return int((w.step + ahead) % int64(len(w.requests))) }
 
 // NewFleetBudget returns a budget. sharers is the number of daemons that share
 // it.
 func NewFleetBudget(policy FleetPolicy, clock clockwork.Clock, sharers func() int) *FleetBudget {
-	return &FleetBudget{policy: policy, clock: clock, sharers: sharers, origin: clock.Now(), services: map[string]*fleetWindow{}}
+	return &FleetBudget{policy: policy, clock: clock, daemons: sharers, origin: clock.Now(), services: map[string]*fleetWindow{}}
 }
 
 // SetPolicy changes the budget. What was counted so far keeps its place only if
@@ -75,28 +75,28 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.window(service)
-	w.firsts[w.slot(0)]++
+	w.requests[w.slot(0)]++
 }
 
 // Take spends one repeat, or reports that the share is used up.
 func (b *FleetBudget) Take(service string) bool {
-	n := float64(max(b.sharers(), 1))
+	n := float64(max(b.daemons(), 1))
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.window(service)
 	firsts, repeats := 0, 0
-	for i := range w.firsts {
-		repeats += w.repeats[i]
+	for i := range w.requests {
+		repeats += w.retries[i]
 		if i != w.slot(1) {
 			// All but the oldest step.
-			firsts += w.firsts[i]
+			firsts += w.requests[i]
 		}
 	}
-	allowed := fleetMargin * (b.policy.Ratio*float64(firsts) + b.policy.Slack/n)
+	allowed := usableFraction * (b.policy.Ratio*float64(firsts) + b.policy.Slack/n)
 	if float64(repeats+1) > allowed {
 		return false
 	}
-	w.repeats[w.slot(0)]++
+	w.retries[w.slot(0)]++
 	return true
 }
 
@@ -106,19 +106,19 @@
 // emptied the window, so that its repeats were allowed once more, and after a jump
 // back it stood still.
 func (b *FleetBudget) window(service string) *fleetWindow {
-	step := b.policy.Window / fleetBuckets
+	step := b.policy.Window / windowSteps
 	now := int64(b.clock.Since(b.origin) / max(step, time.Millisecond))
 	w, ok := b.services[service]
 	if !ok {
-		w = &fleetWindow{at: now}
+		w = &fleetWindow{step: now}
 		b.services[service] = w
 	}
-	for ; w.at < now && now-w.at <= fleetBuckets; w.at++ {
+	for ; w.step < now && now-w.step <= windowSteps; w.step++ {
 		next := w.slot(1)
-		w.firsts[next], w.repeats[next] = 0, 0
+		w.requests[next], w.retries[next] = 0, 0
 	}
-	if w.at < now {
-		*w = fleetWindow{at: now}
+	if w.step < now {
+		*w = fleetWindow{step: now}
 	}
 	return w
 }
--- a/internal/limit/fleet_test.go
+++ b/internal/limit/fleet_test.go
@@ -11,7 +11,7 @@
 
 // A service fails all it gets. Whatever the order of requests and repeats, the
 // repeats of all daemons together in any window stay inside the budget.
-func TestRepeatsStayInsideTheBudget(t *testing.T) {
+func TestRetriesOfAllDaemonsStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const daemons = 4
 		policy := FleetPolicy{Ratio: 0.5, Slack: 20, Window: 10 * time.Second}
@@ -82,7 +82,7 @@
 // The time of day jumps by more than a window on an entry instance, and back. The
 // repeats of that window were allowed a second time, so that a service got twice the
 // repeats that all daemons together may send.
-func TestTimeOfDayDoesNotRefillTheBudget(t *testing.T) {
+func TestWallClockJumpDoesNotRefillBudget(t *testing.T) {
 	steady := clockwork.NewFakeClock()
 	clock := &jumpingClock{Clock: steady}
 	b := NewFleetBudget(FleetPolicy{Slack: 20, Window: 10 * time.Second}, clock, func() int { return 1 })
@@ -97,9 +97,9 @@
 		clock.jump = jump
 		take()
 	}
-	require.Equal(t, int(fleetMargin*20), taken)
+	require.Equal(t, int(usableFraction*20), taken)
 	clock.jump = -time.Hour
 	steady.Advance(20 * time.Second)
 	take()
-	require.Equal(t, 2*int(fleetMargin*20), taken, "the window moves on with the steady clock")
+	require.Equal(t, 2*int(usableFraction*20), taken, "the window moves on with the steady clock")
 }
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -17,7 +17,7 @@
 
 // An organisation that was idle sends ten requests at once, well under its
 // rate, and is refused. The cause was a limiter that started empty.
-func TestIdleOrganisationHasItsBurst(t *testing.T) {
+func TestIdleOrganisationMayBurst(t *testing.T) {
 	o := NewOrganisations(clockwork.NewFakeClock(), one)
 	for range 100 {
 		_, _, ok := o.Admit("a", config.Limits{RequestsPerSecond: 100}, 0)
@@ -42,7 +42,7 @@
 
 // A granted share lapses while the daemon is cut off: it falls back to an
 // equal part, so that the daemons stay within the limit together.
-func TestShareLapses(t *testing.T) {
+func TestExpiredShareFallsBackToEqualShare(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	o := NewOrganisations(clock, func() int { return 4 })
 	o.SetShare("a", Share{Fraction: 0.9, Until: clock.Now().Add(ShareTTL)})
@@ -62,7 +62,7 @@
 
 // Daemons report in any order and with any demand; the shares in force never
 // add up to more than the whole limit.
-func TestSharesNeverExceedTheWhole(t *testing.T) {
+func TestSharesNeverExceedLimit(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	a := NewAllocator(clock, func() int { return 3 })
 	shares := map[string]Share{}
@@ -88,7 +88,7 @@
 // The callers of an organisation move from one daemon to another, far below
 // their limit. They were refused until the next reports, because the first
 // daemon still had nearly all of the limit.
-func TestCallersMoveBetweenDaemons(t *testing.T) {
+func TestUnusedLimitIsSharedEqually(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	a := NewAllocator(clock, func() int { return 3 })
 	for range 10 {
@@ -102,7 +102,7 @@
 // A daemon starts while the others hold all of the limit, and its first
 // requests are refused as over the limit. A part is kept free for it, and a
 // daemon that stops gives its share back at once.
-func TestNewDaemonFindsAShare(t *testing.T) {
+func TestNewDaemonGetsAShare(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	a := NewAllocator(clock, func() int { return 2 })
 	report := func(from string) Share { return a.Report(from, []Demand{{Organisation: "o", Used: 1}})["o"] }
@@ -128,7 +128,7 @@
 }
 
 // waiter queues work and returns where its outcome arrives.
-func waiter(q *Queue, w Work, room *int) chan error {
+func enqueue(q *Queue, w Work, room *int) chan error {
 	before := q.Len()
 	done := make(chan error, 1)
 	go func() {
@@ -153,10 +153,10 @@
 	work := func(org string, priority int) Work {
 		return Work{Priority: priority, Organisation: org, Cost: 1, Deadline: clock.Now().Add(time.Hour)}
 	}
-	greedy1 := waiter(q, work("greedy", 1), &room)
-	greedy2 := waiter(q, work("greedy", 1), &room)
-	modest := waiter(q, work("modest", 1), &room)
-	urgent := waiter(q, work("greedy", 2), &room)
+	greedy1 := enqueue(q, work("greedy", 1), &room)
+	greedy2 := enqueue(q, work("greedy", 1), &room)
+	modest := enqueue(q, work("modest", 1), &room)
+	urgent := enqueue(q, work("greedy", 2), &room)
 	for _, next := range []chan error{urgent, greedy1, modest, greedy2} {
 		q.mu.Lock()
 		room = 1
@@ -168,14 +168,14 @@
 
 // The queue is long and the deadline short. The caller is refused at once with
 // a time to come back, not kept until the deadline.
-func TestRefusedEarly(t *testing.T) {
+func TestRequestThatCannotMeetDeadlineIsRefusedAtOnce(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	q := NewQueue(clock)
-	q.interval = time.Second
+	q.grantInterval = time.Second
 	room := 0
 	far := Work{Organisation: "a", Cost: 1, Deadline: clock.Now().Add(time.Hour)}
 	for range 5 {
-		waiter(q, far, &room)
+		enqueue(q, far, &room)
 	}
 	err := q.Wait(context.Background(), Work{Organisation: "b", Priority: -1, Deadline: clock.Now().Add(3 * time.Second)}, func() bool { return false })
 	var refused *RefusedError
@@ -187,13 +187,13 @@
 // Upstreams were out for half a minute and came back. The queue still believed
 // that room comes up every half minute, and refused everything with a shorter
 // deadline; as nobody waited, it never learned better.
-func TestQueueForgetsAnOutage(t *testing.T) {
+func TestGrantIntervalIsResetAfterOutage(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	q := NewQueue(clock)
 	room := 0
 	var waiting []chan error
 	for range 3 {
-		waiting = append(waiting, waiter(q, Work{Organisation: "a", Deadline: clock.Now().Add(time.Hour)}, &room))
+		waiting = append(waiting, enqueue(q, Work{Organisation: "a", Deadline: clock.Now().Add(time.Hour)}, &room))
 	}
 	for _, next := range waiting {
 		clock.Advance(30 * time.Second)
@@ -203,7 +203,7 @@
 		q.Poke()
 		require.NoError(t, <-next)
 	}
-	short := waiter(q, Work{Organisation: "a", Deadline: clock.Now().Add(5 * time.Second)}, &room)
+	short := enqueue(q, Work{Organisation: "a", Deadline: clock.Now().Add(5 * time.Second)}, &room)
 	q.mu.Lock()
 	room = 1
 	q.mu.Unlock()
@@ -213,12 +213,12 @@
 
 // Urgent work pushes batch work back beyond its deadline. The batch work is
 // refused as soon as that is clear.
-func TestPushedBackWorkIsRefusedAtOnce(t *testing.T) {
+func TestDisplacedRequestIsRefusedAtOnce(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	q := NewQueue(clock)
-	q.interval = time.Second
+	q.grantInterval = time.Second
 	room := 0
-	batch := waiter(q, Work{Organisation: "a", Deadline: clock.Now().Add(1500 * time.Millisecond)}, &room)
+	batch := enqueue(q, Work{Organisation: "a", Deadline: clock.Now().Add(1500 * time.Millisecond)}, &room)
 	go func() {
 		_ = q.Wait(context.Background(), Work{Organisation: "a", Priority: 2, Deadline: clock.Now().Add(time.Hour)}, func() bool { return false })
 	}()
--- a/internal/limit/organisation.go
+++ b/internal/limit/organisation.go
@@ -74,33 +74,33 @@
 	u := o.usage(name)
 	u.offered++
 	fraction := o.fraction(u)
-	if limits.InFlight > 0 && u.inFlight >= part(limits.InFlight, fraction) {
-		return nil, busyRetry, false
+	if limits.InFlight > 0 && u.inFlight >= scaled(limits.InFlight, fraction) {
+		return nil, inFlightRetryAfter, false
 	}
-	if limits.TokensInFlight > 0 && u.tokens > 0 && u.tokens+tokens > part(limits.TokensInFlight, fraction) {
-		return nil, busyRetry, false
+	if limits.TokensInFlight > 0 && u.tokens > 0 && u.tokens+tokens > scaled(limits.TokensInFlight, fraction) {
+		return nil, inFlightRetryAfter, false
 	}
 	if limits.RequestsPerSecond > 0 {
-		if wait := o.takeRate(u, max(limits.RequestsPerSecond*fraction, leastRate)); wait > 0 {
+		if wait := o.reserveRate(u, max(limits.RequestsPerSecond*fraction, minRate)); wait > 0 {
 			return nil, wait, false
 		}
 	}
 	u.inFlight++
 	u.tokens += tokens
 	var once sync.Once
-	return func() { once.Do(func() { o.end(name, tokens) }) }, 0, true
+	return func() { once.Do(func() { o.release(name, tokens) }) }, 0, true
 }
 
 // leastRate is the rate, in requests per second, that a share of nearly nothing
 // still allows.
-const leastRate = 0.1
+const minRate = 0.1
 
 // busyRetry is when to come back after a limit on running work.
-const busyRetry = 500 * time.Millisecond
+const inFlightRetryAfter = 500 * time.Millisecond
 
-func part(limit int, fraction float64) int { return max(int(float64(limit)*fraction+0.5), 1) }
+func scaled(limit int, fraction float64) int { return max(int(float64(limit)*fraction+0.5), 1) }
 
-func (o *Organisations) takeRate(u *usage, perSecond float64) time.Duration {
+func (o *Organisations) reserveRate(u *usage, perSecond float64) time.Duration {
 	now := o.clock.Now()
 	if u.limiter == nil {
 		// A limiter starts with a full burst: an organisation that was idle
@@ -119,7 +119,7 @@
 	return wait
 }
 
-func (o *Organisations) end(name string, tokens int) {
+func (o *Organisations) release(name string, tokens int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	u := o.usage(name)
--- a/internal/limit/queue.go
+++ b/internal/limit/queue.go
@@ -39,7 +39,7 @@
 type ticket struct {
 	work Work
 	// virtual is the fair-queueing finish time of the work.
-	virtual float64
+	virtualFinish float64
 	try     func() bool
 	done    chan error
 	// since is when the ticket was queued.
@@ -55,21 +55,21 @@
 
 	mu      sync.Mutex
 	waiting []*ticket
-	virtual float64
-	last    map[string]float64
+	virtualTime float64
+	lastFinish    map[string]float64
 	// interval is the smoothed time between two grants while there is a
 	// queue.
-	interval  time.Duration
+	grantInterval  time.Duration
 	lastGrant time.Time
 }
 
 // NewQueue returns an empty queue.
 func NewQueue(clock clockwork.Clock) *Queue {
-	return &Queue{clock: clock, last: map[string]float64{}}
+	return &Queue{clock: clock, lastFinish: map[string]float64{}}
 }
 
 // smoothing is the weight of a new sample of the grant interval.
-const smoothing = 0.1
+const intervalWeight = 0.1
 
 // Wait calls try until it succeeds, in the order of the queue. It returns a
 // *RefusedError at once when the queue is too long for the deadline, or as
@@ -78,21 +78,21 @@
 func (q *Queue) Wait(ctx context.Context, work Work, try func() bool) error {
 	q.mu.Lock()
 	if len(q.waiting) == 0 && try() {
-		q.granted()
+		q.recordGrant()
 		q.mu.Unlock()
 		return nil
 	}
 	t := q.newTicket(work, try)
 	at := q.insert(t)
-	if wait := q.expected(at); !q.feasible(t, wait) {
+	if wait := q.expectedWait(at); !q.meetsDeadline(t, wait) {
 		q.remove(t)
 		if len(q.waiting) == 0 {
-			q.forget()
+			q.reset()
 		}
 		q.mu.Unlock()
 		return &RefusedError{RetryAfter: q.retryAfter(wait)}
 	}
-	q.evict()
+	q.refuseLate()
 	q.mu.Unlock()
 	return q.await(ctx, t)
 }
@@ -106,21 +106,21 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.remove(t) {
-		return &RefusedError{RetryAfter: q.retryAfter(q.expected(len(q.waiting)))}
+		return &RefusedError{RetryAfter: q.retryAfter(q.expectedWait(len(q.waiting)))}
 	}
 	return <-t.done
 }
 
 func (q *Queue) newTicket(work Work, try func() bool) *ticket {
-	start := max(q.virtual, q.last[work.Organisation])
-	t := &ticket{work: work, try: try, done: make(chan error, 1), virtual: start + work.Cost, since: q.clock.Now()}
-	q.last[work.Organisation] = t.virtual
+	start := max(q.virtualTime, q.lastFinish[work.Organisation])
+	t := &ticket{work: work, try: try, done: make(chan error, 1), virtualFinish: start + work.Cost, since: q.clock.Now()}
+	q.lastFinish[work.Organisation] = t.virtualFinish
 	return t
 }
 
 func (q *Queue) insert(t *ticket) int {
 	at, _ := slices.BinarySearchFunc(q.waiting, t, func(a, b *ticket) int {
-		if c := cmp.Or(cmp.Compare(b.work.Priority, a.work.Priority), cmp.Compare(a.virtual, b.virtual)); c != 0 {
+		if c := cmp.Or(cmp.Compare(b.work.Priority, a.work.Priority), cmp.Compare(a.virtualFinish, b.virtualFinish)); c != 0 {
 			return c
 		}
 		return -1
@@ -139,9 +139,9 @@
 }
 
 // expected is how long the ticket at a position is likely to wait.
-func (q *Queue) expected(at int) time.Duration { return time.Duration(at+1) * q.interval }
+func (q *Queue) expectedWait(at int) time.Duration { return time.Duration(at+1) * q.grantInterval }
 
-func (q *Queue) feasible(t *ticket, wait time.Duration) bool {
+func (q *Queue) meetsDeadline(t *ticket, wait time.Duration) bool {
 	return q.clock.Now().Add(wait + t.work.Service).Before(t.work.Deadline)
 }
 
@@ -153,11 +153,11 @@
 }
 
 // evict refuses the tickets that more urgent work has pushed too far back.
-func (q *Queue) evict() {
+func (q *Queue) refuseLate() {
 	kept := q.waiting[:0]
 	for _, t := range q.waiting {
-		wait := q.expected(len(kept))
-		if q.feasible(t, wait) {
+		wait := q.expectedWait(len(kept))
+		if q.meetsDeadline(t, wait) {
 			kept = append(kept, t)
 			continue
 		}
@@ -177,26 +177,26 @@
 			break
 		}
 		q.waiting = slices.Delete(q.waiting, 0, 1)
-		q.virtual = max(q.virtual, t.virtual-t.work.Cost)
-		q.granted()
+		q.virtualTime = max(q.virtualTime, t.virtualFinish-t.work.Cost)
+		q.recordGrant()
 		t.done <- nil
 	}
-	q.evict()
+	q.refuseLate()
 	if len(q.waiting) == 0 {
-		q.forget()
+		q.reset()
 	}
 }
 
 // granted updates the grant interval. Only grants close together count: an
 // idle time between them says nothing about how fast room comes up.
-func (q *Queue) granted() {
+func (q *Queue) recordGrant() {
 	now := q.clock.Now()
 	if len(q.waiting) > 0 && !q.lastGrant.IsZero() {
 		sample := now.Sub(q.lastGrant)
-		if q.interval == 0 {
-			q.interval = sample
+		if q.grantInterval == 0 {
+			q.grantInterval = sample
 		}
-		q.interval += time.Duration(smoothing * float64(sample-q.interval))
+		q.grantInterval += time.Duration(intervalWeight * float64(sample-q.grantInterval))
 	}
 	q.lastGrant = now
 }
@@ -205,10 +205,10 @@
 // claim on the order, and how fast room came up says nothing about the next
 // time there is a queue. An interval kept from an outage would refuse every
 // short deadline, and with nobody let in to wait it would never be corrected.
-func (q *Queue) forget() {
-	clear(q.last)
-	q.virtual = 0
-	q.interval = 0
+func (q *Queue) reset() {
+	clear(q.lastFinish)
+	q.virtualTime = 0
+	q.grantInterval = 0
 	q.lastGrant = time.Time{}
 }
 
--- a/internal/quarantine/digest.go
+++ b/internal/quarantine/digest.go
@@ -1,6 +1,6 @@
-// Package quarantine decides which requests are refused because they crash the upstream
-// instances that run them. It weighs which requests were on the instances that ended,
-// keeps what was decided, and does no I/O.
+// Package quarantine decides which requests to refuse because they crash the upstream
+// instances that run them. It compares which requests ran on the instances that ended, stores
+// the decisions in memory, and does no I/O.
 package quarantine
 
 import (
@@ -11,13 +11,13 @@
 	"github.com/gravitational/trace"
 )
 
-// Digest tells whether two requests are the same one: it covers method, host, target,
-// organisation and body, whatever the id, daemon or connection.
+// Digest identifies a request by method, host, target, organisation and body. The same request
+// has the same digest whatever its request ID, daemon or connection.
 //
-// It is half of a SHA-256: nobody can write a request that has the digest of another
-// organisation's, which would have that one refused. A secret key would do the same
-// with a shorter hash, but every daemon would need it, also one that starts while the
-// store is away.
+// Digest is the first half of a SHA-256, so that nobody can construct a request with the
+// digest of another organisation's request and have that one refused. A keyed shorter hash
+// would prevent this too, but every daemon would need the key, even one that starts while the
+// store is unavailable.
 type Digest [sha256.Size / 2]byte
 
 // NewDigest returns the digest of a request.
@@ -25,7 +25,7 @@
 	h := sha256.New()
 	var length [8]byte
 	for _, field := range []string{method, host, target, organisation} {
-		// The length keeps the end of one field from being the start of the next.
+		// The length prefix keeps different fields with the same concatenation apart.
 		binary.BigEndian.PutUint64(length[:], uint64(len(field)))
 		h.Write(length[:])
 		h.Write([]byte(field))
@@ -34,7 +34,7 @@
 	return Digest(h.Sum(nil))
 }
 
-// String returns the digest in hexadecimal.
+// String returns d in hexadecimal.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
 // MarshalText implements encoding.TextMarshaler.
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -11,39 +11,40 @@
 )
 
 const (
-	// EvidenceTime is how long a crash counts, and how long it is remembered that a
-	// request ran to its end. A caller repeats a request for as long as it waits, some ten
-	// seconds, and its user for some minutes.
+	// EvidenceTTL is how long a crash counts as evidence, and how long the completion of a
+	// request is remembered. It covers repeated attempts: a caller retries a request for some
+	// ten seconds, and the caller's user for some minutes.
 	EvidenceTime = 5 * time.Minute
-	// enough is the number of crashed instances that condemn a request which alone
-	// explains them.
-	enough = 3
-	// enoughBesides is that number while instances end at the same time that it was
-	// not on: then something else crashes instances, and may have crashed these.
-	enoughBesides = 5
-	// mostElsewhere is how many times as many instances may end meanwhile that it was
-	// not on: with more, it is beside what ends them. Three such requests that come at
-	// the same time and rate are found out all the same.
-	mostElsewhere = 2
-	// sameCause is the time within which instances that end count as ended by the same
-	// cause. A rack that loses power ends all of its instances at once, and a bad
-	// version takes its instances down within seconds.
-	sameCause = 2 * time.Second
-	// together is the time within which instances have ended at the same moment.
-	together = 100 * time.Millisecond
-	// maxCrashes bounds the crashes remembered, maxSuspects the requests of each.
+	// minCrashes is the number of crashed instances after which a request is quarantined if it
+	// alone explains all crashes of that time.
+	minCrashes = 3
+	// minCrashesConfounded applies instead of minCrashes when other instances end at the same
+	// time without the request, or when the evidence is incomplete: then something else may
+	// have crashed the instances.
+	minCrashesConfounded = 5
+	// maxUnrelatedRatio is the highest ratio of instances that ended without the request to
+	// instances that ended with it. Above it, the request is taken to be a bystander. With 2,
+	// three crashing requests that arrive at the same time and rate are still all found.
+	maxUnrelatedRatio = 2
+	// sameCauseWindow is the time within which ends of instances may have the same cause. A
+	// rack that loses power ends all its instances at once, and a bad version ends its
+	// instances within seconds.
+	sameCauseWindow = 2 * time.Second
+	// simultaneousWindow is the time within which ends of instances count as simultaneous.
+	simultaneousWindow = 100 * time.Millisecond
+	// maxCrashes bounds the remembered crashes, and maxSuspects the suspects of each.
 	maxCrashes  = 1024
 	maxSuspects = 256
 )
 
-// Suspect is a request that was on an instance when it ended.
+// Suspect is a request that was running on an instance when the instance ended.
 type Suspect struct {
 	Digest       Digest
 	Route        string
 	Organisation string
 }
 
-// Digests returns the digests of suspects.
+// Digests returns the digests of the suspects.
 func Digests(all []Suspect) []Digest {
 	out := make([]Digest, len(all))
 	for i, s := range all {
@@ -52,33 +53,34 @@
 	return out
 }
 
-// Crash is the end of an instance under requests.
+// Crash is one daemon's report that an instance ended while requests were running on it.
 type Crash struct {
-	// Instance is the life of the server that ended, ID its name in logs.
+	// Instance identifies one run of the server that ended; ID is its name in logs.
 	Instance inventory.Number
 	ID       string
-	// Age is for how long it had ended when this was told.
+	// Age is the time from the end of the instance to this report.
 	Age time.Duration
-	// Suspects are the requests of the daemon that tells.
+	// Suspects are the requests that the reporting daemon had on the instance.
 	Suspects []Suspect
 }
 
-// crash is an ended instance with the suspects of all daemons.
+// crash is an ended instance with the suspects reported by all daemons.
 type crash struct {
 	id       string
 	at       time.Time
 	suspects map[Digest]Suspect
 }
 
-// Evidence collects crashes and weighs which requests cause them.
+// Evidence collects crash reports and determines which requests cause the crashes.
 //
-// How it is weighed. Of several requests on an ended instance any may be the cause. A
-// request that has since run to its end is none. What is left is judged by whether it
-// explains what ended: it was on three ended instances, on each that ended meanwhile,
-// and no other request was on all of these. While other instances end too, by a loss of
-// power or by a second such request, it takes five, and a third of all that ended. Two
-// requests that were on exactly the same instances are told apart by the next crash or the
-// first that ends well. Crashes with a request that is quarantined speak against no other.
+// Any request that was on an ended instance may be the cause, except one that has completed
+// since. A request is quarantined when it was on three ended instances (minCrashes), no other
+// instance ended in that time without it, and no other request was on all of the three. If
+// other instances ended too, because of a power loss or a second crashing request, it must
+// have been on five (minCrashesConfounded) and on at least a third of all that ended. Two
+// requests that were on exactly the same instances are told apart by the next crash with only
+// one of them, or by the first that completes. Crashes of instances that had a quarantined
+// request are not held against other requests.
 //
 // Lock order: mu is taken alone.
 type Evidence struct {
@@ -86,39 +88,40 @@
 
 	mu      sync.Mutex
 	crashes map[inventory.Number]*crash
-	// order has the keys of crashes, oldest first.
+	// order holds the keys of crashes, oldest crash first.
 	order []inventory.Number
-	// cleared is when suspects were last known to have run to their end.
+	// cleared holds when each request is last known to have completed.
 	cleared map[Digest]time.Time
 }
 
-// NewEvidence returns evidence of nothing.
+// NewEvidence returns an Evidence without crashes.
 func NewEvidence(clock clockwork.Clock) *Evidence {
 	return &Evidence{clock: clock, crashes: map[inventory.Number]*crash{}, cleared: map[Digest]time.Time{}}
 }
 
-// Add takes in what a daemon tells of a crash.
-func (e *Evidence) Add(told Crash) {
+// Add records a daemon's report. Reports of several daemons on the same instance are merged.
+func (e *Evidence) Add(report Crash) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.clock.Now()
-	defer e.forget(now)
-	c := e.crashes[told.Instance]
+	defer e.expire(now)
+	c := e.crashes[report.Instance]
 	if c == nil {
-		c = &crash{id: told.ID, at: now.Add(-told.Age), suspects: map[Digest]Suspect{}}
-		e.crashes[told.Instance] = c
-		e.insert(told.Instance, c.at)
+		c = &crash{id: report.ID, at: now.Add(-report.Age), suspects: map[Digest]Suspect{}}
+		e.crashes[report.Instance] = c
+		e.insertOrdered(report.Instance, c.at)
 	}
-	for _, s := range told.Suspects {
+	for _, s := range report.Suspects {
 		if len(c.suspects) < maxSuspects {
 			c.suspects[s.Digest] = s
 		}
 	}
 }
 
-// insert keeps order sorted: daemons tell of the same time at different ones, and a new
-// judge hears of all at once.
-func (e *Evidence) insert(n inventory.Number, at time.Time) {
+// insertOrdered inserts n into order at the position of its time. Reports may arrive out of
+// order: daemons send them at different times, and a daemon that has just started to judge
+// receives all at once.
+func (e *Evidence) insertOrdered(n inventory.Number, at time.Time) {
 	i := len(e.order)
 	for i > 0 && e.crashes[e.order[i-1]].at.After(at) {
 		i--
@@ -126,15 +129,15 @@
 	e.order = slices.Insert(e.order, i, n)
 }
 
-// First returns those of some requests that were on one ended instance at most, as far as
-// is known.
+// AtMostOneCrash returns those of the given requests that were on at most one ended instance,
+// as far as is known. Crashes before a request last completed do not count.
 func (e *Evidence) First(all []Digest) []Digest {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(all), func(d Digest) bool {
 		count := 0
 		for _, c := range e.crashes {
-			if _, there := c.suspects[d]; there && c.at.After(e.cleared[d]) {
+			if _, ok := c.suspects[d]; ok && c.at.After(e.cleared[d]) {
 				count++
 			}
 		}
@@ -142,9 +145,9 @@
 	})
 }
 
-// forget drops what is too old, or too much. A request that has crashed instances can be
-// pushed out only by as many further crashes.
-func (e *Evidence) forget(now time.Time) {
+// expire removes crashes and completions older than EvidenceTTL, and the oldest crashes above
+// maxCrashes. A crash is therefore removed early only if maxCrashes later ones are reported.
+func (e *Evidence) expire(now time.Time) {
 	for len(e.order) > 0 && (len(e.order) > maxCrashes || now.Sub(e.crashes[e.order[0]].at) > EvidenceTime) {
 		delete(e.crashes, e.order[0])
 		e.order = e.order[1:]
@@ -156,7 +159,8 @@
 	}
 }
 
-// Clear takes in that a request ran to its end some time ago.
+// Clear records that a request completed the given time ago. Its crashes before then no longer
+// count against it.
 func (e *Evidence) Clear(d Digest, age time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -165,50 +169,52 @@
 	}
 }
 
-// Case is a request with the crashes that speak against it.
-type Case struct {
+// SuspectCrashes is a suspect with the crashes that count against it.
+type SuspectCrashes struct {
 	Suspect
-	// Ended are the IDs of the instances that ended under it, oldest first.
+	// Ended are the IDs of the instances that ended while running the request, oldest first.
 	Ended []string
-	// Since is how long ago the first of them ended.
+	// Since is the time since the first of them ended.
 	Since time.Duration
-	// first and last are when instances ended under it.
+	// first and last are the times of the first and last of these crashes.
 	first, last time.Time
 	crashes     []inventory.Number
-	// elsewhere is the number of instances that ended meanwhile without it.
-	elsewhere int
+	// unrelated is the number of instances that ended in the same period without the request.
+	unrelated int
 }
 
-// Suspected returns the requests that may be condemned, or speak for one that may: those
-// that were on enough ended instances. What daemons know of them is to be asked for
-// before Cases is relied on.
-func (e *Evidence) Suspected(known, proven func(Digest) bool) []Digest {
+// Suspected returns the requests that were on enough ended instances to be quarantined, and
+// those on probation that were on any. The caller must ask all daemons about these requests,
+// then call Culprits.
+func (e *Evidence) Suspected(quarantined, onProbation func(Digest) bool) []Digest {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.forget(e.clock.Now())
+	e.expire(e.clock.Now())
 	var out []Digest
-	for d, c := range e.suspects(e.unexplained(known)) {
-		if proven(d) || len(c.crashes) >= enough {
+	for d, c := range e.suspects(e.unexplained(quarantined)) {
+		if onProbation(d) || len(c.crashes) >= minCrashes {
 			out = append(out, d)
 		}
 	}
 	return out
 }
 
-// Cases returns the requests that are to be refused by what is known so far. known tells
-// which are quarantined already; they explain the crashes that they were on. proven tells
-// which have been quarantined before: one crash more is enough for these. complete is
-// for how long back all daemons have told what they know. Where that is not enough,
-// another request may be the cause, or this one have run to its end, and it takes as many
-// crashes as when other instances end.
-func (e *Evidence) Cases(complete time.Duration, known, proven func(Digest) bool) []Case {
+// Culprits returns the requests to quarantine on the present evidence. quarantined reports
+// whether a request is quarantined already; such requests explain the crashes that they were
+// on. onProbation reports whether the quarantine of a request ended recently; one more crash
+// suffices for it.
+//
+// complete is how far back the evidence includes the reports of all daemons. If a suspect's
+// first crash is older, another request may be the cause, or the suspect may have completed
+// unnoticed, so it needs minCrashesConfounded crashes.
+func (e *Evidence) Cases(complete time.Duration, quarantined, onProbation func(Digest) bool) []SuspectCrashes {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.forget(e.clock.Now())
-	open := e.unexplained(known)
-	var out []Case
-	for _, c := range e.suspects(open) {
-		if proven(c.Digest) || e.condemned(c, open, complete) {
+	e.expire(e.clock.Now())
+	unexplained := e.unexplained(quarantined)
+	var out []SuspectCrashes
+	for _, c := range e.suspects(unexplained) {
+		if onProbation(c.Digest) || e.isCulprit(c, unexplained, complete) {
 			c.Since = e.clock.Since(c.first)
 			out = append(out, *c)
 		}
@@ -216,26 +222,26 @@
 	return out
 }
 
-// unexplained returns the crashes on which no quarantined request was, oldest first.
-func (e *Evidence) unexplained(known func(Digest) bool) []inventory.Number {
-	var open []inventory.Number
+// unexplained returns the crashes of instances that had no quarantined request, oldest first.
+func (e *Evidence) unexplained(quarantined func(Digest) bool) []inventory.Number {
+	var unexplained []inventory.Number
 	for _, n := range e.order {
 		explained := false
 		for d := range e.crashes[n].suspects {
-			explained = explained || known(d)
+			explained = explained || quarantined(d)
 		}
 		if !explained {
-			open = append(open, n)
+			unexplained = append(unexplained, n)
 		}
 	}
-	return open
+	return unexplained
 }
 
-// suspects returns the requests that were on crashed instances and did not run to their
-// end since.
-func (e *Evidence) suspects(open []inventory.Number) map[Digest]*Case {
-	all := map[Digest]*Case{}
-	for _, n := range open {
+// suspects returns the requests that were on the given crashed instances and have not
+// completed since, by digest.
+func (e *Evidence) suspects(unexplained []inventory.Number) map[Digest]*SuspectCrashes {
+	all := map[Digest]*SuspectCrashes{}
+	for _, n := range unexplained {
 		c := e.crashes[n]
 		for d, s := range c.suspects {
 			if e.cleared[d].After(c.at) {
@@ -243,7 +249,7 @@
 			}
 			one := all[d]
 			if one == nil {
-				one = &Case{Suspect: s, first: c.at}
+				one = &SuspectCrashes{Suspect: s, first: c.at}
 				all[d] = one
 			}
 			one.Ended = append(one.Ended, c.id)
@@ -254,36 +260,36 @@
 	return all
 }
 
-// condemned reports whether a request is to be refused.
-func (e *Evidence) condemned(c *Case, open []inventory.Number, complete time.Duration) bool {
-	if len(c.crashes) < enough {
+// isCulprit reports whether the evidence suffices to quarantine c. It also counts c.unrelated.
+func (e *Evidence) isCulprit(c *SuspectCrashes, unexplained []inventory.Number, complete time.Duration) bool {
+	if len(c.crashes) < minCrashes {
 		return false
 	}
-	for _, n := range open {
+	for _, n := range unexplained {
 		at := e.crashes[n].at
-		if slices.Contains(c.crashes, n) || at.Before(c.first.Add(-sameCause)) || at.After(c.last.Add(sameCause)) {
+		if slices.Contains(c.crashes, n) || at.Before(c.first.Add(-sameCauseWindow)) || at.After(c.last.Add(sameCauseWindow)) {
 			continue
 		}
-		c.elsewhere++
+		c.unrelated++
 	}
-	alone := c.elsewhere == 0 && e.clock.Since(c.first) <= complete
-	if !alone && (e.strength(c, open) < enoughBesides || c.elsewhere > mostElsewhere*len(c.crashes)) {
+	unconfounded := c.unrelated == 0 && e.clock.Since(c.first) <= complete
+	if !unconfounded && (e.weightedCrashes(c, unexplained) < minCrashesConfounded || c.unrelated > maxUnrelatedRatio*len(c.crashes)) {
 		return false
 	}
-	return !e.rivalled(c)
+	return !e.indistinguishable(c)
 }
 
-// strength is the number of instances that ended under a request, less what else explains
-// them: of k that end at the same moment, with the request on one of them, that one counts
-// as 1/k. It tells a rack that loses power again and again from several such requests,
-// which do not come at the same moments.
-func (e *Evidence) strength(c *Case, open []inventory.Number) float64 {
+// weightedCrashes is the number of instances that ended with a request, less what other causes
+// explain: if k instances end simultaneously and only one of them has the request, that one
+// counts 1/k. This tells repeated power losses of a rack from several crashing requests, whose
+// crashes are not simultaneous.
+func (e *Evidence) weightedCrashes(c *SuspectCrashes, unexplained []inventory.Number) float64 {
 	sum := 0.0
 	for _, n := range c.crashes {
 		at := e.crashes[n].at
 		k := 1
-		for _, other := range open {
-			if d := e.crashes[other].at.Sub(at).Abs(); d <= together && !slices.Contains(c.crashes, other) {
+		for _, other := range unexplained {
+			if d := e.crashes[other].at.Sub(at).Abs(); d <= simultaneousWindow && !slices.Contains(c.crashes, other) {
 				k++
 			}
 		}
@@ -292,20 +298,21 @@
 	return sum
 }
 
-// rivalled reports whether another request was on all the instances that ended under c.
-func (e *Evidence) rivalled(c *Case) bool {
+// indistinguishable reports whether another request was on all the instances that ended with c
+// and has not completed since.
+func (e *Evidence) indistinguishable(c *SuspectCrashes) bool {
 	for d := range e.crashes[c.crashes[0]].suspects {
 		if d == c.Digest {
 			continue
 		}
-		everywhere := true
+		onAll := true
 		for _, n := range c.crashes {
-			if _, there := e.crashes[n].suspects[d]; !there || e.cleared[d].After(e.crashes[n].at) {
-				everywhere = false
+			if _, ok := e.crashes[n].suspects[d]; !ok || e.cleared[d].After(e.crashes[n].at) {
+				onAll = false
 				break
 			}
 		}
-		if everywhere {
+		if onAll {
 			return true
 		}
 	}
--- a/internal/quarantine/evidence_test.go
+++ b/internal/quarantine/evidence_test.go
@@ -12,220 +12,223 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/inventory"
 )
 
-// named returns a suspect of its own for each name.
-func named(name string) Suspect {
+// suspectNamed returns a distinct suspect for each name.
+func suspectNamed(name string) Suspect {
 	return Suspect{Digest: NewDigest("POST", "shop.example", "/notes/"+name, "visrad", nil), Route: "notes", Organisation: "visrad"}
 }
 
-// judged is evidence with a list, as a judge has them.
-type judged struct {
+// harness holds the evidence and the list of a daemon that judges crashes.
+type harness struct {
 	clock    *clockwork.FakeClock
 	evidence *Evidence
 	list     *List
 	next     int
 }
 
-func newJudged() *judged {
+func newHarness() *harness {
 	clock := clockwork.NewFakeClock()
-	return &judged{clock: clock, evidence: NewEvidence(clock), list: NewList(clock)}
+	return &harness{clock: clock, evidence: NewEvidence(clock), list: NewList(clock)}
 }
 
-// crash ends an instance under some requests.
-func (j *judged) crash(names ...string) {
-	j.next++
-	told := Crash{Instance: inventory.Number(j.next), ID: fmt.Sprint("i-", j.next)}
+// crash reports the end of an instance that was running the named requests.
+func (h *harness) crash(names ...string) {
+	h.next++
+	report := Crash{Instance: inventory.Number(h.next), ID: fmt.Sprint("i-", h.next)}
 	for _, name := range names {
-		told.Suspects = append(told.Suspects, named(name))
+		report.Suspects = append(report.Suspects, suspectNamed(name))
 	}
-	j.evidence.Add(told)
+	h.evidence.Add(report)
 }
 
-// decide quarantines what is condemned, and returns how many requests that were.
-func (j *judged) decide(complete time.Duration) int {
+// decide quarantines the culprits and returns their number.
+func (h *harness) decide(complete time.Duration) int {
 	refused := func(d Digest) bool {
-		_, yes := j.list.Refused(d)
+		_, yes := h.list.Refused(d)
 		return yes
 	}
-	cases := j.evidence.Cases(complete, refused, j.list.Proven)
+	cases := h.evidence.Cases(complete, refused, h.list.Proven)
 	for _, c := range cases {
-		j.list.Quarantine(c)
+		h.list.Quarantine(c)
 	}
 	return len(cases)
 }
 
-func (j *judged) refused(name string) bool {
-	_, yes := j.list.Refused(named(name).Digest)
+func (h *harness) refused(name string) bool {
+	_, yes := h.list.Refused(suspectNamed(name).Digest)
 	return yes
 }
 
-// all is complete evidence.
-const all = time.Hour
+// allDaemonsKnown is a value of complete that covers all crashes of a test.
+const allDaemonsKnown = time.Hour
 
-// A request crashes three instances, one after another, each with others on it. It is
-// refused with the third, and those that were beside it on two of them are not.
-func TestThirdCrashCondemns(t *testing.T) {
-	j := newJudged()
-	j.crash("cause", "a", "b")
-	j.clock.Advance(time.Second)
-	j.crash("b", "cause")
-	require.Zero(t, j.decide(all))
-	j.clock.Advance(time.Second)
-	j.crash("cause", "c")
-	require.Equal(t, 1, j.decide(all))
-	require.True(t, j.refused("cause"))
-	for _, beside := range []string{"a", "b", "c"} {
-		require.False(t, j.refused(beside))
+// A request crashes three instances, one after another, each of which runs others too. It is
+// quarantined after the third. Requests that shared two of the instances are not.
+func TestThirdCrashQuarantinesRequest(t *testing.T) {
+	h := newHarness()
+	h.crash("cause", "a", "b")
+	h.clock.Advance(time.Second)
+	h.crash("b", "cause")
+	require.Zero(t, h.decide(allDaemonsKnown))
+	h.clock.Advance(time.Second)
+	h.crash("cause", "c")
+	require.Equal(t, 1, h.decide(allDaemonsKnown))
+	require.True(t, h.refused("cause"))
+	for _, other := range []string{"a", "b", "c"} {
+		require.False(t, h.refused(other))
 	}
 }
 
-// A request was on three instances that ended, and has run to its end since the first.
-func TestRequestThatRanToItsEndIsCleared(t *testing.T) {
-	j := newJudged()
-	j.crash("a")
-	j.clock.Advance(time.Second)
-	j.evidence.Clear(named("a").Digest, 500*time.Millisecond)
-	j.clock.Advance(2 * sameCause)
-	j.crash("a")
-	j.clock.Advance(time.Second)
-	j.crash("a")
-	require.Zero(t, j.decide(all))
-	j.crash("a")
-	require.Equal(t, 1, j.decide(all))
+// A request was on three instances that ended, but completed after the first of these ends.
+// That one must not count.
+func TestCompletedRequestIsCleared(t *testing.T) {
+	h := newHarness()
+	h.crash("a")
+	h.clock.Advance(time.Second)
+	h.evidence.Clear(suspectNamed("a").Digest, 500*time.Millisecond)
+	h.clock.Advance(2 * sameCauseWindow)
+	h.crash("a")
+	h.clock.Advance(time.Second)
+	h.crash("a")
+	require.Zero(t, h.decide(allDaemonsKnown))
+	h.crash("a")
+	require.Equal(t, 1, h.decide(allDaemonsKnown))
 }
 
-// Two requests were on the same three instances. Which of them ends instances is not
-// known, so neither is refused until the next one ends under only one of them.
-func TestWhoIsBesideTheCauseEachTime(t *testing.T) {
-	j := newJudged()
+// Two requests were on the same three instances, so either may be the cause. Neither is
+// quarantined until an instance ends with only one of them.
+func TestRequestsOnTheSameCrashesAreNotQuarantined(t *testing.T) {
+	h := newHarness()
 	for range 3 {
-		j.crash("cause", "beside")
-		j.clock.Advance(time.Second)
+		h.crash("cause", "beside")
+		h.clock.Advance(time.Second)
 	}
-	require.Zero(t, j.decide(all))
-	j.crash("cause")
-	require.Equal(t, 1, j.decide(all))
-	require.True(t, j.refused("cause"))
-	j.crash("beside")
-	require.Zero(t, j.decide(all), "the first three are explained")
+	require.Zero(t, h.decide(allDaemonsKnown))
+	h.crash("cause")
+	require.Equal(t, 1, h.decide(allDaemonsKnown))
+	require.True(t, h.refused("cause"))
+	h.crash("beside")
+	require.Zero(t, h.decide(allDaemonsKnown), "the first three are explained")
 }
 
-// Racks lose power three times, with a summary on one instance of each. Instances that
-// end beside it say that it is not the cause.
-func TestRacksWithoutPower(t *testing.T) {
-	j := newJudged()
+// Racks lose power repeatedly, each time with the same request on one of the instances. The
+// simultaneous ends without the request show that it is not the cause.
+func TestRackPowerLossIsNotBlamedOnRequest(t *testing.T) {
+	h := newHarness()
 	for range 3 {
-		j.crash("summary", "a")
-		j.crash("b")
-		j.crash("c", "d")
-		j.clock.Advance(5 * time.Second)
+		h.crash("summary", "a")
+		h.crash("b")
+		h.crash("c", "d")
+		h.clock.Advance(5 * time.Second)
 	}
-	require.Zero(t, j.decide(all))
+	require.Zero(t, h.decide(allDaemonsKnown))
 	for range 4 {
-		j.crash("summary")
-		j.crash("b")
-		j.crash("c")
-		j.clock.Advance(5 * time.Second)
+		h.crash("summary")
+		h.crash("b")
+		h.crash("c")
+		h.clock.Advance(5 * time.Second)
 	}
-	require.Zero(t, j.decide(all), "also after seven times")
+	require.Zero(t, h.decide(allDaemonsKnown), "also after seven times")
 }
 
-// A judge was chosen a moment ago, or does not hear from a daemon. What that daemon knows
-// may clear a request or name another one, so it takes five crashes.
-func TestIncompleteEvidence(t *testing.T) {
-	j := newJudged()
+// The daemon has just started to judge, or another daemon does not answer. The missing reports
+// may clear the request or name another cause, so five crashes are needed.
+func TestIncompleteEvidenceNeedsFiveCrashes(t *testing.T) {
+	h := newHarness()
 	for n := range 5 {
-		j.clock.Advance(time.Second)
-		j.crash("cause")
-		require.Equal(t, n == 4, j.decide(time.Second) == 1)
+		h.clock.Advance(time.Second)
+		h.crash("cause")
+		require.Equal(t, n == 4, h.decide(time.Second) == 1)
 	}
 }
 
-// Two requests crash instances by turns. Each is refused, with five at the latest.
-func TestTwoRequestsThatCrashInstances(t *testing.T) {
-	j := newJudged()
+// Two requests crash instances alternately. Both are quarantined, each after five crashes at
+// the latest.
+func TestTwoCrashingRequestsAreBothQuarantined(t *testing.T) {
+	h := newHarness()
 	ended := 0
 	for range 10 {
 		for _, name := range []string{"first", "second"} {
-			if !j.refused(name) {
-				j.crash(name)
+			if !h.refused(name) {
+				h.crash(name)
 				ended++
 			}
-			j.clock.Advance(300 * time.Millisecond)
-			j.decide(all)
+			h.clock.Advance(300 * time.Millisecond)
+			h.decide(allDaemonsKnown)
 		}
 	}
-	require.True(t, j.refused("first"))
-	require.True(t, j.refused("second"))
-	require.LessOrEqual(t, ended, 2*enoughBesides)
+	require.True(t, h.refused("first"))
+	require.True(t, h.refused("second"))
+	require.LessOrEqual(t, ended, 2*minCrashesConfounded)
 }
 
-// A quarantine is over, and the request crashes an instance again: it is refused at once.
-// Released by an operator it has a clean record.
-func TestAfterQuarantine(t *testing.T) {
-	j := newJudged()
+// A request crashes an instance after its quarantine has expired: one crash suffices to
+// quarantine it again. After a release by an operator, three are needed again.
+func TestOneCrashDuringProbationQuarantinesAgain(t *testing.T) {
+	h := newHarness()
 	for range 3 {
-		j.crash("cause")
-		j.clock.Advance(time.Second)
+		h.crash("cause")
+		h.clock.Advance(time.Second)
 	}
-	require.Equal(t, 1, j.decide(all))
-	j.clock.Advance(Time)
-	require.False(t, j.refused("cause"), "it gets a chance")
-	j.crash("cause")
-	require.Equal(t, 1, j.decide(0))
-	require.True(t, j.refused("cause"))
-	_, ok := j.list.Release(named("cause").Digest)
+	require.Equal(t, 1, h.decide(allDaemonsKnown))
+	h.clock.Advance(Duration)
+	require.False(t, h.refused("cause"), "it gets a chance")
+	h.crash("cause")
+	require.Equal(t, 1, h.decide(0))
+	require.True(t, h.refused("cause"))
+	_, ok := h.list.Release(suspectNamed("cause").Digest)
 	require.True(t, ok)
-	j.evidence.Clear(named("cause").Digest, 0)
-	j.clock.Advance(time.Second)
-	require.Zero(t, j.decide(all))
-	j.crash("cause")
-	require.Zero(t, j.decide(all))
+	h.evidence.Clear(suspectNamed("cause").Digest, 0)
+	h.clock.Advance(time.Second)
+	require.Zero(t, h.decide(allDaemonsKnown))
+	h.crash("cause")
+	require.Zero(t, h.decide(allDaemonsKnown))
 }
 
-// A caller sends ever other requests that each end an instance. They take up no more
-// than their bound, and a known one stays quarantined.
+// Many different requests each end one instance. The evidence stays within its bound, and a
+// request quarantined before stays quarantined.
 func TestEvidenceIsBounded(t *testing.T) {
-	j := newJudged()
+	h := newHarness()
 	for range 3 {
-		j.crash("cause")
+		h.crash("cause")
 	}
-	require.Equal(t, 1, j.decide(all))
+	require.Equal(t, 1, h.decide(allDaemonsKnown))
 	for n := range 3 * maxCrashes {
-		j.crash(fmt.Sprint("other-", n))
+		h.crash(fmt.Sprint("other-", n))
 	}
-	require.Len(t, j.evidence.order, maxCrashes)
-	require.Len(t, j.evidence.crashes, maxCrashes)
-	require.True(t, j.refused("cause"))
+	require.Len(t, h.evidence.order, maxCrashes)
+	require.Len(t, h.evidence.crashes, maxCrashes)
+	require.True(t, h.refused("cause"))
 }
 
-// Daemons that hear the same decisions in different orders refuse the same requests, and
-// a release goes before the decision that it ends.
-func TestListsAgree(t *testing.T) {
+// Daemons receive the same decisions in different orders. Their lists must become equal, and a
+// release must override the decision that it ends.
+func TestListsConvergeInAnyOrder(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	judge, early, late := NewList(clock), NewList(clock), NewList(clock)
-	first := judge.Quarantine(Case{Suspect: named("a")})
-	second := judge.Quarantine(Case{Suspect: named("b")})
-	released, ok := judge.Release(named("a").Digest)
+	first := judge.Quarantine(SuspectCrashes{Suspect: suspectNamed("a")})
+	second := judge.Quarantine(SuspectCrashes{Suspect: suspectNamed("b")})
+	released, ok := judge.Release(suspectNamed("a").Digest)
 	require.True(t, ok)
 	require.Len(t, early.Learn([]Entry{first, second, released}), 3)
 	require.Len(t, late.Learn([]Entry{released, second, first}), 2)
 	for _, l := range []*List{judge, early, late} {
-		_, refused := l.Refused(named("a").Digest)
+		_, refused := l.Refused(suspectNamed("a").Digest)
 		require.False(t, refused)
-		left, refused := l.Refused(named("b").Digest)
+		left, refused := l.Refused(suspectNamed("b").Digest)
 		require.True(t, refused)
-		require.Equal(t, Time, left)
+		require.Equal(t, Duration, left)
 		require.Equal(t, judge.Sum(), l.Sum())
 	}
 	require.NotZero(t, judge.Sum())
-	clock.Advance(Time + provenTime + time.Second)
+	clock.Advance(Duration + probation + time.Second)
 	judge.Expire()
 	require.Empty(t, judge.Entries())
 	require.Zero(t, judge.Sum())
 }
 
-// Fields that meet elsewhere are other requests, and so is that of another organisation.
-func TestDigest(t *testing.T) {
+// Requests whose fields differ only in where one ends and the next begins must have different
+// digests, and so must equal requests of two organisations.
+func TestDigestSeparatesFieldsAndOrganisations(t *testing.T) {
 	d := NewDigest("GET", "shop.example", "/a", "visrad", nil)
 	require.Equal(t, d, NewDigest("GET", "shop.example", "/a", "visrad", []byte{}))
 	for _, other := range []Digest{
@@ -240,15 +243,16 @@
 	require.ErrorContains(t, read.UnmarshalText([]byte("12")), "hexadecimal")
 }
 
-// A model of a busy fleet: 18 instances with some ten requests each, of which a fifth last
-// until the next events. One request crashes each instance that runs it and comes again
-// some 350 ms after; racks lose power, single instances end by themselves. Whoever was on
-// an ended instance comes again elsewhere, up to five times. Only the one may be refused.
-func TestNoInnocentRequestIsRefused(t *testing.T) {
+// Simulates a busy fleet to check that only the crashing request is quarantined. Each of 18
+// instances runs some ten requests, a fifth of which last until the next step. One request
+// crashes each instance that runs it and is retried some 350 ms later. Racks lose power and
+// single instances end by themselves. Requests of an ended instance are retried on another
+// one.
+func TestOnlyTheCrashingRequestIsQuarantined(t *testing.T) {
 	const seeds = 60
 	wrong, worst, lost := 0, 0, 0
 	for seed := range uint64(seeds) {
-		m := newModel(seed)
+		m := newFleetModel(seed)
 		for range 60 {
 			m.step()
 		}
@@ -258,52 +262,53 @@
 	}
 	t.Logf("refused wrongly %d, instances lost to each request %.2f on average, %d at most", wrong, float64(lost)/seeds, worst)
 	require.Zero(t, wrong)
-	require.LessOrEqual(t, worst, 2*enoughBesides)
+	require.LessOrEqual(t, worst, 2*minCrashesConfounded)
 }
 
-// model is the fleet of TestNoInnocentRequestIsRefused.
-type model struct {
-	*judged
+// fleetModel is the fleet of TestOnlyTheCrashingRequestIsQuarantined.
+type fleetModel struct {
+	*harness
 	random    *rand.Rand
 	instances [18][]string
 	requests  int
-	// crashed counts instances that ended under the one request.
+	// crashed counts the instances that the crashing request ended, and wrong the other
+	// requests found in quarantine, at each step.
 	crashed, wrong int
 }
 
-func newModel(seed uint64) *model {
-	return &model{judged: newJudged(), random: rand.New(rand.NewPCG(seed, 5))}
+func newFleetModel(seed uint64) *fleetModel {
+	return &fleetModel{harness: newHarness(), random: rand.New(rand.NewPCG(seed, 5))}
 }
 
-// step is 350 ms.
-func (m *model) step() {
+// step advances the simulation by 350 ms.
+func (m *fleetModel) step() {
 	m.clock.Advance(350 * time.Millisecond)
 	m.serve()
-	var ending []int
+	var crashing []int
 	if !m.refused("cause") {
 		at := m.random.IntN(len(m.instances))
 		m.instances[at] = append(m.instances[at], "cause")
-		ending = append(ending, at)
+		crashing = append(crashing, at)
 		m.crashed++
 	}
 	switch {
 	case m.random.Float64() < 0.05:
 		rack := m.random.IntN(len(m.instances) / 3)
-		ending = append(ending, 3*rack, 3*rack+1, 3*rack+2)
+		crashing = append(crashing, 3*rack, 3*rack+1, 3*rack+2)
 	case m.random.Float64() < 0.05:
-		ending = append(ending, m.random.IntN(len(m.instances)))
+		crashing = append(crashing, m.random.IntN(len(m.instances)))
 	}
-	m.end(ending)
-	m.decide(all)
+	m.end(crashing)
+	m.decide(allDaemonsKnown)
 	for _, e := range m.list.Entries() {
-		if e.Digest != named("cause").Digest {
+		if e.Digest != suspectNamed("cause").Digest {
 			m.wrong++
 		}
 	}
 }
 
-// serve ends most requests well, and begins others.
-func (m *model) serve() {
+// serve completes most running requests and starts others.
+func (m *fleetModel) serve() {
 	for at, running := range m.instances {
 		var left []string
 		for _, name := range running {
@@ -311,7 +316,7 @@
 				left = append(left, name)
 				continue
 			}
-			m.evidence.Clear(named(name).Digest, 0)
+			m.evidence.Clear(suspectNamed(name).Digest, 0)
 		}
 		for range 8 {
 			m.requests++
@@ -321,17 +326,17 @@
 	}
 }
 
-// end ends instances. Their requests come again elsewhere.
-func (m *model) end(ending []int) {
-	var again []string
-	for _, at := range ending {
-		if aboard := m.instances[at]; len(aboard) > 0 {
-			m.crash(aboard...)
-			again = append(again, aboard...)
+// end ends the given instances. Their requests are retried on other instances.
+func (m *fleetModel) end(crashing []int) {
+	var retried []string
+	for _, at := range crashing {
+		if running := m.instances[at]; len(running) > 0 {
+			m.crash(running...)
+			retried = append(retried, running...)
 		}
 		m.instances[at] = nil
 	}
-	for _, name := range again {
+	for _, name := range retried {
 		if name == "cause" || m.random.Float64() < 0.1 {
 			continue
 		}
@@ -340,13 +345,13 @@
 	}
 }
 
-// A request that is sent every minute or two runs well, but for three times at which its
-// instance lost power. That it ran to its end in between is remembered for as long as the
-// crashes are.
-func TestFinishedIsRememberedAsLongAsCrashes(t *testing.T) {
+// A request that is sent every minute or two completes, except three times when its instance
+// loses power. If its completions were forgotten before the crashes, it would look like their
+// cause.
+func TestCompletionsAreKeptAsLongAsCrashes(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	f := NewFinished(clock)
-	d := named("a").Digest
+	d := suspectNamed("a").Digest
 	f.Note(d)
 	clock.Advance(EvidenceTime / 2)
 	age, known := f.Age(d)
@@ -357,14 +362,14 @@
 	require.False(t, known)
 }
 
-// Callers send so many other requests that the memory is full. It stays within its bound, and
-// what ran lately is still known.
-func TestFinishedIsBounded(t *testing.T) {
+// More distinct requests complete than the memory holds. It stays within its bound and still
+// knows the latest.
+func TestCompletionsAreBounded(t *testing.T) {
 	f := NewFinished(clockwork.NewFakeClock())
-	for n := range 5 * maxFinished {
-		f.Note(named(fmt.Sprint(n)).Digest)
+	for n := range 5 * maxPerGeneration {
+		f.Note(suspectNamed(fmt.Sprint(n)).Digest)
 	}
-	require.LessOrEqual(t, len(f.young)+len(f.old), 2*maxFinished+1)
-	_, known := f.Age(named(fmt.Sprint(5*maxFinished - 1)).Digest)
+	require.LessOrEqual(t, len(f.current)+len(f.previous), 2*maxPerGeneration+1)
+	_, known := f.Age(suspectNamed(fmt.Sprint(5*maxPerGeneration - 1)).Digest)
 	require.True(t, known)
 }
--- a/internal/quarantine/finished.go
+++ b/internal/quarantine/finished.go
@@ -7,57 +7,59 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// maxFinished bounds each half of the memory of what ran to its end: 20,000 digests of some
-// 60 bytes. At 130 requests a second it holds for the whole of EvidenceTime. Forgotten too
-// early, a request that runs well between three losses of power looks like their cause.
-const maxFinished = 20_000
+// maxPerGeneration bounds each of the two generations of Finished: 20,000 digests of some 60
+// bytes. That covers all of EvidenceTTL at 130 requests per second. If completions were
+// forgotten earlier, a request that completes normally between three power losses would look
+// like their cause.
+const maxPerGeneration = 20_000
 
-// Finished remembers which requests ran to their end lately. It has two generations:
-// the present half of EvidenceTime and the one before.
+// Finished remembers when requests last completed. It keeps two generations, which are rotated
+// every half EvidenceTTL, or earlier when the current one is full.
 //
 // Lock order: mu is taken alone.
 type Finished struct {
 	clock clockwork.Clock
 
-	mu         sync.Mutex
-	young, old map[Digest]time.Time
-	turnedAt   time.Time
+	mu                sync.Mutex
+	current, previous map[Digest]time.Time
+	rotatedAt         time.Time
 }
 
-// NewFinished returns an empty memory.
+// NewFinished returns an empty Finished.
 func NewFinished(clock clockwork.Clock) *Finished {
-	return &Finished{clock: clock, young: map[Digest]time.Time{}, turnedAt: clock.Now()}
+	return &Finished{clock: clock, current: map[Digest]time.Time{}, rotatedAt: clock.Now()}
 }
 
-// Note takes in that a request has run to its end.
+// Record records that a request has completed.
 func (f *Finished) Note(d Digest) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.turn()
-	f.young[d] = f.clock.Now()
+	f.rotate()
+	f.current[d] = f.clock.Now()
 }
 
-// Age returns how long ago a request last ran to its end.
+// Age returns the time since a request last completed; known is false if no completion is
+// remembered.
 func (f *Finished) Age(d Digest) (age time.Duration, known bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.turn()
-	at, ok := f.young[d]
+	f.rotate()
+	at, ok := f.current[d]
 	if !ok {
-		at, ok = f.old[d]
+		at, ok = f.previous[d]
 	}
 	return f.clock.Since(at), ok
 }
 
-func (f *Finished) turn() {
+func (f *Finished) rotate() {
 	now := f.clock.Now()
-	age := now.Sub(f.turnedAt)
-	if age < EvidenceTime/2 && len(f.young) < maxFinished {
+	age := now.Sub(f.rotatedAt)
+	if age < EvidenceTime/2 && len(f.current) < maxPerGeneration {
 		return
 	}
-	f.old = f.young
+	f.previous = f.current
 	if age >= EvidenceTime {
-		f.old = nil
+		f.previous = nil
 	}
-	f.young, f.turnedAt = map[Digest]time.Time{}, now
+	f.current, f.rotatedAt = map[Digest]time.Time{}, now
 }
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -12,29 +12,30 @@
 )
 
 const (
-	// Time is how long a request is refused. Then it gets one chance, since the
-	// version that it crashed may be mended: it costs at most one instance in this
-	// time, and those that it reaches at the same moment.
-	Time = 10 * time.Minute
-	// provenTime is how long after that one crash more is enough.
-	provenTime = Time
-	// maxEntries bounds the list: 2,000 requests of some 300 bytes. Each took three
-	// crashed instances to get on it.
+	// Duration is how long a request is quarantined. Then it is admitted again, since the
+	// version that it crashed may have been fixed. If not, this costs at most one instance in
+	// this time, plus those that the request reaches at the same moment.
+	Duration = 10 * time.Minute
+	// probation is how long after the quarantine a single crash quarantines the request again.
+	probation = Duration
+	// maxEntries bounds the list: 2,000 requests of some 300 bytes. Each entry takes three
+	// crashed instances to create.
 	maxEntries = 2000
 )
 
-// Entry is a quarantined request, or one that an operator has released.
+// Entry is a request that is or was quarantined.
 type Entry struct {
 	Suspect
-	// Ended are the IDs of the instances that ended under it.
+	// Ended are the IDs of the instances that ended while running it.
 	Ended []string
 	// Released is set when an operator has ended the quarantine.
 	Released bool
-	// Stamp orders what is said of the same request, the higher one being newer. It is
-	// the time of day of the daemon that said it, in milliseconds.
+	// Stamp orders the entries for the same request: the highest is the newest. It is the wall
+	// clock of the daemon that made the entry, in milliseconds, or the previous stamp plus 1
+	// if that is higher.
 	Stamp int64
-	// Left is for how long the request is still refused, from when this was told; it
-	// is 0 or less when it is not any more.
+	// Left is the remaining quarantine at the time the entry was sent; 0 or less when it has
+	// expired.
 	Left time.Duration
 }
 
@@ -43,8 +44,8 @@
 	until time.Time
 }
 
-// List has the quarantined requests. Lists of two daemons that have taken in the same
-// entries, in any order, are equal.
+// List holds the quarantined requests. Lists that have merged the same entries are equal, in
+// whatever order the entries arrived.
 //
 // Lock order: mu is taken alone.
 type List struct {
@@ -59,7 +60,7 @@
 	return &List{clock: clock, entries: map[Digest]*entry{}}
 }
 
-// Refused returns for how long a request is still refused.
+// Refused returns the remaining quarantine of a request; refused is false if there is none.
 func (l *List) Refused(d Digest) (left time.Duration, refused bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -71,7 +72,7 @@
 	return left, left > 0
 }
 
-// Held reports whether a request is quarantined, or was until a short time ago.
+// Held reports whether a request is quarantined or on probation.
 func (l *List) Held(d Digest) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -79,8 +80,8 @@
 	return ok && !e.Released
 }
 
-// Proven reports whether a request was quarantined until a short time ago, and not
-// released.
+// OnProbation reports whether the quarantine of a request has expired recently, without a
+// release by an operator.
 func (l *List) Proven(d Digest) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -88,18 +89,18 @@
 	return ok && !e.Released && l.clock.Since(e.until) >= 0
 }
 
-// Quarantine adds a request, and returns what to tell others.
-func (l *List) Quarantine(c Case) Entry {
-	e := Entry{Suspect: c.Suspect, Ended: c.Ended, Left: Time}
+// Quarantine adds a request and returns the entry to send to the other daemons.
+func (l *List) Quarantine(c SuspectCrashes) Entry {
+	e := Entry{Suspect: c.Suspect, Ended: c.Ended, Left: Duration}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e.Stamp = l.stamp(c.Digest)
+	e.Stamp = l.nextStamp(c.Digest)
 	l.put(e)
 	return e
 }
 
-// Release ends the quarantine of a request, and returns what to tell others; ok is false
-// when it has none.
+// Release ends the quarantine of a request and returns the entry to send to the other daemons;
+// ok is false if the request has none.
 func (l *List) Release(d Digest) (e Entry, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -108,13 +109,13 @@
 		return Entry{}, false
 	}
 	e = old.Entry
-	e.Released, e.Stamp, e.Left = true, l.stamp(d), old.until.Sub(l.clock.Now())
+	e.Released, e.Stamp, e.Left = true, l.nextStamp(d), old.until.Sub(l.clock.Now())
 	l.put(e)
 	return e, true
 }
 
-// stamp is higher than that of what is known of a request.
-func (l *List) stamp(d Digest) int64 {
+// nextStamp returns a stamp higher than that of the present entry for d.
+func (l *List) nextStamp(d Digest) int64 {
 	now := l.clock.Now().UnixMilli()
 	if old, ok := l.entries[d]; ok {
 		return max(now, old.Stamp+1)
@@ -122,20 +123,20 @@
 	return now
 }
 
-// Learn takes in what a peer tells, and returns what of it is news.
-func (l *List) Learn(told []Entry) []Entry {
+// Merge adds the entries received that are newer than those in the list, and returns these.
+func (l *List) Learn(entries []Entry) []Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var news []Entry
-	for _, e := range told {
+	var changed []Entry
+	for _, e := range entries {
 		if old, ok := l.entries[e.Digest]; ok && old.Stamp >= e.Stamp {
 			continue
 		}
-		e.Left = min(e.Left, Time)
+		e.Left = min(e.Left, Duration)
 		l.put(e)
-		news = append(news, e)
+		changed = append(changed, e)
 	}
-	return news
+	return changed
 }
 
 func (l *List) put(e Entry) {
@@ -155,26 +156,26 @@
 	delete(l.entries, oldest.Digest)
 }
 
-// Expire forgets requests whose quarantine has been over for some time.
+// Expire removes the requests whose probation is over.
 func (l *List) Expire() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for d, e := range l.entries {
-		if l.clock.Since(e.until) > provenTime {
+		if l.clock.Since(e.until) > probation {
 			delete(l.entries, d)
 		}
 	}
 }
 
-// Entries returns the list, newest first.
+// Entries returns the list, newest entry first.
 func (l *List) Entries() []Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := make([]Entry, 0, len(l.entries))
 	for _, e := range l.entries {
-		one := e.Entry
-		one.Left = e.until.Sub(l.clock.Now())
-		out = append(out, one)
+		copied := e.Entry
+		copied.Left = e.until.Sub(l.clock.Now())
+		out = append(out, copied)
 	}
 	slices.SortFunc(out, func(a, b Entry) int {
 		return cmp.Or(cmp.Compare(b.Stamp, a.Stamp), slices.Compare(a.Digest[:], b.Digest[:]))
@@ -182,14 +183,14 @@
 	return out
 }
 
-// Sum is equal at daemons that have the same list, and 0 for an empty one.
+// Checksum returns the same value at daemons with the same list, and 0 for an empty list.
 func (l *List) Sum() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	sum := uint64(0)
 	for _, e := range l.entries {
 		if l.clock.Since(e.until) >= 0 {
-			// Daemons forget these at slightly different times.
+			// Daemons remove expired entries at slightly different times.
 			continue
 		}
 		sum ^= xxhash.Sum64(binary.BigEndian.AppendUint64(e.Digest[:], uint64(e.Stamp)))
--- a/internal/route/balance.go
+++ b/internal/route/balance.go
@@ -50,7 +50,7 @@
 		return Load{}, false
 	}
 	mean := total / float64(slots)
-	affine := affinity(room, prefix)
+	affine := rendezvous(room, prefix)
 	if affine.Estimate <= bound*mean*float64(max(affine.Slots, 1))+1 && affine.utilisation() < 1 {
 		return affine, true
 	}
@@ -58,7 +58,7 @@
 }
 
 // affinity returns the upstream that rendezvous hashing gives the prefix.
-func affinity(loads []Load, prefix uint64) Load {
+func rendezvous(loads []Load, prefix uint64) Load {
 	best, top := loads[0], uint64(0)
 	for _, l := range loads {
 		key := binary.LittleEndian.AppendUint64([]byte(l.ID), prefix)
--- a/internal/route/plan.go
+++ b/internal/route/plan.go
@@ -66,7 +66,7 @@
 func Plans(candidates []Candidate, judge Judge, req Request) []Plan {
 	var plans []Plan
 	for _, c := range candidates {
-		plans = append(plans, single(c))
+		plans = append(plans, singlePlan(c))
 	}
 	if !req.Cascade || judge.TrueAccept == 0 {
 		return plans
@@ -74,14 +74,14 @@
 	for _, first := range candidates {
 		for _, second := range candidates {
 			if first.Cost < second.Cost && first.Version.Model != second.Version.Model {
-				plans = append(plans, cascade(first, second, judge))
+				plans = append(plans, cascadePlan(first, second, judge))
 			}
 		}
 	}
 	return plans
 }
 
-func single(c Candidate) Plan {
+func singlePlan(c Candidate) Plan {
 	return Plan{
 		Steps:      []config.VersionRef{c.Version},
 		Cost:       c.Cost,
@@ -94,7 +94,7 @@
 }
 
 // cascade estimates running first, judging, and running second on rejection.
-func cascade(first, second Candidate, judge Judge) Plan {
+func cascadePlan(first, second Candidate, judge Judge) Plan {
 	accept := func(q float64) float64 { return q*judge.TrueAccept + (1-q)*judge.FalseAccept }
 	delivered := func(q1, q2 float64) float64 { return q1*judge.TrueAccept + (1-accept(q1))*q2 }
 	escalate := 1 - accept(first.Quality.Mean())
@@ -112,15 +112,15 @@
 // InTime drops plans that are not expected to finish before the deadline, and
 // those slower to the first token than wanted, while others remain.
 func InTime(plans []Plan, req Request) []Plan {
-	plans = prefer(plans, func(p Plan) bool { return p.Total <= req.Remaining })
+	plans = matchingOrAll(plans, func(p Plan) bool { return p.Total <= req.Remaining })
 	if req.FirstToken == 0 {
 		return plans
 	}
-	return prefer(plans, func(p Plan) bool { return p.FirstToken <= req.FirstToken })
+	return matchingOrAll(plans, func(p Plan) bool { return p.FirstToken <= req.FirstToken })
 }
 
 // prefer keeps what matches, or everything when nothing does.
-func prefer(plans []Plan, match func(Plan) bool) []Plan {
+func matchingOrAll(plans []Plan, match func(Plan) bool) []Plan {
 	var out []Plan
 	for _, p := range plans {
 		if match(p) {
@@ -139,7 +139,7 @@
 	if len(plans) == 0 {
 		return Plan{}, false
 	}
-	meeting := prefer(plans, func(p Plan) bool { return p.Lower >= target })
+	meeting := matchingOrAll(plans, func(p Plan) bool { return p.Lower >= target })
 	if meeting[0].Lower >= target {
 		return slices.MinFunc(meeting, cheaper), true
 	}
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -45,7 +45,7 @@
 	require.False(t, ok)
 }
 
-func TestSlowPlansGiveWay(t *testing.T) {
+func TestSlowPlansAreDropped(t *testing.T) {
 	slow, fast := candidate("slow", 1, 990, 10), candidate("fast", 5, 990, 10)
 	slow.FirstToken, slow.Total = time.Second, 3*time.Second
 	for _, req := range []Request{
@@ -60,7 +60,7 @@
 	require.Equal(t, "slow", pick.Steps[0].Model, "better late than nothing")
 }
 
-func TestExploreIsBounded(t *testing.T) {
+func TestExplorationIsBounded(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	cheap, dear := candidate("cheap", 10, 5, 0), candidate("dear", 100, 970, 30)
 	plans := Plans([]Candidate{cheap, dear}, judge, Request{})
