--- a/internal/cascade/cascade_test.go
+++ b/internal/cascade/cascade_test.go
@@ -7,38 +7,40 @@
 	"github.com/stretchr/testify/require"
 )
 
+// The large model must not run if the gain is too small, or if its first event or its end
+// would come too late.
 func TestLargeModelRunsOnlyIfInTime(t *testing.T) {
-	const objective, patience = 4 * time.Second, 10 * time.Second
-	require.True(t, Larger{Confidence: 10, Elapsed: time.Second, Total: 3 * time.Second, Objective: objective, Patience: patience}.Worthwhile())
-	require.False(t, Larger{Confidence: 90, Elapsed: time.Second, Total: 3 * time.Second, Objective: objective, Patience: patience}.Worthwhile())
-	require.False(t, Larger{Confidence: 10, Elapsed: time.Second, Total: 8 * time.Second, Objective: objective, Patience: patience}.Worthwhile(), "the second answer would not end in time")
-	require.False(t, Larger{Confidence: 10, Elapsed: time.Second, Total: 3 * time.Second, Objective: objective, Patience: 4500 * time.Millisecond}.Worthwhile(), "this caller waits for less")
-	require.False(t, Larger{Confidence: 10, Elapsed: 3 * time.Second, Head: time.Second, Total: time.Second, Objective: objective, Patience: patience}.Worthwhile(), "the second answer would begin late")
+	const objective, timeout = 4 * time.Second, 10 * time.Second
+	require.True(t, Larger{Confidence: 10, Elapsed: time.Second, Total: 3 * time.Second, Objective: objective, Patience: timeout}.Worthwhile())
+	require.False(t, Larger{Confidence: 90, Elapsed: time.Second, Total: 3 * time.Second, Objective: objective, Patience: timeout}.Worthwhile())
+	require.False(t, Larger{Confidence: 10, Elapsed: time.Second, Total: 8 * time.Second, Objective: objective, Patience: timeout}.Worthwhile(), "the large model's answer would end too late")
+	require.False(t, Larger{Confidence: 10, Elapsed: time.Second, Total: 3 * time.Second, Objective: objective, Patience: 4500 * time.Millisecond}.Worthwhile(), "the caller's timeout is shorter")
+	require.False(t, Larger{Confidence: 10, Elapsed: 3 * time.Second, Head: time.Second, Total: time.Second, Objective: objective, Patience: timeout}.Worthwhile(), "the large model's first event would miss the objective")
 }
 
-// Engines are overloaded: answers of the large model run into their deadline.
-// It is not asked while that is expected, and asked again some seconds after.
+// Overloaded engines run the largest model's answers into their deadline. That model must not
+// run while this is expected, and must be tried again some seconds later.
 func TestLatencyEstimateRisesAndDecays(t *testing.T) {
-	const objective, patience = 8 * time.Second, 8 * time.Second
+	const objective, timeout = 8 * time.Second, 8 * time.Second
 	now := time.Now()
-	ts := NewTimes()
+	times := NewTimes()
 	large := Kind{"r", "large"}
-	require.Zero(t, ts.Expect(large, 100, now))
+	require.Zero(t, times.Expect(large, 100, now))
 	for range 10 {
-		ts.Note(large, time.Second, time.Second, 50, now)
+		times.Note(large, time.Second, time.Second, 50, now)
 	}
-	require.InDelta(t, 3, ts.Expect(large, 100, now).Seconds(), 0.01)
+	require.InDelta(t, 3, times.Expect(large, 100, now).Seconds(), 0.01)
 	for range 15 {
-		ts.Note(large, 8*time.Second, 0, 50, now)
+		times.Note(large, 8*time.Second, 0, 50, now)
 	}
-	require.False(t, Larger{Confidence: 0, Elapsed: 500 * time.Millisecond, Total: ts.Expect(large, 10, now), Objective: objective, Patience: patience}.Worthwhile())
+	require.False(t, Larger{Confidence: 0, Elapsed: 500 * time.Millisecond, Total: times.Expect(large, 10, now), Objective: objective, Patience: timeout}.Worthwhile())
 	later := now.Add(2 * estimateHalfLife)
-	require.True(t, Larger{Confidence: 0, Elapsed: 500 * time.Millisecond, Total: ts.Expect(large, 10, later), Objective: objective, Patience: patience}.Worthwhile())
+	require.True(t, Larger{Confidence: 0, Elapsed: 500 * time.Millisecond, Total: times.Expect(large, 10, later), Objective: objective, Patience: timeout}.Worthwhile())
 }
 
-// Every third answer of the large model meets an engine that reads long prompts
-// and takes three times as long. A caller with time for the mean but not for
-// those keeps the small model's answer: one in 25 callers lost both.
+// Every third answer of the largest model shares its engine with long prompts and takes three
+// times as long per token. A caller whose timeout covers the mean but not these answers must keep the
+// small model's answer; otherwise one in 25 callers loses both answers.
 func TestLatencyEstimateIncludesOverrun(t *testing.T) {
 	now := time.Now()
 	steady, varied := NewTimes(), NewTimes()
@@ -51,30 +53,29 @@
 		}
 		varied.Note(kind, 500*time.Millisecond, rest, 50, now)
 	}
-	const objective, patience = 4 * time.Second, 3300 * time.Millisecond
+	const objective, timeout = 4 * time.Second, 3300 * time.Millisecond
 	require.InDelta(t, 2, steady.Expect(kind, 50, now).Seconds(), 0.05)
-	require.True(t, Larger{Confidence: 10, Elapsed: 300 * time.Millisecond, Total: steady.Expect(kind, 50, now), Objective: objective, Patience: patience}.Worthwhile())
-	require.False(t, Larger{Confidence: 10, Elapsed: 300 * time.Millisecond, Total: varied.Expect(kind, 50, now), Objective: objective, Patience: patience}.Worthwhile())
+	require.True(t, Larger{Confidence: 10, Elapsed: 300 * time.Millisecond, Total: steady.Expect(kind, 50, now), Objective: objective, Patience: timeout}.Worthwhile())
+	require.False(t, Larger{Confidence: 10, Elapsed: 300 * time.Millisecond, Total: varied.Expect(kind, 50, now), Objective: objective, Patience: timeout}.Worthwhile())
 }
 
-// Prompts wait longer and longer. Answers that are almost surely wrong are dropped for
-// longer than those that are merely doubtful; with idle engines both are.
-func TestLoadRaisesTheBarForLargeModel(t *testing.T) {
-	asked := func(confidence int, wait time.Duration) bool {
+// As prompts wait longer, the small model's answer must be kept at lower and lower confidence.
+func TestLongWaitsKeepSmallModelAnswer(t *testing.T) {
+	worthwhile := func(confidence int, wait time.Duration) bool {
 		return Larger{
 			Confidence: confidence, Elapsed: 100 * time.Millisecond, Head: time.Second, Total: 3 * time.Second,
 			Wait: wait, Objective: 4 * time.Second, Patience: 20 * time.Second,
 		}.Worthwhile()
 	}
-	require.True(t, asked(50, 0))
-	require.False(t, asked(70, 0), "more likely right than the run is worth")
-	require.False(t, asked(50, time.Second))
-	require.True(t, asked(10, 2*time.Second))
-	require.False(t, asked(10, 5*time.Second))
+	require.True(t, worthwhile(50, 0))
+	require.False(t, worthwhile(70, 0), "the expected gain is below the cost of the run")
+	require.False(t, worthwhile(50, time.Second))
+	require.True(t, worthwhile(10, 2*time.Second))
+	require.False(t, worthwhile(10, 5*time.Second))
 }
 
-// Engines turn out half as fast as was taken, and later twice as fast: the expected
-// time follows within a few answers, also without many observations.
+// Engines process prompts at half the assumed rate, and later at twice that rate. The estimate
+// must follow within a few answers.
 func TestPrefillRateFollowsObservations(t *testing.T) {
 	now := time.Now()
 	p := &Pace{}
@@ -92,5 +93,5 @@
 	require.InDelta(t, 0.5, p.Expect(initialRate, now).Seconds(), 0.25)
 	before := p.Expect(initialRate, now)
 	p.Note(minWork/2, 10*time.Second, now)
-	require.Equal(t, before, p.Expect(initialRate, now), "a short prompt says nothing of the pace")
+	require.Equal(t, before, p.Expect(initialRate, now), "work below minWork must be ignored")
 }
--- a/internal/cascade/larger.go
+++ b/internal/cascade/larger.go
@@ -1,48 +1,48 @@
-// Package cascade decides whether a small model's answer is dropped for one of the
-// largest model, and learns what that needs: how long answers take, and how fast
-// engines read. It does no I/O and has no clock of its own.
+// Package cascade decides whether a small model's answer is dropped and the request run again
+// on the largest model. It also estimates what this decision needs: how long answers take and
+// how fast engines process prompts. It does no I/O and has no clock of its own.
 package cascade
 
 import "time"
 
 const (
-	// priceOfLarge is the part of an answer's worth that the larger model's run
-	// costs, beside the time of engines: for the use of the model, and for the callers
-	// whose answers are written more slowly beside it.
+	// runCost is the cost of running the largest model, as a fraction of the value of a good
+	// answer. It covers the use of the model and the slower generation of other callers'
+	// answers; waiting prompts are counted by waitCostPerSecond.
 	runCost = 0.4
-	// priceOfWait is what the run costs others, as a part of the answer's worth, for
-	// each second that a prompt waits on average at an instance. It is meant for
-	// overload: more of it costs calm installations answers that are worth it.
+	// waitCostPerSecond is the cost of the run to other requests, as a fraction of the value
+	// of a good answer, for each second that prompts wait on average. It matters under
+	// overload; a higher cost would reject runs that are worth it under normal load.
 	waitCostPerSecond = 0.12
-	// within is the part of the caller's time in which the larger model's answer must
-	// be expected to end. While engines are overloaded those answers end at their
-	// deadline or not at all; then the small model's answer in time is the better
-	// one, and not asking the large model is what lets the engines recover.
+	// deadlineFraction is the fraction of the caller's timeout within which the largest
+	// model's answer must be expected to end. While engines are overloaded, such answers end
+	// at their deadline or not at all. Keeping the small model's answer is then better for the
+	// caller and lets the engines recover.
 	deadlineFraction = 0.85
 )
 
-// Larger is what is known when a small model's answer may be dropped for one of the
+// Escalation holds what is known when a small model's answer may be dropped for one of the
 // largest model.
 type Larger struct {
-	// Confidence is that of the small model, 0 to 100. Small models' answers are
-	// good enough about as often as they say.
+	// Confidence is the small model's confidence in its answer, 0 to 100. It is calibrated:
+	// about that percentage of answers are good enough.
 	Confidence int
-	// Elapsed is the time since the request came, Head the expected time to the
-	// larger model's first event, and Total to its end.
+	// Elapsed is the time since the request arrived. FirstEvent and Total are the expected
+	// times to the first event and to the end of the largest model's answer.
 	Elapsed, Head, Total time.Duration
-	// Wait is how long a prompt waits on average at the service's instances.
+	// Wait is the average time that a prompt waits at the service's instances.
 	Wait time.Duration
-	// Objective is the time to the first event, and Patience to the end, that the
-	// caller allows.
+	// Objective and Timeout are the times that the caller allows to the first event and to the
+	// end.
 	Objective, Patience time.Duration
 }
 
-// Worthwhile decides whether the larger model is asked: whether its answer is in time,
-// and what it is likely better is worth what it costs, in parts of the answer's worth.
+// Worthwhile reports whether to run the largest model: its answer is expected in time, and the
+// expected gain exceeds the cost. Both are fractions of the value of a good answer.
 //
-// Long requests take more of the engines' time and are worth more, so their size does
-// not count. The more waits already the more a run costs others. An answer whose first
-// event is not expected in time keeps the engines from those that are.
+// The length of a request is not considered: a longer one takes more engine time but is also
+// worth more. The longer prompts wait, the more a run costs other requests. An answer whose
+// first event is not expected in time would delay answers that can still be in time.
 func (l Larger) Worthwhile() bool {
 	if l.Elapsed+l.Head >= l.Objective || float64(l.Elapsed+l.Total) >= deadlineFraction*float64(l.Patience) {
 		return false
--- a/internal/cascade/pace.go
+++ b/internal/cascade/pace.go
@@ -7,34 +7,35 @@
 )
 
 const (
-	// paceHalfLife is how fast observations of the engines' pace lose weight: some
-	// hundred answers of a fleet.
+	// observationHalfLife is the time after which an observation has half its weight. That is
+	// some hundred answers of a fleet.
 	observationHalfLife = 8 * time.Second
-	// leastWork is the work below which a first event says little of the pace:
-	// its time is that of the way and of a few steps.
+	// minWork is the work below which a first event is ignored: its time is then mostly
+	// network latency and a few generation steps, not prompt processing.
 	minWork = 1000
-	// BaseHead is the time to a first event of a prompt that is held already.
+	// CachedFirstEvent is the time to the first event for a prompt that the engine has cached.
 	BaseHead = 60 * time.Millisecond
-	// firstPace is the pace taken before any observation, in prompt tokens of the
-	// largest model a second, and firstWeight the work that this counts for. The
-	// second answer corrects it.
+	// initialRate is the rate assumed before any observation, in prompt tokens of the largest
+	// model per second. initialWeight is the work that this assumption weighs as much as; it
+	// is so small that the second answer already corrects the rate.
 	initialRate   = 15_000.0
 	initialWeight = 20_000.0
 )
 
-// Pace learns how fast engines work off what waits for its first event, from first
-// events observed. It expects best where some thousand tokens wait.
+// PrefillRate estimates how fast engines process the prompts that wait for their first event,
+// from the times to first events. It is most accurate where some thousand tokens wait.
 //
 // Lock order: mu is taken alone.
 type Pace struct {
 	mu sync.Mutex
-	// work and seconds are sums of what was observed, as of at.
+	// work and seconds are decaying sums of the observations, as of at.
 	work, seconds float64
 	at            time.Time
 }
 
-// Note takes in how long the first event of a request took with some work before it,
-// its own included, in prompt tokens of the largest model.
+// Observe records the time to the first event of a request. work is what the engine had to
+// process before it, including the request's own prompt, in prompt tokens of the largest
+// model.
 func (p *Pace) Note(work float64, took time.Duration, now time.Time) {
 	if work < minWork || took < BaseHead {
 		return
@@ -46,13 +47,13 @@
 	p.seconds += (took - BaseHead).Seconds()
 }
 
-// Expect is how long some work takes an engine.
+// Estimate returns how long an engine takes to process the given work.
 func (p *Pace) Expect(work float64, now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.decay(now)
-	pace := (p.work + initialWeight) / (p.seconds + initialWeight/initialRate)
-	return time.Duration(work / pace * float64(time.Second))
+	rate := (p.work + initialWeight) / (p.seconds + initialWeight/initialRate)
+	return time.Duration(work / rate * float64(time.Second))
 }
 
 func (p *Pace) decay(now time.Time) {
--- a/internal/cascade/times.go
+++ b/internal/cascade/times.go
@@ -7,37 +7,39 @@
 )
 
 const (
-	// timeWeight is the weight of a new sample: about the last seven count.
+	// sampleWeight is the weight of a new sample in the moving averages: about the last seven
+	// samples count.
 	sampleWeight = 0.15
-	// timeHalfLife is how fast an expectation without new samples fades, so
-	// that what was found to take too long is tried again. A daemon of a large fleet
-	// sees an answer of the large model a second; in less time it would forget most of
-	// what it has seen.
+	// estimateHalfLife is the time after which an estimate without new samples has halved, so
+	// that a model that was too slow is tried again. One daemon of a large fleet sees about
+	// one answer of the largest model per second; a shorter time would discard most of its
+	// samples.
 	estimateHalfLife = 8 * time.Second
 )
 
-// Kind is what expectations are kept by.
+// Key identifies the answers that share an estimate.
 type Kind struct{ Route, Model string }
 
+// estimate holds the moving averages for one Key.
 type estimate struct {
-	// head is the time to the first event, token the time for each token that
-	// the caller expects, both in seconds.
+	// firstEvent is the time to the first event, and perToken the time for each token that the
+	// caller expects, both in seconds.
 	firstEvent, perToken float64
-	// over is by what part of it answers exceed what was expected, on average;
-	// those that take less count as none.
+	// overrun is the average excess of answers over the expected time, as a fraction of that
+	// time. Faster answers count as 0.
 	overrun float64
-	at   time.Time
+	at      time.Time
 }
 
-// total is how long an answer of some tokens likely takes at most: engines that
-// read long prompts meanwhile take two to three times their usual time for a
-// token. Without the excess more large answers run into their deadline, and their
-// callers lose the small model's answer too.
+// total returns an upper estimate of the time of an answer, in seconds. While an engine
+// processes long prompts, its other answers take two to three times their usual time per
+// token. Without the overrun, more answers of the largest model would hit their deadline, and
+// their callers would lose the small model's answer too.
 func (e estimate) total(tokens int) float64 {
 	return (e.firstEvent + e.perToken*float64(tokens)) * (1 + e.overrun)
 }
 
-// Times learn how long answers take lately.
+// LatencyEstimator estimates how long answers take from recent ones.
 //
 // Lock order: mu is taken alone.
 type Times struct {
@@ -45,28 +47,28 @@
 	table map[Kind]estimate
 }
 
-// NewTimes returns times without observations.
+// NewLatencyEstimator returns an estimator without observations.
 func NewTimes() *Times { return &Times{table: map[Kind]estimate{}} }
 
-// maxTimes bounds the table; routes come and go with the configuration.
+// maxKeys bounds the table, since routes are added and removed with the configuration.
 const maxKeys = 4096
 
-// Note takes in how long an answer took to its first event and from there to its
-// end. One that was given up on counts with the time until then, which is less
-// than it would have taken.
-func (t *Times) Note(kind Kind, head, rest time.Duration, tokens int, now time.Time) {
+// Observe records the time from the start of an answer to its first event, and from there to
+// its end. An answer that was abandoned counts with the time until then, which underestimates
+// it.
+func (t *Times) Note(key Kind, firstEvent, rest time.Duration, tokens int, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e, seen := t.table[kind]
+	e, known := t.table[key]
 	perToken := rest.Seconds() / float64(max(tokens, 1))
-	if !seen {
-		e = estimate{firstEvent: head.Seconds(), perToken: perToken}
+	if !known {
+		e = estimate{firstEvent: firstEvent.Seconds(), perToken: perToken}
 	}
 	if mean := e.firstEvent + e.perToken*float64(tokens); mean > 0 {
-		excess := max((head+rest).Seconds()/mean-1, 0)
+		excess := max((firstEvent+rest).Seconds()/mean-1, 0)
 		e.overrun += sampleWeight * (excess - e.overrun)
 	}
-	e.firstEvent += sampleWeight * (head.Seconds() - e.firstEvent)
+	e.firstEvent += sampleWeight * (firstEvent.Seconds() - e.firstEvent)
 	if rest > 0 {
 		e.perToken += sampleWeight * (perToken - e.perToken)
 	}
@@ -74,15 +76,15 @@
 	if len(t.table) > maxKeys {
 		clear(t.table)
 	}
-	t.table[kind] = e
+	t.table[key] = e
 }
 
-// Expect is how long an answer of some tokens is likely to take; 0 where nothing
-// is known.
-func (t *Times) Expect(kind Kind, tokens int, now time.Time) time.Duration {
+// Estimate returns how long an answer of the given length is likely to take, or 0 if there are
+// no observations.
+func (t *Times) Expect(key Kind, tokens int, now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.table[kind]
-	fade := math.Exp2(-float64(now.Sub(e.at)) / float64(estimateHalfLife))
-	return time.Duration(e.total(tokens) * fade * float64(time.Second))
+	e := t.table[key]
+	decay := math.Exp2(-float64(now.Sub(e.at)) / float64(estimateHalfLife))
+	return time.Duration(e.total(tokens) * decay * float64(time.Second))
 }
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,7 +1,6 @@
-// Package catalog holds what operators declare for plain HTTP callers: routes
-// by host and path prefix, the services behind them, organisations with their
-// keys, and limits on what a caller may send. A Catalog never changes; a newer
-// version replaces it whole.
+// Package catalog holds what operators declare for plain HTTP callers: routes by host and path
+// prefix, the services behind them, organisations with their keys, and limits on what a caller
+// may send. A Catalog is immutable; a newer version replaces it as a whole.
 package catalog
 
 import (
@@ -12,27 +11,27 @@
 	"time"
 )
 
-// Kind tells what may be repeated.
+// RouteKind determines whether the requests of a route may be repeated.
 type Kind int
 
-// Kinds of routes.
+// The kinds of routes.
 const (
 	// Unsafe requests run at most once.
 	Unsafe Kind = iota
 	// Safe requests are idempotent.
 	Safe
-	// Stream requests are answered by events; they are idempotent only where
-	// the route is resumable.
+	// Stream requests are answered by a stream of events. They are idempotent only if the
+	// route is resumable.
 	Stream
 )
 
 // String returns the name of the kind.
 func (k Kind) String() string { return [...]string{"unsafe", "safe", "stream"}[k] }
 
-// Backend is one of the services that share a route.
+// Backend is one of the services that a route sends requests to.
 type Backend struct {
 	Service string
-	// Weight is the share of the route's requests relative to the others.
+	// Weight is the service's share of the requests, relative to the other backends.
 	Weight int
 }
 
@@ -42,26 +41,25 @@
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Resumable streams may be continued at another instance after a given
-	// event, so they may run more than once.
+	// Resumable is set if a stream can be continued at another instance after a given event.
+	// Its requests may then run more than once.
 	Resumable bool
 	Backends  []Backend
-	// Timeout is the longest time a caller is kept waiting, to the end of the
-	// answer.
+	// Timeout is the longest time from the request to the end of the answer.
 	Timeout time.Duration
-	// Objective is the time within which an answer is on time: to its end, or
-	// to the first event of a stream.
+	// Objective is the time within which an answer counts as on time: to its end, or to the
+	// first event of a stream.
 	Objective time.Duration
-	// MaxGap is the longest pause between events of an answer on time.
+	// MaxGap is the longest pause between events of an answer that counts as on time.
 	MaxGap time.Duration
-	// MaxAttempts bounds the instances on which one request runs.
+	// MaxAttempts bounds the number of instances on which one request runs.
 	MaxAttempts int
-	// Priority is the rank; 0 is the most urgent.
+	// Priority is the priority of requests; 0 is the most urgent.
 	Priority int
-	// Public routes need no key.
+	// Public routes need no API key.
 	Public bool
-	// Models are the models that may answer, smallest first; empty where the
-	// caller names the model.
+	// Models are the models that may answer, smallest first. It is empty if the caller names
+	// the model.
 	Models []string
 }
 
@@ -70,7 +68,8 @@
 	return r.Kind == Safe || (r.Kind == Stream && r.Resumable)
 }
 
-// Service picks a backend by its weight. point is uniform in [0, 1).
+// PickService picks a service by the weights of the backends. point is uniformly random in [0,
+// 1). It returns "" if the route has no backends.
 func (r *Route) Service(point float64) string {
 	total := 0
 	for _, b := range r.Backends {
@@ -89,7 +88,7 @@
 	return r.Backends[len(r.Backends)-1].Service
 }
 
-// Model is a model that engines of a service hold.
+// Model is a model that engines of a service can run.
 type Model struct {
 	Name string
 	// Cost is the price of 1,000 generated tokens.
@@ -104,21 +103,21 @@
 	MaxConnections int
 	// Models is empty for a service that is not a model engine.
 	Models []Model
-	// Engine is true for a service of model engines.
+	// Engine is set for a service of model engines.
 	Engine bool
 	WarmUp WarmUp
 }
 
-// WarmUp is what an instance bears after its start.
+// WarmUp limits the load of an instance after its start.
 type WarmUp struct {
-	// Time is how long it takes; 0 for instances that bear all at once.
+	// Time is the duration of the limit; 0 for instances that need no warm-up.
 	Time time.Duration
-	// Rate is the number of requests a second, of all daemons, that it bears meanwhile.
+	// Rate is the highest number of requests per second, from all daemons together, during that time.
 	Rate float64
 }
 
-// RelativeCost is a model's cost as a part of that of the most expensive one; 1
-// where nothing is known.
+// RelativeCost returns a model's cost divided by that of the most expensive model, or 1 if its
+// cost is unknown.
 func (s *Service) RelativeCost(model string) float64 {
 	most, own := 0.0, 0.0
 	for _, m := range s.Models {
@@ -136,7 +135,7 @@
 // Organisation is a customer.
 type Organisation struct {
 	Name string
-	// Priority takes the place of the route's when HasPriority is set.
+	// Priority replaces the route's priority if HasPriority is set.
 	Priority    int
 	HasPriority bool
 }
@@ -147,11 +146,11 @@
 	BodyBytes   int64
 	// HeaderTimeout bounds the time to send the headers.
 	HeaderTimeout time.Duration
-	// IdleTimeout is how long a connection may lie unused.
+	// IdleTimeout is how long a connection may be idle.
 	IdleTimeout time.Duration
 }
 
-// Catalog is one version of everything declared.
+// Catalog is one version of all declarations.
 type Catalog struct {
 	Version  int64
 	Limits   Limits
@@ -161,7 +160,7 @@
 	routes   int
 }
 
-// Declared is what a Catalog is built from.
+// Declared holds the declarations that a Catalog is built from.
 type Declared struct {
 	Version  int64
 	Limits   Limits
@@ -171,7 +170,7 @@
 	Keys map[string]Organisation
 }
 
-// New builds a catalog.
+// New builds a Catalog.
 func New(d Declared) *Catalog {
 	c := &Catalog{
 		Version:  d.Version,
@@ -197,8 +196,7 @@
 	return c
 }
 
-// Match returns the route with the longest prefix of path among those of host.
-// A port in host is ignored.
+// Match returns the route of host with the longest prefix of path. A port in host is ignored.
 func (c *Catalog) Match(host, path string) (*Route, bool) {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -211,7 +209,7 @@
 	return nil, false
 }
 
-// Organisation returns the holder of an API key.
+// Organisation returns the organisation that holds an API key.
 func (c *Catalog) Organisation(key string) (*Organisation, bool) {
 	o, ok := c.byKey[key]
 	return o, ok
@@ -223,7 +221,7 @@
 	return s, ok
 }
 
-// WarmUps returns what instances bear while they warm up, by service.
+// WarmUps returns the warm-up limits of all services by name.
 func (c *Catalog) WarmUps() map[string]WarmUp {
 	out := make(map[string]WarmUp, len(c.services))
 	for name, s := range c.services {
@@ -232,10 +230,10 @@
 	return out
 }
 
-// RouteCount is the number of routes.
+// RouteCount returns the number of routes.
 func (c *Catalog) RouteCount() int { return c.routes }
 
-// Routes returns every route, by host and then longest prefix first.
+// Routes returns all routes, sorted by host, then longest prefix first.
 func (c *Catalog) Routes() []*Route {
 	out := make([]*Route, 0, c.routes)
 	for _, routes := range c.byHost {
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -6,6 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
+// The longest prefix must win whatever the order of the routes, and the case and port of the host
+// must not matter.
 func TestMatch(t *testing.T) {
 	c := New(Declared{Version: 1, Routes: []Route{
 		{Name: "all", Host: "A.example", Prefix: "/"},
@@ -29,6 +31,7 @@
 	}
 }
 
+// Requests are split by weight, and a backend of weight 0 gets none.
 func TestServiceByWeight(t *testing.T) {
 	r := Route{Backends: []Backend{{"a", 90}, {"b", 10}, {"c", 0}}}
 	require.Equal(t, "a", r.Service(0))
--- a/internal/limit/allocator.go
+++ b/internal/limit/allocator.go
@@ -7,25 +7,26 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// ShareTTL is how long a granted share lasts without being renewed.
+// ShareTTL is how long a granted share is valid without renewal.
 const ShareTTL = 5 * time.Second
 
-// shareFloor is the part of a limit that is kept for daemons without demand
-// when the demand of all is above the limit.
+// evenFraction is the fraction of a limit that is divided evenly between the daemons when
+// their total demand exceeds the limit, so that a daemon without demand keeps a share. The
+// rest is divided by demand.
 const evenFraction = 0.1
 
-// granted is a daemon's share of an organisation's limits.
+// grant is a daemon's share of an organisation's limits.
 type grant struct {
 	demand   float64
 	fraction float64
 	until    time.Time
 }
 
-// Allocator allots the shares of the organisations whose duty this daemon has.
-// Each daemon gets what it is asked for and an equal part of what nobody asks
-// for, so that callers may move between daemons at any moment; above the whole
-// limit, shares are in proportion to demand. They never add up to more than the
-// whole.
+// Allocator grants daemons their shares of the limits of those organisations that this daemon
+// is responsible for. While the total demand is below the limit, each daemon gets its demand
+// and an equal part of the remainder, so that callers may move between daemons at any moment.
+// Above the limit, shares are mostly in proportion to demand. Their sum never exceeds the
+// limit.
 //
 // Lock order: mu is taken alone.
 type Allocator struct {
@@ -34,22 +35,20 @@
 
 	mu    sync.Mutex
 	table map[string]map[string]*grant
-	// since is when this daemon first allotted an organisation.
+	// firstReport is when this daemon first granted shares of an organisation.
 	firstReport map[string]time.Time
 }
 
-// NewAllocator returns an allocator. daemons returns how many daemons share
-// the limits.
+// NewAllocator returns an Allocator. daemons returns how many daemons share the limits.
 func NewAllocator(clock clockwork.Clock, daemons func() int) *Allocator {
 	return &Allocator{clock: clock, daemons: daemons, table: map[string]map[string]*grant{}, firstReport: map[string]time.Time{}}
 }
 
-// Report takes a daemon's demand and returns its shares.
+// Report records a daemon's demand and returns its shares by organisation.
 //
-// A share is cut to what the unexpired shares of the others leave, so that the
-// shares never add up to more than one limit, in whatever order reports come.
-// A new allocator does not know what its predecessor granted; it grants equal
-// shares until those have lapsed.
+// A share is cut to what the valid shares of the other daemons leave, so that their sum never
+// exceeds the limit, in whatever order reports arrive. A new Allocator does not know what its
+// predecessor granted, so it grants equal shares until those grants have expired.
 func (a *Allocator) Report(from string, demands []Demand) map[string]Share {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -61,7 +60,7 @@
 	return shares
 }
 
-// Return gives back the shares of a daemon that stops.
+// Release frees the shares of a daemon that stops.
 func (a *Allocator) Return(from string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/limit/fleet.go
+++ b/internal/limit/fleet.go
@@ -7,36 +7,35 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// FleetPolicy is the budget of repeats that all daemons share.
+// FleetRetryPolicy sets the retry budget that all daemons share.
 type FleetPolicy struct {
-	// Ratio is the repeats allowed for each request.
+	// Ratio is the number of retries allowed per request.
 	Ratio float64
-	// Slack is the repeats allowed beside that in a window, for all daemons.
+	// Slack is the number of retries that all daemons together may send in a window in
+	// addition.
 	Slack  float64
 	Window time.Duration
 }
 
-// fleetMargin is the part of the budget that is used. Windows of the daemons
-// and of those who check do not begin at the same time, and requests that were
-// not read count for callers but not here.
+// usableFraction is the fraction of the budget that is used. The rest is a margin: the windows
+// of the daemons and of an observer do not begin at the same time, and callers count requests
+// that no daemon has read.
 const usableFraction = 0.85
 
-// fleetBuckets is the number of steps in which a window slides. Repeats are
-// remembered for one step more, so that the one that is not over is on the safe
-// side: with a window that is up to a step short, 81 repeats passed where 78
-// were allowed.
+// windowSteps is the number of steps in which the window slides. Retries are remembered for
+// one step more, so that the partial current step errs on the safe side: with a window that is
+// up to a step too short, 81 retries passed where 78 were allowed.
 const windowSteps = 10
 
-// FleetBudget bounds the repeats of this daemon to its share of what all of
-// them may send to a service: its own requests times the ratio, and an equal
-// part of the slack. Without it retries of all daemons together multiply the
-// load of a service that is failing already.
+// FleetRetryBudget limits this daemon's retries to its share of what all daemons may send to a
+// service: Ratio times its own requests, and an equal part of Slack. Without it, the retries
+// of all daemons together multiply the load of a failing service.
 //
 // Lock order: mu is taken alone.
 type FleetBudget struct {
 	clock   clockwork.Clock
 	daemons func() int
-	// origin is where steps are counted from.
+	// origin is the time at which step 0 began.
 	origin time.Time
 
 	mu       sync.Mutex
@@ -46,21 +45,20 @@
 
 type fleetWindow struct {
 	requests, retries [windowSteps + 1]int
-	// at is the bucket of the present step, counted from the budget's origin.
+	// step is the current step, counted from the budget's origin.
 	step int64
 }
 
-// slot is the index of the step that is ahead of the present one.
+// slot returns the array index of the step that is ahead steps after the current one. The
+// arrays are rings, so the next step has the index of the oldest one.
 func (w *fleetWindow) slot(ahead int64) int { return int((w.step + ahead) % int64(len(w.requests))) }
 
-// NewFleetBudget returns a budget. sharers is the number of daemons that share
-// it.
-func NewFleetBudget(policy FleetPolicy, clock clockwork.Clock, sharers func() int) *FleetBudget {
-	return &FleetBudget{policy: policy, clock: clock, daemons: sharers, origin: clock.Now(), services: map[string]*fleetWindow{}}
+// NewFleetRetryBudget returns a FleetRetryBudget. daemons returns how many daemons share it.
+func NewFleetBudget(policy FleetPolicy, clock clockwork.Clock, daemons func() int) *FleetBudget {
+	return &FleetBudget{policy: policy, clock: clock, daemons: daemons, origin: clock.Now(), services: map[string]*fleetWindow{}}
 }
 
-// SetPolicy changes the budget. What was counted so far keeps its place only if
-// the window stays the same.
+// SetPolicy changes the policy. The counts are kept only if the window stays the same.
 func (b *FleetBudget) SetPolicy(p FleetPolicy) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -70,7 +68,7 @@
 	b.policy = p
 }
 
-// First counts a request that is sent for the first time.
+// CountRequest counts the first attempt of a request.
 func (b *FleetBudget) First(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -78,33 +76,32 @@
 	w.requests[w.slot(0)]++
 }
 
-// Take spends one repeat, or reports that the share is used up.
+// Take uses one retry; it returns false if this daemon's share is used up.
 func (b *FleetBudget) Take(service string) bool {
 	n := float64(max(b.daemons(), 1))
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.window(service)
-	firsts, repeats := 0, 0
+	requests, retries := 0, 0
 	for i := range w.requests {
-		repeats += w.retries[i]
+		retries += w.retries[i]
 		if i != w.slot(1) {
-			// All but the oldest step.
-			firsts += w.requests[i]
+			// Requests are counted without the oldest step.
+			requests += w.requests[i]
 		}
 	}
-	allowed := usableFraction * (b.policy.Ratio*float64(firsts) + b.policy.Slack/n)
-	if float64(repeats+1) > allowed {
+	allowed := usableFraction * (b.policy.Ratio*float64(requests) + b.policy.Slack/n)
+	if float64(retries+1) > allowed {
 		return false
 	}
 	w.retries[w.slot(0)]++
 	return true
 }
 
-// window is a service's window, moved on to the present step.
+// window returns a service's window, advanced to the current step.
 //
-// Steps are counted by the steady clock. Counted by the time of day, a jump forward
-// emptied the window, so that its repeats were allowed once more, and after a jump
-// back it stood still.
+// Steps are counted by the monotonic clock. By the wall clock, a jump forward would empty the
+// window and allow its retries a second time, and a jump back would stop the window.
 func (b *FleetBudget) window(service string) *fleetWindow {
 	step := b.policy.Window / windowSteps
 	now := int64(b.clock.Since(b.origin) / max(step, time.Millisecond))
@@ -123,7 +120,7 @@
 	return w
 }
 
-// Bytes bounds an amount of memory.
+// ByteBudget limits an amount of memory.
 type Bytes struct {
 	limit int
 
@@ -131,10 +128,10 @@
 	used int
 }
 
-// NewBytes returns an unused amount.
+// NewByteBudget returns a ByteBudget of limit bytes.
 func NewBytes(limit int) *Bytes { return &Bytes{limit: limit} }
 
-// Take uses n bytes, or reports that there are not as many left.
+// Take reserves n bytes; it returns false if fewer are left.
 func (b *Bytes) Take(n int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -145,7 +142,7 @@
 	return true
 }
 
-// Release gives n bytes back.
+// Release frees n bytes.
 func (b *Bytes) Release(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/limit/fleet_test.go
+++ b/internal/limit/fleet_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// A service fails all it gets. Whatever the order of requests and repeats, the
-// repeats of all daemons together in any window stay inside the budget.
+// A service fails every attempt. Whatever the order of requests and retries, the retries of
+// all daemons in any window must stay within the budget.
 func TestRetriesOfAllDaemonsStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const daemons = 4
@@ -21,8 +21,8 @@
 			budgets = append(budgets, NewFleetBudget(policy, clock, func() int { return daemons }))
 		}
 		type sent struct {
-			at     time.Time
-			repeat bool
+			at    time.Time
+			retry bool
 		}
 		var log []sent
 		for range rapid.IntRange(1, 300).Draw(t, "requests") {
@@ -35,32 +35,32 @@
 			}
 		}
 		for _, from := range log {
-			firsts, repeats := 0, 0
+			requests, retries := 0, 0
 			for _, s := range log {
 				if age := s.at.Sub(from.at); age < 0 || age >= policy.Window {
 					continue
 				}
-				if s.repeat {
-					repeats++
+				if s.retry {
+					retries++
 				} else {
-					firsts++
+					requests++
 				}
 			}
-			// A repeat may be paid for by a request of the window before, which
-			// those who check count too.
+			// A retry may be allowed by a request of the previous window, so these count too.
 			before := 0
 			for _, s := range log {
-				if age := from.at.Sub(s.at); !s.repeat && age > 0 && age <= policy.Window {
+				if age := from.at.Sub(s.at); !s.retry && age > 0 && age <= policy.Window {
 					before++
 				}
 			}
-			if allowed := policy.Ratio*float64(firsts+before) + policy.Slack; float64(repeats) > allowed {
-				t.Fatalf("%d repeats for %d requests", repeats, firsts)
+			if allowed := policy.Ratio*float64(requests+before) + policy.Slack; float64(retries) > allowed {
+				t.Fatalf("%d retries for %d requests", retries, requests)
 			}
 		}
 	})
 }
 
+// More bytes than the limit must not be reserved, and released bytes must be available again.
 func TestBytes(t *testing.T) {
 	b := NewBytes(10)
 	require.True(t, b.Take(6))
@@ -69,7 +69,7 @@
 	require.True(t, b.Take(10))
 }
 
-// jumpingClock is a clock whose time of day can be set apart from its steady time.
+// jumpingClock is a clock whose wall time can jump while its monotonic time does not.
 type jumpingClock struct {
 	clockwork.Clock
 	jump time.Duration
@@ -79,9 +79,9 @@
 
 func (c *jumpingClock) Since(t time.Time) time.Duration { return c.Clock.Since(t) }
 
-// The time of day jumps by more than a window on an entry instance, and back. The
-// repeats of that window were allowed a second time, so that a service got twice the
-// repeats that all daemons together may send.
+// The wall clock jumps forward by more than a window, and back. Counted by the wall clock, the
+// retries of that window would be allowed a second time, and the service would get twice the
+// retries that all daemons together may send.
 func TestWallClockJumpDoesNotRefillBudget(t *testing.T) {
 	steady := clockwork.NewFakeClock()
 	clock := &jumpingClock{Clock: steady}
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -15,8 +15,8 @@
 
 func one() int { return 1 }
 
-// An organisation that was idle sends ten requests at once, well under its
-// rate, and is refused. The cause was a limiter that started empty.
+// An idle organisation sends a burst of requests within its rate. They are refused if its rate
+// limiter starts without a full burst.
 func TestIdleOrganisationMayBurst(t *testing.T) {
 	o := NewOrganisations(clockwork.NewFakeClock(), one)
 	for range 100 {
@@ -28,6 +28,7 @@
 	require.Equal(t, 10*time.Millisecond, wait)
 }
 
+// A release that is called twice must free only one request in flight.
 func TestInFlightLimit(t *testing.T) {
 	o := NewOrganisations(clockwork.NewFakeClock(), one)
 	release, _, ok := o.Admit("a", config.Limits{InFlight: 1}, 0)
@@ -40,8 +41,8 @@
 	require.True(t, ok)
 }
 
-// A granted share lapses while the daemon is cut off: it falls back to an
-// equal part, so that the daemons stay within the limit together.
+// A granted share expires while the daemon is cut off. It must fall back to an equal share, so
+// that all daemons together stay within the limit.
 func TestExpiredShareFallsBackToEqualShare(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	o := NewOrganisations(clock, func() int { return 4 })
@@ -60,8 +61,8 @@
 	require.Equal(t, 25, admitted())
 }
 
-// Daemons report in any order and with any demand; the shares in force never
-// add up to more than the whole limit.
+// Daemons report in any order and with any demand. The sum of the valid shares must never
+// exceed the limit.
 func TestSharesNeverExceedLimit(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	a := NewAllocator(clock, func() int { return 3 })
@@ -85,9 +86,8 @@
 	require.Greater(t, shares["x"].Fraction, 0.6)
 }
 
-// The callers of an organisation move from one daemon to another, far below
-// their limit. They were refused until the next reports, because the first
-// daemon still had nearly all of the limit.
+// The callers of an organisation move to another daemon, with a demand far below the limit.
+// They are refused until the next reports if the first daemon holds nearly all of the limit.
 func TestUnusedLimitIsSharedEqually(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	a := NewAllocator(clock, func() int { return 3 })
@@ -99,9 +99,8 @@
 	require.Greater(t, a.Report("y", []Demand{{Organisation: "o"}})["o"].Fraction, 0.2)
 }
 
-// A daemon starts while the others hold all of the limit, and its first
-// requests are refused as over the limit. A part is kept free for it, and a
-// daemon that stops gives its share back at once.
+// A daemon starts while the others hold the whole limit. Without a part kept free for it, its
+// first requests would be refused. A daemon that stops must free its share at once.
 func TestNewDaemonGetsAShare(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	a := NewAllocator(clock, func() int { return 2 })
@@ -116,6 +115,7 @@
 	require.Greater(t, report("z").Fraction, 0.4)
 }
 
+// Retries are allowed while the budget lasts, and again when successes have added a whole one.
 func TestRetryBudget(t *testing.T) {
 	b := NewRetryBudget(2)
 	require.True(t, b.Take())
@@ -127,7 +127,7 @@
 	require.True(t, b.Take())
 }
 
-// waiter queues work and returns where its outcome arrives.
+// enqueue waits in q in a new goroutine and returns the channel that receives the result.
 func enqueue(q *Queue, w Work, room *int) chan error {
 	before := q.Len()
 	done := make(chan error, 1)
@@ -146,6 +146,8 @@
 	return done
 }
 
+// Urgent requests go first. An organisation with many requests must not delay the first request of
+// another one with the same priority.
 func TestQueueOrder(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	q := NewQueue(clock)
@@ -166,8 +168,8 @@
 	}
 }
 
-// The queue is long and the deadline short. The caller is refused at once with
-// a time to come back, not kept until the deadline.
+// The queue is too long for the request's deadline. The caller must be refused at once with a
+// retry time, not at the deadline.
 func TestRequestThatCannotMeetDeadlineIsRefusedAtOnce(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	q := NewQueue(clock)
@@ -184,9 +186,9 @@
 	require.Equal(t, 5, q.Len())
 }
 
-// Upstreams were out for half a minute and came back. The queue still believed
-// that room comes up every half minute, and refused everything with a shorter
-// deadline; as nobody waited, it never learned better.
+// Upstreams recover from an outage during which capacity was granted every half minute. If the
+// queue kept that interval, it would refuse every request with a shorter deadline, and with an
+// empty queue would never measure a new one.
 func TestGrantIntervalIsResetAfterOutage(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	q := NewQueue(clock)
@@ -211,8 +213,8 @@
 	require.NoError(t, <-short)
 }
 
-// Urgent work pushes batch work back beyond its deadline. The batch work is
-// refused as soon as that is clear.
+// Urgent requests move a batch request so far back that it cannot meet its deadline. It must
+// be refused at once.
 func TestDisplacedRequestIsRefusedAtOnce(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	q := NewQueue(clock)
--- a/internal/limit/organisation.go
+++ b/internal/limit/organisation.go
@@ -10,11 +10,11 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/config"
 )
 
-// Share is the part of an organisation's limits that this daemon may use.
+// Share is the part of an organisation's limits that one daemon may use.
 type Share struct {
-	// Fraction is between 0 and 1.
+	// Fraction is the part of the limits, 0 to 1.
 	Fraction float64
-	// Until is when the fraction lapses and 1/N applies again.
+	// Until is when Fraction expires and an equal share applies again.
 	Until time.Time
 }
 
@@ -24,11 +24,12 @@
 	inFlight int
 	tokens   int
 	share    Share
-	// offered counts requests since the last report of demand.
+	// offered is the number of requests since demand was last reported, including refused
+	// ones.
 	offered int
 }
 
-// Organisations enforces the limits of organisations at one daemon.
+// OrganisationLimiter enforces the limits of organisations at one daemon.
 //
 // Lock order: mu is taken alone.
 type Organisations struct {
@@ -41,7 +42,7 @@
 	demandAt time.Time
 }
 
-// NewOrganisations returns an empty table.
+// NewOrganisationLimiter returns an OrganisationLimiter without usage or shares.
 func NewOrganisations(clock clockwork.Clock, daemons func() int) *Organisations {
 	return &Organisations{clock: clock, daemons: daemons, table: map[string]*usage{}, demandAt: clock.Now()}
 }
@@ -55,10 +56,10 @@
 	return u
 }
 
-// fraction is the granted share, or an equal one when the grant has lapsed.
+// fraction returns the granted share, or an equal share when the grant has expired.
 //
-// A daemon that is cut off does not know what the others use. With an equal
-// share each, they stay within the limit together even if all are cut off.
+// A daemon that is cut off does not know what the others use. With equal shares, all daemons
+// together stay within the limit even if all are cut off.
 func (o *Organisations) fraction(u *usage) float64 {
 	if o.clock.Now().Before(u.share.Until) {
 		return u.share.Fraction
@@ -66,8 +67,9 @@
 	return 1 / float64(max(o.daemons(), 1))
 }
 
-// Admit takes a request in, or returns how long to wait before trying again.
-// The returned function ends the request.
+// Admit admits a request with the given expected tokens, or returns how long the caller should
+// wait before a retry. The caller must call release when the request ends; further calls have
+// no effect.
 func (o *Organisations) Admit(name string, limits config.Limits, tokens int) (release func(), wait time.Duration, ok bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -91,11 +93,12 @@
 	return func() { once.Do(func() { o.release(name, tokens) }) }, 0, true
 }
 
-// leastRate is the rate, in requests per second, that a share of nearly nothing
-// still allows.
+// minRate is the lowest rate that a share is reduced to, in requests per second, however small
+// the share is.
 const minRate = 0.1
 
-// busyRetry is when to come back after a limit on running work.
+// inFlightRetryAfter is the retry time returned when a limit on requests or tokens in flight
+// is reached.
 const inFlightRetryAfter = 500 * time.Millisecond
 
 func scaled(limit int, fraction float64) int { return max(int(float64(limit)*fraction+0.5), 1) }
@@ -103,7 +106,7 @@
 func (o *Organisations) reserveRate(u *usage, perSecond float64) time.Duration {
 	now := o.clock.Now()
 	if u.limiter == nil {
-		// A limiter starts with a full burst: an organisation that was idle
+		// A limiter starts with a full burst, since an organisation without earlier requests
 		// has not used its rate.
 		u.limiter = rate.NewLimiter(rate.Limit(perSecond), max(int(perSecond), 1))
 	}
@@ -127,24 +130,24 @@
 	u.tokens -= tokens
 }
 
-// SetShare takes a granted share.
+// SetShare stores a granted share.
 func (o *Organisations) SetShare(name string, s Share) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.usage(name).share = s
 }
 
-// Demand is what an organisation asks of one daemon.
+// Demand is an organisation's demand at one daemon.
 type Demand struct {
 	Organisation string
-	// Used is the part of the organisation's whole limit that the demand at
-	// this daemon comes to: the larger of rate and requests in flight. It is
-	// above 1 when one daemon is asked for more than the whole.
+	// Used is the demand as a fraction of the organisation's whole limits: the highest of its
+	// rate, requests in flight and tokens in flight. It is above 1 when the demand at one
+	// daemon exceeds the whole limit.
 	Used float64
 }
 
-// TakeDemand returns the demand since the last call. limits returns the whole
-// limits of an organisation.
+// TakeDemand returns the demand since the last call. limits returns the whole limits of an
+// organisation.
 func (o *Organisations) TakeDemand(limits func(organisation string) config.Limits) []Demand {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/limit/queue.go
+++ b/internal/limit/queue.go
@@ -12,21 +12,21 @@
 
 // Work describes a request that waits for an upstream.
 type Work struct {
-	// Priority is larger for more urgent work.
+	// Priority is higher for more urgent requests.
 	Priority int
-	// Organisation shares the queue fairly with others of its priority.
+	// Organisation is the unit of fairness among requests of the same priority.
 	Organisation string
 	// Cost is the expected number of tokens.
 	Cost float64
 	// Deadline is when the answer must be complete.
 	Deadline time.Time
-	// Service is the expected time from start to end.
+	// ServiceTime is the expected time from the grant to the end of the answer.
 	Service time.Duration
 }
 
-// RefusedError says that waiting would not help before the deadline.
+// RefusedError reports that a request cannot be served before its deadline.
 type RefusedError struct {
-	// RetryAfter is when there is likely to be room.
+	// RetryAfter is the time after which capacity is expected.
 	RetryAfter time.Duration
 }
 
@@ -38,29 +38,29 @@
 // ticket is a waiting request.
 type ticket struct {
 	work Work
-	// virtual is the fair-queueing finish time of the work.
+	// virtualFinish is the finish time of the request in virtual time, as in weighted fair
+	// queueing.
 	virtualFinish float64
-	try     func() bool
-	done    chan error
+	try           func() bool
+	done          chan error
 	// since is when the ticket was queued.
 	since time.Time
 }
 
-// Queue orders the requests that wait for room at the upstreams of one
-// version: by priority, then fairly between organisations.
+// Queue orders the requests that wait for the upstreams of one version: by priority, then
+// fairly between organisations.
 //
 // Lock order: mu is taken before the locks that try takes.
 type Queue struct {
 	clock clockwork.Clock
 
-	mu      sync.Mutex
-	waiting []*ticket
+	mu          sync.Mutex
+	waiting     []*ticket
 	virtualTime float64
-	lastFinish    map[string]float64
-	// interval is the smoothed time between two grants while there is a
-	// queue.
-	grantInterval  time.Duration
-	lastGrant time.Time
+	lastFinish  map[string]float64
+	// grantInterval is the smoothed time between two grants while requests are queued.
+	grantInterval time.Duration
+	lastGrant     time.Time
 }
 
 // NewQueue returns an empty queue.
@@ -68,13 +68,13 @@
 	return &Queue{clock: clock, lastFinish: map[string]float64{}}
 }
 
-// smoothing is the weight of a new sample of the grant interval.
+// intervalWeight is the weight of a new sample in grantInterval.
 const intervalWeight = 0.1
 
-// Wait calls try until it succeeds, in the order of the queue. It returns a
-// *RefusedError at once when the queue is too long for the deadline, or as
-// soon as that becomes clear, so that the caller learns early when to come
-// back instead of waiting for an answer that cannot come in time.
+// Wait queues a request and returns nil once try has succeeded for it; try is called when the
+// request is first in the queue. Wait returns a *RefusedError as soon as the queue is too long
+// for the deadline, often at once, so that the caller does not wait for an answer that cannot
+// be in time. It also returns one when ctx ends first.
 func (q *Queue) Wait(ctx context.Context, work Work, try func() bool) error {
 	q.mu.Lock()
 	if len(q.waiting) == 0 && try() {
@@ -138,21 +138,22 @@
 	return true
 }
 
-// expected is how long the ticket at a position is likely to wait.
+// expectedWait returns how long the ticket at a position is likely to wait.
 func (q *Queue) expectedWait(at int) time.Duration { return time.Duration(at+1) * q.grantInterval }
 
 func (q *Queue) meetsDeadline(t *ticket, wait time.Duration) bool {
 	return q.clock.Now().Add(wait + t.work.Service).Before(t.work.Deadline)
 }
 
-// retryAfter spreads the return of refused callers over the time the queue
-// needs.
+// retryAfter returns the time after which a refused caller should retry: the expected wait, so
+// that callers return as the queue empties, but not less than 100 ms.
 func (q *Queue) retryAfter(wait time.Duration) time.Duration {
 	const least = 100 * time.Millisecond
 	return max(wait, least)
 }
 
-// evict refuses the tickets that more urgent work has pushed too far back.
+// refuseLate refuses the tickets that cannot meet their deadline any more because more urgent
+// requests were queued before them or because capacity has become available more slowly.
 func (q *Queue) refuseLate() {
 	kept := q.waiting[:0]
 	for _, t := range q.waiting {
@@ -167,7 +168,8 @@
 	q.waiting = kept
 }
 
-// Poke grants what now has room. It is called whenever room may have come up.
+// GrantWaiting grants as many waiting requests as there is capacity for. It must be called
+// whenever capacity may have become available.
 func (q *Queue) Poke() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -187,8 +189,8 @@
 	}
 }
 
-// granted updates the grant interval. Only grants close together count: an
-// idle time between them says nothing about how fast room comes up.
+// recordGrant updates grantInterval. Only grants made while others wait count: the time
+// between grants without a queue does not show how fast capacity becomes available.
 func (q *Queue) recordGrant() {
 	now := q.clock.Now()
 	if len(q.waiting) > 0 && !q.lastGrant.IsZero() {
@@ -201,10 +203,10 @@
 	q.lastGrant = now
 }
 
-// forget starts afresh once nobody waits: organisations without work have no
-// claim on the order, and how fast room came up says nothing about the next
-// time there is a queue. An interval kept from an outage would refuse every
-// short deadline, and with nobody let in to wait it would never be corrected.
+// reset clears the state once the queue is empty. Organisations without waiting requests have
+// no place in the fair order. The grant interval is cleared because one kept from an outage
+// would refuse every short deadline, and with nobody admitted to the queue would never be
+// corrected.
 func (q *Queue) reset() {
 	clear(q.lastFinish)
 	q.virtualTime = 0
--- a/internal/quarantine/evidence_test.go
+++ b/internal/quarantine/evidence_test.go
@@ -107,7 +107,7 @@
 	require.Equal(t, 1, h.decide(allDaemonsKnown))
 	require.True(t, h.refused("cause"))
 	h.crash("beside")
-	require.Zero(t, h.decide(allDaemonsKnown), "the first three are explained")
+	require.Zero(t, h.decide(allDaemonsKnown), "the first three crashes are explained by the quarantined request")
 }
 
 // Racks lose power repeatedly, each time with the same request on one of the instances. The
@@ -127,7 +127,7 @@
 		h.crash("c")
 		h.clock.Advance(5 * time.Second)
 	}
-	require.Zero(t, h.decide(allDaemonsKnown), "also after seven times")
+	require.Zero(t, h.decide(allDaemonsKnown), "seven power losses must not quarantine it either")
 }
 
 // The daemon has just started to judge, or another daemon does not answer. The missing reports
@@ -162,7 +162,7 @@
 }
 
 // A request crashes an instance after its quarantine has expired: one crash suffices to
-// quarantine it again. After a release by an operator, three are needed again.
+// quarantine it again. After a release by an operator, one crash does not.
 func TestOneCrashDuringProbationQuarantinesAgain(t *testing.T) {
 	h := newHarness()
 	for range 3 {
@@ -171,7 +171,7 @@
 	}
 	require.Equal(t, 1, h.decide(allDaemonsKnown))
 	h.clock.Advance(Duration)
-	require.False(t, h.refused("cause"), "it gets a chance")
+	require.False(t, h.refused("cause"), "the quarantine has expired")
 	h.crash("cause")
 	require.Equal(t, 1, h.decide(0))
 	require.True(t, h.refused("cause"))
@@ -260,7 +260,7 @@
 		worst = max(worst, m.crashed)
 		lost += m.crashed
 	}
-	t.Logf("refused wrongly %d, instances lost to each request %.2f on average, %d at most", wrong, float64(lost)/seeds, worst)
+	t.Logf("%d wrong quarantines; instances ended by the crashing request: %.2f on average, %d at most", wrong, float64(lost)/seeds, worst)
 	require.Zero(t, wrong)
 	require.LessOrEqual(t, worst, 2*minCrashesConfounded)
 }
--- a/internal/route/balance.go
+++ b/internal/route/balance.go
@@ -7,35 +7,35 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Load is an upstream that serves the wanted version.
+// UpstreamLoad is the load of an upstream that serves the wanted version.
 type Load struct {
 	ID string
-	// Near is true in the daemon's own failure domain.
+	// SameFailureDomain is set if the upstream is in the daemon's own failure domain.
 	Near bool
-	// Slots is how many attempts run at once without queueing.
+	// Slots is the number of attempts that run at once without queueing.
 	Slots int
-	// Estimate is the number of attempts believed to be there.
+	// Attempts is the estimated number of attempts at the upstream.
 	Estimate float64
 }
 
-// utilisation is the load per slot.
+// utilisation returns the attempts per slot.
 func (l Load) utilisation() float64 { return l.Estimate / float64(max(l.Slots, 1)) }
 
-// EstimateLoad adds the daemon's own attempts since the report to what the
-// report said.
+// EstimateLoad returns the estimated number of attempts at an upstream: those in its last
+// report, and those that this daemon has sent since.
 func EstimateLoad(reported, sentSince int) float64 { return float64(reported + sentSince) }
 
-// PrefixKey hashes the start of a conversation, which engines keep in their
-// prompt caches.
+// PrefixKey hashes the start of a conversation, by which engines find it in their prompt
+// caches.
 func PrefixKey(organisation, prefix string) uint64 {
 	const prefixBytes = 1024
 	return xxhash.Sum64String(organisation + "\x00" + prefix[:min(len(prefix), prefixBytes)])
 }
 
-// Balance picks an upstream. The one that rendezvous hashing gives the prefix
-// is taken while its load is at most bound times the mean (plus one attempt);
-// otherwise the less loaded of two random ones. It returns false when every
-// upstream is over the queue limit, in attempts per slot.
+// PickUpstream picks an upstream. It takes the one that rendezvous hashing assigns to the
+// prefix if that one has a free slot and at most bound times the mean load, plus one attempt.
+// Otherwise it takes the less loaded of two random ones. It returns false if every upstream
+// has reached queueLimit, in attempts per slot.
 func Balance(loads []Load, prefix uint64, bound, queueLimit float64, random *rand.Rand) (Load, bool) {
 	var room []Load
 	total, slots := 0.0, 0
@@ -50,14 +50,14 @@
 		return Load{}, false
 	}
 	mean := total / float64(slots)
-	affine := rendezvous(room, prefix)
-	if affine.Estimate <= bound*mean*float64(max(affine.Slots, 1))+1 && affine.utilisation() < 1 {
-		return affine, true
+	preferred := rendezvous(room, prefix)
+	if preferred.Estimate <= bound*mean*float64(max(preferred.Slots, 1))+1 && preferred.utilisation() < 1 {
+		return preferred, true
 	}
 	return twoChoices(room, random), true
 }
 
-// affinity returns the upstream that rendezvous hashing gives the prefix.
+// rendezvous returns the upstream that rendezvous hashing assigns to the prefix.
 func rendezvous(loads []Load, prefix uint64) Load {
 	best, top := loads[0], uint64(0)
 	for _, l := range loads {
--- a/internal/route/plan.go
+++ b/internal/route/plan.go
@@ -12,16 +12,16 @@
 // Candidate is a version that may answer the request.
 type Candidate struct {
 	Version config.VersionRef
-	// Cost is the expected cost of one run, in millionths of the currency
-	// unit.
+	// Cost is the expected cost of one run, in millionths of the currency unit.
 	Cost    float64
 	Quality Quality
-	// FirstToken and Total are the expected times of one run; 0 is unknown.
+	// FirstToken and Total are the expected times of one run; 0 if unknown.
 	FirstToken time.Duration
 	Total      time.Duration
 }
 
-// Judge is the service that judges answers inside a cascade.
+// Judge describes the service that judges the first answer of a cascade. TrueAccept and
+// FalseAccept are the probabilities that it accepts a good and a bad answer.
 type Judge struct {
 	TrueAccept  float64
 	FalseAccept float64
@@ -29,40 +29,41 @@
 	Latency     time.Duration
 }
 
-// Request is what the decision depends on.
+// Request holds what the choice of a plan depends on.
 type Request struct {
-	// Target is the share of answers that must be good.
+	// Target is the required fraction of good answers.
 	Target float64
-	// Cascade allows cascades; the work must be idempotent.
+	// Cascade allows cascades; the request must be idempotent.
 	Cascade bool
-	// Remaining is the time left until the deadline.
+	// Remaining is the time until the deadline.
 	Remaining time.Duration
-	// FirstToken is the wanted time to the first token; 0 is none.
+	// FirstToken is the wanted time to the first token; 0 if there is none.
 	FirstToken time.Duration
 }
 
-// Plan is a way to answer: one version, or a cheap one whose answer is judged
-// and a second one if the judge does not accept it.
+// Plan is a way to answer: one version, or a cascade of a cheap version whose answer is judged
+// and a second version that runs if the judge rejects it.
 type Plan struct {
 	Steps []config.VersionRef
-	// Cost is the expected cost.
+	// Cost is the expected cost, in millionths of the currency unit.
 	Cost float64
-	// Lower and Mean are the lower bound and expectation of the quality.
+	// Lower and Upper are the confidence bounds of the quality, and Mean its expectation.
 	Lower float64
 	Mean  float64
 	Upper float64
-	// FirstToken and Total are expected times; FirstToken of a cascade is
-	// when its first answer has been judged.
+	// FirstToken and Total are the expected times. FirstToken of a cascade includes the
+	// judging of the first answer and, weighted by the probability of rejection, the second
+	// version's time to its first token.
 	FirstToken time.Duration
 	Total      time.Duration
-	// Explored is true when the plan was chosen to learn about it.
+	// Explored is set if the plan was chosen to collect ratings for it.
 	Explored bool
 }
 
 // Cascade reports whether the plan has a second step.
 func (p Plan) Cascade() bool { return len(p.Steps) > 1 }
 
-// Plans lists every way to answer with the candidates.
+// Plans returns every plan that can be made of the candidates.
 func Plans(candidates []Candidate, judge Judge, req Request) []Plan {
 	var plans []Plan
 	for _, c := range candidates {
@@ -93,7 +94,8 @@
 	}
 }
 
-// cascade estimates running first, judging, and running second on rejection.
+// cascadePlan estimates a plan that runs first, judges its answer, and runs second if the
+// judge rejects it.
 func cascadePlan(first, second Candidate, judge Judge) Plan {
 	accept := func(q float64) float64 { return q*judge.TrueAccept + (1-q)*judge.FalseAccept }
 	delivered := func(q1, q2 float64) float64 { return q1*judge.TrueAccept + (1-accept(q1))*q2 }
@@ -109,8 +111,8 @@
 	}
 }
 
-// InTime drops plans that are not expected to finish before the deadline, and
-// those slower to the first token than wanted, while others remain.
+// InTime drops the plans that are not expected to finish before the deadline, and then those
+// slower to the first token than wanted. A condition that no plan meets is ignored.
 func InTime(plans []Plan, req Request) []Plan {
 	plans = matchingOrAll(plans, func(p Plan) bool { return p.Total <= req.Remaining })
 	if req.FirstToken == 0 {
@@ -119,7 +121,7 @@
 	return matchingOrAll(plans, func(p Plan) bool { return p.FirstToken <= req.FirstToken })
 }
 
-// prefer keeps what matches, or everything when nothing does.
+// matchingOrAll returns the plans that match, or all plans if none does.
 func matchingOrAll(plans []Plan, match func(Plan) bool) []Plan {
 	var out []Plan
 	for _, p := range plans {
@@ -133,8 +135,9 @@
 	return out
 }
 
-// Pick returns the cheapest plan whose quality meets the target with
-// confidence. When none does, it returns the one expected to be best.
+// PickPlan returns the cheapest plan whose lower bound of quality meets the target. If there
+// is none, it returns the plan with the best expected quality. It returns false if plans is
+// empty.
 func Pick(plans []Plan, target float64) (Plan, bool) {
 	if len(plans) == 0 {
 		return Plan{}, false
@@ -152,8 +155,8 @@
 	return cmp.Or(cmp.Compare(a.Cost, b.Cost), cmp.Compare(a.FirstToken, b.FirstToken), cmp.Compare(len(a.Steps), len(b.Steps)))
 }
 
-// Explore sometimes replaces the pick by a cheaper single version that may
-// meet the target but has too few ratings to show it. share bounds how often.
+// Explore replaces the pick, with a probability of at most share, by a cheaper single version
+// that may meet the target but has too few ratings to show it.
 func Explore(pick Plan, plans []Plan, target, share float64, random *rand.Rand) Plan {
 	if random.Float64() >= share {
 		return pick
--- a/internal/route/quality.go
+++ b/internal/route/quality.go
@@ -1,6 +1,5 @@
-// Package route decides which model version, or cascade of two, answers a
-// request, and which upstream runs it. It does no I/O; everything it needs is
-// handed in.
+// Package route decides which model version, or cascade of two, answers a request, and which
+// upstream runs it. It does no I/O; its inputs are passed as arguments.
 package route
 
 import (
@@ -10,16 +9,17 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Confidence of the one-sided bounds on quality.
+// Confidence is the confidence level of the one-sided bounds on quality.
 const Confidence = 0.95
 
-// Quality is a Beta belief about the chance that an answer is good.
+// Quality is the Beta distribution of the probability that an answer is good.
 type Quality struct {
 	Alpha float64
 	Beta  float64
 }
 
-// NewQuality combines a prior, worth weight ratings, with counted ratings.
+// NewQuality combines a prior mean, which weighs as much as weight ratings, with the counted
+// good and bad ratings.
 func NewQuality(mean, weight, good, bad float64) Quality {
 	return Quality{Alpha: mean*weight + good, Beta: (1-mean)*weight + bad}
 }
@@ -27,17 +27,17 @@
 // Mean returns the expected quality.
 func (q Quality) Mean() float64 { return q.Alpha / (q.Alpha + q.Beta) }
 
-// Lower returns the quality exceeded with probability Confidence.
+// Lower returns the quality that is exceeded with probability Confidence.
 func (q Quality) Lower() float64 { return quantile(q, 1-Confidence) }
 
-// Upper returns the quality not reached with probability Confidence.
+// Upper returns the quality that is not reached with probability Confidence.
 func (q Quality) Upper() float64 { return quantile(q, Confidence) }
 
-// quantileKey identifies a computed quantile. Counts are rounded to a
-// relative step, so that the cache stays small while ratings come in.
+// quantileKey identifies a cached quantile. Its counts are rounded, so that new ratings rarely
+// add entries to the cache.
 type quantileKey struct{ alpha, beta, p float64 }
 
-// quantileCacheSize bounds the cache; it is emptied when full.
+// quantileCacheSize bounds the cache; a full cache is emptied.
 const quantileCacheSize = 4096
 
 var quantiles = struct {
@@ -60,7 +60,7 @@
 	return v
 }
 
-// roundCount keeps three significant digits.
+// roundCount rounds v to three significant digits.
 func roundCount(v float64) float64 {
 	if v <= 0 {
 		return 1e-3
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -16,6 +16,8 @@
 
 var judge = Judge{TrueAccept: 0.95, FalseAccept: 0.1, Cost: 1}
 
+// The cheapest plan that meets the target with confidence must be picked. A version with too few
+// ratings does not meet it, and without any such plan the best one is picked.
 func TestPick(t *testing.T) {
 	cheap, dear := candidate("cheap", 10, 850, 150), candidate("dear", 100, 970, 30)
 	for name, c := range map[string]struct {
@@ -27,7 +29,7 @@
 		"cheap is good enough":       {[]Candidate{cheap, dear}, 0.8, true, []string{"cheap"}},
 		"a cascade is good enough":   {[]Candidate{cheap, dear}, 0.93, true, []string{"cheap", "dear"}},
 		"no cascade allowed":         {[]Candidate{cheap, dear}, 0.93, false, []string{"dear"}},
-		"nothing is, the best":       {[]Candidate{cheap, dear}, 0.999, false, []string{"dear"}},
+		"none is good enough":        {[]Candidate{cheap, dear}, 0.999, false, []string{"dear"}},
 		"too few ratings to be sure": {[]Candidate{candidate("cheap", 10, 9, 1), dear}, 0.8, false, []string{"dear"}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -45,6 +47,8 @@
 	require.False(t, ok)
 }
 
+// The cheaper version is too slow for the deadline or for the wanted first token. It must not be
+// picked, unless no other version is there.
 func TestSlowPlansAreDropped(t *testing.T) {
 	slow, fast := candidate("slow", 1, 990, 10), candidate("fast", 5, 990, 10)
 	slow.FirstToken, slow.Total = time.Second, 3*time.Second
@@ -57,9 +61,11 @@
 	}
 	req := Request{Target: 0.9, Remaining: time.Second}
 	pick, _ := Pick(InTime(Plans([]Candidate{slow}, judge, req), req), req.Target)
-	require.Equal(t, "slow", pick.Steps[0].Model, "better late than nothing")
+	require.Equal(t, "slow", pick.Steps[0].Model, "a late answer is better than none")
 }
 
+// Exploration must not exceed its share of requests, and must not choose a version whose ratings
+// show that it is too bad.
 func TestExplorationIsBounded(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	cheap, dear := candidate("cheap", 10, 5, 0), candidate("dear", 100, 970, 30)
@@ -73,10 +79,12 @@
 		}
 	}
 	require.InDelta(t, 200, explored, 60)
-	hopeless := Plans([]Candidate{candidate("cheap", 10, 5, 95), dear}, judge, Request{})
-	require.False(t, Explore(pick, hopeless, 0.9, 1, random).Explored)
+	tooBad := Plans([]Candidate{candidate("cheap", 10, 5, 95), dear}, judge, Request{})
+	require.False(t, Explore(pick, tooBad, 0.9, 1, random).Explored)
 }
 
+// Requests with the same prefix must go to the same upstream, so that its prompt cache is used,
+// but not once that upstream is much busier than the others. None is picked when all are full.
 func TestBalance(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	loads := []Load{{ID: "a", Slots: 10}, {ID: "b", Slots: 10}, {ID: "c", Slots: 10}}
@@ -92,7 +100,7 @@
 		}
 	}
 	moved, _ := Balance(loads, 7, 1.25, 1.5, random)
-	require.NotEqual(t, first.ID, moved.ID, "a busy upstream loses its affinity")
+	require.NotEqual(t, first.ID, moved.ID, "an upstream with little room left is not preferred")
 	for i := range loads {
 		loads[i].Estimate = 15
 	}
