--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -77,10 +77,10 @@
 // since. A request is quarantined when it was on three ended instances (minCrashes), no other
 // instance ended in that time without it, and no other request was on all of the three. If
 // other instances ended too, because of a power loss or a second crashing request, it must
-// have been on five (minCrashesConfounded) and on at least a third of all that ended. Two
-// requests that were on exactly the same instances are told apart by the next crash with only
-// one of them, or by the first that completes. Crashes of instances that had a quarantined
-// request are not held against other requests.
+// have been on five (minCrashesConfounded, counted by weightedCrashes) and on at least a third
+// of all that ended. Two requests that were on exactly the same instances are told apart by
+// the next crash with only one of them, or by the first that completes. Crashes of instances
+// that had a quarantined request are not held against other requests.
 //
 // Lock order: mu is taken alone.
 type Evidence struct {
@@ -159,8 +159,8 @@
 	}
 }
 
-// Clear records that a request completed the given time ago. Its crashes before then no longer
-// count against it.
+// Clear records that a request completed, or was released by an operator, the given time ago.
+// Its crashes before then no longer count against it.
 func (e *Evidence) Clear(d Digest, age time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/route/balance.go
+++ b/internal/route/balance.go
@@ -25,8 +25,8 @@
 // report, and those that this daemon has sent since.
 func EstimateLoad(reported, sentSince int) float64 { return float64(reported + sentSince) }
 
-// PrefixKey hashes the start of a conversation, by which engines find it in their prompt
-// caches.
+// PrefixKey hashes the start of an organisation's conversation, by which engines find it in
+// their prompt caches. It uses at most the first 1,024 bytes of prefix.
 func PrefixKey(organisation, prefix string) uint64 {
 	const prefixBytes = 1024
 	return xxhash.Sum64String(organisation + "\x00" + prefix[:min(len(prefix), prefixBytes)])
