--- a/internal/cascade/cascade_test.go
+++ b/internal/cascade/cascade_test.go
@@ -39,8 +39,8 @@
 }
 
 // Every third answer of the largest model shares its engine with long prompts and takes three
-// times as long per token. A caller whose timeout covers the mean but not these answers must keep the
-// small model's answer; otherwise one in 25 callers loses both answers.
+// times as long per token. A caller whose timeout covers the mean but not these answers must
+// keep the small model's answer; otherwise one in 25 callers loses both answers.
 func TestLatencyEstimateIncludesOverrun(t *testing.T) {
 	now := time.Now()
 	steady, varied := NewTimes(), NewTimes()
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -159,8 +159,8 @@
 	}
 }
 
-// Clear records that a request completed, or was released by an operator, the given time ago.
-// Its crashes before then no longer count against it.
+// Clear records that a request completed, or that its quarantine was released, the given time
+// ago. Its crashes before then no longer count against it.
 func (e *Evidence) Clear(d Digest, age time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -28,7 +28,8 @@
 	Suspect
 	// Ended are the IDs of the instances that ended while running it.
 	Ended []string
-	// Released is set when an operator has ended the quarantine.
+	// Released is set when the quarantine was ended early: by an operator, or because the
+	// request completed.
 	Released bool
 	// Stamp orders the entries for the same request: the highest is the newest. It is the wall
 	// clock of the daemon that made the entry, in milliseconds, or the previous stamp plus 1
@@ -80,8 +81,8 @@
 	return ok && !e.Released
 }
 
-// OnProbation reports whether the quarantine of a request has expired recently, without a
-// release by an operator.
+// OnProbation reports whether the quarantine of a request has expired recently. It is false
+// for one that was ended early by Release.
 func (l *List) Proven(d Digest) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
