--- a/internal/limit/allocator.go
+++ b/internal/limit/allocator.go
@@ -7,25 +7,26 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// ShareTTL is how long a granted share lasts without being renewed.
+// ShareTTL is how long a granted share is valid without renewal.
 const ShareTTL = 5 * time.Second
 
-// shareFloor is the part of a limit that is kept for daemons without demand
-// when the demand of all is above the limit.
-const shareFloor = 0.1
+// evenFraction is the fraction of a limit that is divided evenly between the daemons when
+// their total demand exceeds the limit, so that a daemon without demand keeps a share. The
+// rest is divided by demand.
+const evenFraction = 0.1
 
-// granted is a daemon's share of an organisation's limits.
-type granted struct {
+// grant is a daemon's share of an organisation's limits.
+type grant struct {
 	demand   float64
 	fraction float64
 	until    time.Time
 }
 
-// Allocator allots the shares of the organisations whose duty this daemon has.
-// Each daemon gets what it is asked for and an equal part of what nobody asks
-// for, so that callers may move between daemons at any moment; above the whole
-// limit, shares are in proportion to demand. They never add up to more than the
-// whole.
+// Allocator grants daemons their shares of the limits of those organisations that this daemon
+// is responsible for. While the total demand is below the limit, each daemon gets its demand
+// and an equal part of the remainder, so that callers may move between daemons at any moment.
+// Above the limit, shares are mostly in proportion to demand. Their sum never exceeds the
+// limit.
 //
 // Lock order: mu is taken alone.
 type Allocator struct {
@@ -33,35 +34,33 @@
 	daemons func() int
 
 	mu    sync.Mutex
-	table map[string]map[string]*granted
-	// since is when this daemon first allotted an organisation.
-	since map[string]time.Time
+	table map[string]map[string]*grant
+	// firstReport is when this daemon first granted shares of an organisation.
+	firstReport map[string]time.Time
 }
 
-// NewAllocator returns an allocator. daemons returns how many daemons share
-// the limits.
+// NewAllocator returns an Allocator. daemons returns how many daemons share the limits.
 func NewAllocator(clock clockwork.Clock, daemons func() int) *Allocator {
-	return &Allocator{clock: clock, daemons: daemons, table: map[string]map[string]*granted{}, since: map[string]time.Time{}}
+	return &Allocator{clock: clock, daemons: daemons, table: map[string]map[string]*grant{}, firstReport: map[string]time.Time{}}
 }
 
-// Report takes a daemon's demand and returns its shares.
+// Report records a daemon's demand and returns its shares by organisation.
 //
-// A share is cut to what the unexpired shares of the others leave, so that the
-// shares never add up to more than one limit, in whatever order reports come.
-// A new allocator does not know what its predecessor granted; it grants equal
-// shares until those have lapsed.
+// A share is cut to what the valid shares of the other daemons leave, so that their sum never
+// exceeds the limit, in whatever order reports arrive. A new Allocator does not know what its
+// predecessor granted, so it grants equal shares until those grants have expired.
 func (a *Allocator) Report(from string, demands []Demand) map[string]Share {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.clock.Now()
-	out := map[string]Share{}
+	shares := map[string]Share{}
 	for _, d := range demands {
-		out[d.Organisation] = a.allot(from, d, now)
+		shares[d.Organisation] = a.allocate(from, d, now)
 	}
-	return out
+	return shares
 }
 
-// Return gives back the shares of a daemon that stops.
+// Release frees the shares of a daemon that stops.
 func (a *Allocator) Return(from string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -70,12 +69,12 @@
 	}
 }
 
-func (a *Allocator) allot(from string, d Demand, now time.Time) Share {
+func (a *Allocator) allocate(from string, d Demand, now time.Time) Share {
 	shares := a.table[d.Organisation]
 	if shares == nil {
-		shares = map[string]*granted{}
+		shares = map[string]*grant{}
 		a.table[d.Organisation] = shares
-		a.since[d.Organisation] = now
+		a.firstReport[d.Organisation] = now
 	}
 	total, taken := 0.0, 0.0
 	for id, g := range shares {
@@ -88,19 +87,19 @@
 			taken += g.fraction
 		}
 	}
-	mine := &granted{demand: d.Used, until: now.Add(ShareTTL)}
-	total += mine.demand
+	own := &grant{demand: d.Used, until: now.Add(ShareTTL)}
+	total += own.demand
 	// One part stays free for a daemon that has just started.
 	parts := float64(max(a.daemons(), 1) + 1)
 	switch {
-	case now.Sub(a.since[d.Organisation]) < ShareTTL:
-		mine.fraction = 1 / parts
+	case now.Sub(a.firstReport[d.Organisation]) < ShareTTL:
+		own.fraction = 1 / parts
 	case total < 1:
-		mine.fraction = mine.demand + (1-total)/parts
+		own.fraction = own.demand + (1-total)/parts
 	default:
-		mine.fraction = shareFloor/parts + (1-shareFloor)*mine.demand/total
+		own.fraction = evenFraction/parts + (1-evenFraction)*own.demand/total
 	}
-	mine.fraction = max(min(mine.fraction, 1-taken), 0)
-	shares[from] = mine
-	return Share{Fraction: mine.fraction, Until: mine.until}
+	own.fraction = max(min(own.fraction, 1-taken), 0)
+	shares[from] = own
+	return Share{Fraction: own.fraction, Until: own.until}
 }
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -15,9 +15,9 @@
 
 func one() int { return 1 }
 
-// An organisation that was idle sends ten requests at once, well under its
-// rate, and is refused. The cause was a limiter that started empty.
-func TestIdleOrganisationHasItsBurst(t *testing.T) {
+// An idle organisation sends a burst of requests within its rate. They are refused if its rate
+// limiter starts without a full burst.
+func TestIdleOrganisationMayBurst(t *testing.T) {
 	o := NewOrganisations(clockwork.NewFakeClock(), one)
 	for range 100 {
 		_, _, ok := o.Admit("a", config.Limits{RequestsPerSecond: 100}, 0)
@@ -28,6 +28,7 @@
 	require.Equal(t, 10*time.Millisecond, wait)
 }
 
+// A release that is called twice must free only one request in flight.
 func TestInFlightLimit(t *testing.T) {
 	o := NewOrganisations(clockwork.NewFakeClock(), one)
 	release, _, ok := o.Admit("a", config.Limits{InFlight: 1}, 0)
@@ -40,9 +41,9 @@
 	require.True(t, ok)
 }
 
-// A granted share lapses while the daemon is cut off: it falls back to an
-// equal part, so that the daemons stay within the limit together.
-func TestShareLapses(t *testing.T) {
+// A granted share expires while the daemon is cut off. It must fall back to an equal share, so
+// that all daemons together stay within the limit.
+func TestExpiredShareFallsBackToEqualShare(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	o := NewOrganisations(clock, func() int { return 4 })
 	o.SetShare("a", Share{Fraction: 0.9, Until: clock.Now().Add(ShareTTL)})
@@ -60,9 +61,9 @@
 	require.Equal(t, 25, admitted())
 }
 
-// Daemons report in any order and with any demand; the shares in force never
-// add up to more than the whole limit.
-func TestSharesNeverExceedTheWhole(t *testing.T) {
+// Daemons report in any order and with any demand. The sum of the valid shares must never
+// exceed the limit.
+func TestSharesNeverExceedLimit(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	a := NewAllocator(clock, func() int { return 3 })
 	shares := map[string]Share{}
@@ -85,10 +86,9 @@
 	require.Greater(t, shares["x"].Fraction, 0.6)
 }
 
-// The callers of an organisation move from one daemon to another, far below
-// their limit. They were refused until the next reports, because the first
-// daemon still had nearly all of the limit.
-func TestCallersMoveBetweenDaemons(t *testing.T) {
+// The callers of an organisation move to another daemon, with a demand far below the limit.
+// They are refused until the next reports if the first daemon holds nearly all of the limit.
+func TestUnusedLimitIsSharedEqually(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	a := NewAllocator(clock, func() int { return 3 })
 	for range 10 {
@@ -99,10 +99,9 @@
 	require.Greater(t, a.Report("y", []Demand{{Organisation: "o"}})["o"].Fraction, 0.2)
 }
 
-// A daemon starts while the others hold all of the limit, and its first
-// requests are refused as over the limit. A part is kept free for it, and a
-// daemon that stops gives its share back at once.
-func TestNewDaemonFindsAShare(t *testing.T) {
+// A daemon starts while the others hold the whole limit. Without a part kept free for it, its
+// first requests would be refused. A daemon that stops must free its share at once.
+func TestNewDaemonGetsAShare(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	a := NewAllocator(clock, func() int { return 2 })
 	report := func(from string) Share { return a.Report(from, []Demand{{Organisation: "o", Used: 1}})["o"] }
@@ -116,6 +115,7 @@
 	require.Greater(t, report("z").Fraction, 0.4)
 }
 
+// Retries are allowed while the budget lasts, and again when successes have added a whole one.
 func TestRetryBudget(t *testing.T) {
 	b := NewRetryBudget(2)
 	require.True(t, b.Take())
@@ -127,8 +127,8 @@
 	require.True(t, b.Take())
 }
 
-// waiter queues work and returns where its outcome arrives.
-func waiter(q *Queue, w Work, room *int) chan error {
+// enqueue waits in q in a new goroutine and returns the channel that receives the result.
+func enqueue(q *Queue, w Work, room *int) chan error {
 	before := q.Len()
 	done := make(chan error, 1)
 	go func() {
@@ -146,6 +146,8 @@
 	return done
 }
 
+// Urgent requests go first. An organisation with many requests must not delay the first request of
+// another one with the same priority.
 func TestQueueOrder(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	q := NewQueue(clock)
@@ -153,10 +155,10 @@
 	work := func(org string, priority int) Work {
 		return Work{Priority: priority, Organisation: org, Cost: 1, Deadline: clock.Now().Add(time.Hour)}
 	}
-	greedy1 := waiter(q, work("greedy", 1), &room)
-	greedy2 := waiter(q, work("greedy", 1), &room)
-	modest := waiter(q, work("modest", 1), &room)
-	urgent := waiter(q, work("greedy", 2), &room)
+	greedy1 := enqueue(q, work("greedy", 1), &room)
+	greedy2 := enqueue(q, work("greedy", 1), &room)
+	modest := enqueue(q, work("modest", 1), &room)
+	urgent := enqueue(q, work("greedy", 2), &room)
 	for _, next := range []chan error{urgent, greedy1, modest, greedy2} {
 		q.mu.Lock()
 		room = 1
@@ -166,16 +168,16 @@
 	}
 }
 
-// The queue is long and the deadline short. The caller is refused at once with
-// a time to come back, not kept until the deadline.
-func TestRefusedEarly(t *testing.T) {
+// The queue is too long for the request's deadline. The caller must be refused at once with a
+// retry time, not at the deadline.
+func TestRequestThatCannotMeetDeadlineIsRefusedAtOnce(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	q := NewQueue(clock)
-	q.interval = time.Second
+	q.grantInterval = time.Second
 	room := 0
 	far := Work{Organisation: "a", Cost: 1, Deadline: clock.Now().Add(time.Hour)}
 	for range 5 {
-		waiter(q, far, &room)
+		enqueue(q, far, &room)
 	}
 	err := q.Wait(context.Background(), Work{Organisation: "b", Priority: -1, Deadline: clock.Now().Add(3 * time.Second)}, func() bool { return false })
 	var refused *RefusedError
@@ -184,16 +186,16 @@
 	require.Equal(t, 5, q.Len())
 }
 
-// Upstreams were out for half a minute and came back. The queue still believed
-// that room comes up every half minute, and refused everything with a shorter
-// deadline; as nobody waited, it never learned better.
-func TestQueueForgetsAnOutage(t *testing.T) {
+// Upstreams recover from an outage during which capacity was granted every half minute. If the
+// queue kept that interval, it would refuse every request with a shorter deadline, and with an
+// empty queue would never measure a new one.
+func TestGrantIntervalIsResetAfterOutage(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	q := NewQueue(clock)
 	room := 0
 	var waiting []chan error
 	for range 3 {
-		waiting = append(waiting, waiter(q, Work{Organisation: "a", Deadline: clock.Now().Add(time.Hour)}, &room))
+		waiting = append(waiting, enqueue(q, Work{Organisation: "a", Deadline: clock.Now().Add(time.Hour)}, &room))
 	}
 	for _, next := range waiting {
 		clock.Advance(30 * time.Second)
@@ -203,7 +205,7 @@
 		q.Poke()
 		require.NoError(t, <-next)
 	}
-	short := waiter(q, Work{Organisation: "a", Deadline: clock.Now().Add(5 * time.Second)}, &room)
+	short := enqueue(q, Work{Organisation: "a", Deadline: clock.Now().Add(5 * time.Second)}, &room)
 	q.mu.Lock()
 	room = 1
 	q.mu.Unlock()
@@ -211,14 +213,14 @@
 	require.NoError(t, <-short)
 }
 
-// Urgent work pushes batch work back beyond its deadline. The batch work is
-// refused as soon as that is clear.
-func TestPushedBackWorkIsRefusedAtOnce(t *testing.T) {
+// Urgent requests move a batch request so far back that it cannot meet its deadline. It must
+// be refused at once.
+func TestDisplacedRequestIsRefusedAtOnce(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	q := NewQueue(clock)
-	q.interval = time.Second
+	q.grantInterval = time.Second
 	room := 0
-	batch := waiter(q, Work{Organisation: "a", Deadline: clock.Now().Add(1500 * time.Millisecond)}, &room)
+	batch := enqueue(q, Work{Organisation: "a", Deadline: clock.Now().Add(1500 * time.Millisecond)}, &room)
 	go func() {
 		_ = q.Wait(context.Background(), Work{Organisation: "a", Priority: 2, Deadline: clock.Now().Add(time.Hour)}, func() bool { return false })
 	}()
--- a/internal/limit/queue.go
+++ b/internal/limit/queue.go
@@ -12,21 +12,21 @@
 
 // Work describes a request that waits for an upstream.
 type Work struct {
-	// Priority is larger for more urgent work.
+	// Priority is higher for more urgent requests.
 	Priority int
-	// Organisation shares the queue fairly with others of its priority.
+	// Organisation is the unit of fairness among requests of the same priority.
 	Organisation string
 	// Cost is the expected number of tokens.
 	Cost float64
 	// Deadline is when the answer must be complete.
 	Deadline time.Time
-	// Service is the expected time from start to end.
+	// ServiceTime is the expected time from the grant to the end of the answer.
 	Service time.Duration
 }
 
-// RefusedError says that waiting would not help before the deadline.
+// RefusedError reports that a request cannot be served before its deadline.
 type RefusedError struct {
-	// RetryAfter is when there is likely to be room.
+	// RetryAfter is the time after which capacity is expected.
 	RetryAfter time.Duration
 }
 
@@ -38,61 +38,61 @@
 // ticket is a waiting request.
 type ticket struct {
 	work Work
-	// virtual is the fair-queueing finish time of the work.
-	virtual float64
-	try     func() bool
-	done    chan error
+	// virtualFinish is the finish time of the request in virtual time, as in weighted fair
+	// queueing.
+	virtualFinish float64
+	try           func() bool
+	done          chan error
 	// since is when the ticket was queued.
 	since time.Time
 }
 
-// Queue orders the requests that wait for room at the upstreams of one
-// version: by priority, then fairly between organisations.
+// Queue orders the requests that wait for the upstreams of one version: by priority, then
+// fairly between organisations.
 //
 // Lock order: mu is taken before the locks that try takes.
 type Queue struct {
 	clock clockwork.Clock
 
-	mu      sync.Mutex
-	waiting []*ticket
-	virtual float64
-	last    map[string]float64
-	// interval is the smoothed time between two grants while there is a
-	// queue.
-	interval  time.Duration
-	lastGrant time.Time
+	mu          sync.Mutex
+	waiting     []*ticket
+	virtualTime float64
+	lastFinish  map[string]float64
+	// grantInterval is the smoothed time between two grants while requests are queued.
+	grantInterval time.Duration
+	lastGrant     time.Time
 }
 
 // NewQueue returns an empty queue.
 func NewQueue(clock clockwork.Clock) *Queue {
-	return &Queue{clock: clock, last: map[string]float64{}}
+	return &Queue{clock: clock, lastFinish: map[string]float64{}}
 }
 
-// smoothing is the weight of a new sample of the grant interval.
-const smoothing = 0.1
+// intervalWeight is the weight of a new sample in grantInterval.
+const intervalWeight = 0.1
 
-// Wait calls try until it succeeds, in the order of the queue. It returns a
-// *RefusedError at once when the queue is too long for the deadline, or as
-// soon as that becomes clear, so that the caller learns early when to come
-// back instead of waiting for an answer that cannot come in time.
+// Wait queues a request and returns nil once try has succeeded for it; try is called when the
+// request is first in the queue. Wait returns a *RefusedError as soon as the queue is too long
+// for the deadline, often at once, so that the caller does not wait for an answer that cannot
+// be in time. It also returns one when ctx ends first.
 func (q *Queue) Wait(ctx context.Context, work Work, try func() bool) error {
 	q.mu.Lock()
 	if len(q.waiting) == 0 && try() {
-		q.granted()
+		q.recordGrant()
 		q.mu.Unlock()
 		return nil
 	}
 	t := q.newTicket(work, try)
 	at := q.insert(t)
-	if wait := q.expected(at); !q.feasible(t, wait) {
+	if wait := q.expectedWait(at); !q.meetsDeadline(t, wait) {
 		q.remove(t)
 		if len(q.waiting) == 0 {
-			q.forget()
+			q.reset()
 		}
 		q.mu.Unlock()
 		return &RefusedError{RetryAfter: q.retryAfter(wait)}
 	}
-	q.evict()
+	q.refuseLate()
 	q.mu.Unlock()
 	return q.await(ctx, t)
 }
@@ -106,21 +106,21 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.remove(t) {
-		return &RefusedError{RetryAfter: q.retryAfter(q.expected(len(q.waiting)))}
+		return &RefusedError{RetryAfter: q.retryAfter(q.expectedWait(len(q.waiting)))}
 	}
 	return <-t.done
 }
 
 func (q *Queue) newTicket(work Work, try func() bool) *ticket {
-	start := max(q.virtual, q.last[work.Organisation])
-	t := &ticket{work: work, try: try, done: make(chan error, 1), virtual: start + work.Cost, since: q.clock.Now()}
-	q.last[work.Organisation] = t.virtual
+	start := max(q.virtualTime, q.lastFinish[work.Organisation])
+	t := &ticket{work: work, try: try, done: make(chan error, 1), virtualFinish: start + work.Cost, since: q.clock.Now()}
+	q.lastFinish[work.Organisation] = t.virtualFinish
 	return t
 }
 
 func (q *Queue) insert(t *ticket) int {
 	at, _ := slices.BinarySearchFunc(q.waiting, t, func(a, b *ticket) int {
-		if c := cmp.Or(cmp.Compare(b.work.Priority, a.work.Priority), cmp.Compare(a.virtual, b.virtual)); c != 0 {
+		if c := cmp.Or(cmp.Compare(b.work.Priority, a.work.Priority), cmp.Compare(a.virtualFinish, b.virtualFinish)); c != 0 {
 			return c
 		}
 		return -1
@@ -138,26 +138,27 @@
 	return true
 }
 
-// expected is how long the ticket at a position is likely to wait.
-func (q *Queue) expected(at int) time.Duration { return time.Duration(at+1) * q.interval }
+// expectedWait returns how long the ticket at a position is likely to wait.
+func (q *Queue) expectedWait(at int) time.Duration { return time.Duration(at+1) * q.grantInterval }
 
-func (q *Queue) feasible(t *ticket, wait time.Duration) bool {
+func (q *Queue) meetsDeadline(t *ticket, wait time.Duration) bool {
 	return q.clock.Now().Add(wait + t.work.Service).Before(t.work.Deadline)
 }
 
-// retryAfter spreads the return of refused callers over the time the queue
-// needs.
+// retryAfter returns the time after which a refused caller should retry: the expected wait, so
+// that callers return as the queue empties, but not less than 100 ms.
 func (q *Queue) retryAfter(wait time.Duration) time.Duration {
 	const least = 100 * time.Millisecond
 	return max(wait, least)
 }
 
-// evict refuses the tickets that more urgent work has pushed too far back.
-func (q *Queue) evict() {
+// refuseLate refuses the tickets that cannot meet their deadline any more because more urgent
+// requests were queued before them or because capacity has become available more slowly.
+func (q *Queue) refuseLate() {
 	kept := q.waiting[:0]
 	for _, t := range q.waiting {
-		wait := q.expected(len(kept))
-		if q.feasible(t, wait) {
+		wait := q.expectedWait(len(kept))
+		if q.meetsDeadline(t, wait) {
 			kept = append(kept, t)
 			continue
 		}
@@ -167,7 +168,8 @@
 	q.waiting = kept
 }
 
-// Poke grants what now has room. It is called whenever room may have come up.
+// GrantWaiting grants as many waiting requests as there is capacity for. It must be called
+// whenever capacity may have become available.
 func (q *Queue) Poke() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -177,38 +179,38 @@
 			break
 		}
 		q.waiting = slices.Delete(q.waiting, 0, 1)
-		q.virtual = max(q.virtual, t.virtual-t.work.Cost)
-		q.granted()
+		q.virtualTime = max(q.virtualTime, t.virtualFinish-t.work.Cost)
+		q.recordGrant()
 		t.done <- nil
 	}
-	q.evict()
+	q.refuseLate()
 	if len(q.waiting) == 0 {
-		q.forget()
+		q.reset()
 	}
 }
 
-// granted updates the grant interval. Only grants close together count: an
-// idle time between them says nothing about how fast room comes up.
-func (q *Queue) granted() {
+// recordGrant updates grantInterval. Only grants made while others wait count: the time
+// between grants without a queue does not show how fast capacity becomes available.
+func (q *Queue) recordGrant() {
 	now := q.clock.Now()
 	if len(q.waiting) > 0 && !q.lastGrant.IsZero() {
 		sample := now.Sub(q.lastGrant)
-		if q.interval == 0 {
-			q.interval = sample
+		if q.grantInterval == 0 {
+			q.grantInterval = sample
 		}
-		q.interval += time.Duration(smoothing * float64(sample-q.interval))
+		q.grantInterval += time.Duration(intervalWeight * float64(sample-q.grantInterval))
 	}
 	q.lastGrant = now
 }
 
-// forget starts afresh once nobody waits: organisations without work have no
-// claim on the order, and how fast room came up says nothing about the next
-// time there is a queue. An interval kept from an outage would refuse every
-// short deadline, and with nobody let in to wait it would never be corrected.
-func (q *Queue) forget() {
-	clear(q.last)
-	q.virtual = 0
-	q.interval = 0
+// reset clears the state once the queue is empty. Organisations without waiting requests have
+// no place in the fair order. The grant interval is cleared because one kept from an outage
+// would refuse every short deadline, and with nobody admitted to the queue would never be
+// corrected.
+func (q *Queue) reset() {
+	clear(q.lastFinish)
+	q.virtualTime = 0
+	q.grantInterval = 0
 	q.lastGrant = time.Time{}
 }
 
