--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -1,7 +1,7 @@
-// Package answer holds the answers of requests while they are generated and
-// for a while after, so that a caller whose connection was cut, or who sends
-// the same idempotency key again, reads the same answer and nothing runs
-// again.
+// Package answer stores the answers to requests in memory while they are
+// generated and for a limited time afterwards. A caller whose connection broke,
+// or who repeats an idempotency key, reads the stored answer, and the request
+// does not run again.
 package answer
 
 import (
@@ -15,24 +15,27 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/upstream"
 )
 
-// Head is what is known before the first token.
+// Head is the part of an answer that is known before its first token.
 type Head struct {
 	Version config.VersionRef
-	// Session and Resume are signed tokens.
+	// Session and Resume are the signed session and resume tokens; see package
+	// session.
 	Session string
 	Resume  string
 	Created time.Time
-	// HTTP is set for the answer of a plain service.
+	// HTTP is set if the answer comes from a plain HTTP service.
 	HTTP *HTTPHead
 }
 
-// HTTPHead is the status line and headers of a plain service's answer.
+// HTTPHead is the status code and the headers of a plain HTTP service's
+// response.
 type HTTPHead struct {
 	Status int
 	Header http.Header
 }
 
-// Event is one piece of an answer. Offsets count from 0 without gaps.
+// Event is one piece of an answer. Offset is its index in the answer, from 0.
+// Only the last event of a complete answer has a FinishReason.
 type Event struct {
 	Offset       int
 	Delta        string
@@ -40,20 +43,21 @@
 	Usage        *upstream.Usage
 }
 
-// View is a part of an answer.
+// View is a snapshot of an answer from a given offset on.
 type View struct {
 	RequestID    string
 	Organisation string
-	// Head is nil until the answer has started.
+	// Head is nil until Answer.Start is called.
 	Head   *Head
 	Events []Event
-	// Done is true when nothing follows Events.
+	// Done is true if the answer has ended; no events follow Events.
 	Done bool
-	// Err is set when the request failed.
+	// Err is set if the request failed.
 	Err *fault.Error
 }
 
-// Answer is one answer. Writers append; any number of readers wait.
+// Answer is the answer to one request. Its methods may be called concurrently
+// by writers and any number of readers.
 type Answer struct {
 	RequestID    string
 	Organisation string
@@ -62,27 +66,31 @@
 	head   *Head
 	events []Event
 	// packed replaces events once the answer has ended.
-	packed  *packed
-	bytes   int
-	done    bool
-	err     *fault.Error
-	ended   time.Time
-	readers int
-	idle    time.Time
-	changed chan struct{}
-}
-
-// New returns an empty answer.
+	packed *packed
+	// memoryBytes is the approximate memory use, set once the answer has ended.
+	memoryBytes int
+	done        bool
+	err         *fault.Error
+	endedAt     time.Time
+	readers     int
+	// idleSince is the time of creation or of the last removal of a reader.
+	idleSince time.Time
+	changed   chan struct{}
+}
+
+// New returns an empty answer to the request requestID.
 func New(requestID, organisation string, now time.Time) *Answer {
-	return &Answer{RequestID: requestID, Organisation: organisation, idle: now, changed: make(chan struct{})}
+	return &Answer{RequestID: requestID, Organisation: organisation, idleSince: now, changed: make(chan struct{})}
 }
 
-func (a *Answer) notify() {
+// notifyWaiters wakes all callers of Wait. The caller holds mu.
+func (a *Answer) notifyWaiters() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// Start sets the head. Only the first call has an effect.
+// Start sets the head. It has no effect if the head is already set or the answer
+// has ended.
 func (a *Answer) Start(h Head) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -90,10 +98,11 @@
 		return
 	}
 	a.head = &h
-	a.notify()
+	a.notifyWaiters()
 }
 
-// Append adds an event; one with a FinishReason ends the answer.
+// Append adds an event and sets its Offset. An event with a FinishReason ends
+// the answer; events after the end are ignored.
 func (a *Answer) Append(e Event, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -103,21 +112,21 @@
 	e.Offset = len(a.events)
 	a.events = append(a.events, e)
 	if e.FinishReason != "" {
-		a.end(now)
+		a.finish(now)
 	}
-	a.notify()
+	a.notifyWaiters()
 }
 
-// end marks the answer as ended and packs it.
-func (a *Answer) end(now time.Time) {
+// finish marks the answer as ended and packs its events. The caller holds mu.
+func (a *Answer) finish(now time.Time) {
 	a.done = true
-	a.ended = now
+	a.endedAt = now
 	a.packed = pack(a.events)
-	a.bytes = a.packed.size()
+	a.memoryBytes = a.packed.memoryBytes()
 	a.events = nil
 }
 
-// Fail ends the answer with an error.
+// Fail ends the answer with an error. It has no effect if the answer has ended.
 func (a *Answer) Fail(err *fault.Error, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -127,11 +136,11 @@
 	e := *err
 	e.RequestID = a.RequestID
 	a.err = &e
-	a.end(now)
-	a.notify()
+	a.finish(now)
+	a.notifyWaiters()
 }
 
-// Started reports whether readers have been shown a head.
+// Started reports whether the head is set, so that readers may have received it.
 func (a *Answer) Started() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -145,14 +154,15 @@
 	return a.done
 }
 
-// View returns the answer from the event after offset after on; -1 is from
-// the start.
+// View returns a snapshot of the answer with the events whose offset is greater
+// than after; -1 returns all events.
 func (a *Answer) View(after int) View {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.view(after)
 }
 
+// view is View for a caller that holds mu.
 func (a *Answer) view(after int) View {
 	v := View{RequestID: a.RequestID, Organisation: a.Organisation, Head: a.head, Done: a.done, Err: a.err}
 	events := a.events
@@ -165,9 +175,9 @@
 	return v
 }
 
-// Wait returns as soon as there is something after offset after, the head is
-// newly known, or the answer has ended. haveHead tells whether the reader
-// knows the head.
+// Wait blocks until there are events whose offset is greater than after, the
+// head is set and haveHead is false, or the answer has ended. haveHead is true
+// if the reader already has the head. If ctx ends first, Wait returns its error.
 func (a *Answer) Wait(ctx context.Context, after int, haveHead bool) (View, error) {
 	for {
 		a.mu.Lock()
@@ -184,7 +194,8 @@
 	}
 }
 
-// Attach counts a reader in; the returned function counts it out.
+// Attach adds a reader to the number of current readers; the returned function
+// removes it.
 func (a *Answer) Attach(now func() time.Time) func() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -193,15 +204,15 @@
 		a.mu.Lock()
 		defer a.mu.Unlock()
 		a.readers--
-		a.idle = now()
+		a.idleSince = now()
 	}
 }
 
-// Abandoned reports whether nobody has read the answer for at least grace.
+// Abandoned reports whether the answer has had no reader for at least grace.
 func (a *Answer) Abandoned(now time.Time, grace time.Duration) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.readers == 0 && now.Sub(a.idle) >= grace
+	return a.readers == 0 && now.Sub(a.idleSince) >= grace
 }
 
 // Owner returns the organisation that the answer belongs to.
--- a/internal/answer/answer_test.go
+++ b/internal/answer/answer_test.go
@@ -15,9 +15,10 @@
 
 var now = time.Unix(1_800_000_000, 0)
 
-// An answer reads the same from every offset, while it runs, after it ended,
-// and after it was handed to another daemon.
-func TestAnswerReadsTheSame(t *testing.T) {
+// A caller reads an answer from any offset, before its end, after its end, and
+// after it was handed over to another daemon. The events must be identical, or a
+// resumed stream would repeat or lose text.
+func TestEventsAreIdenticalAfterEndAndHandover(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		deltas := rapid.SliceOfN(rapid.String(), 1, 20).Draw(t, "deltas")
 		clock := clockwork.NewFakeClockAt(now)
@@ -50,9 +51,12 @@
 	})
 }
 
-func TestKeptAnswersAreBounded(t *testing.T) {
+// Ended answers would fill the memory. The sweep must remove those over the
+// memory limit, oldest first, and those past their retention. It must keep
+// running ones.
+func TestSweepEnforcesLimits(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(now)
-	store := NewStore(clock, Limits{Retention: time.Minute, Bytes: 3 * answerBytes})
+	store := NewStore(clock, Limits{Retention: time.Minute, Bytes: 3 * answerOverheadBytes})
 	for _, id := range []string{"1", "2", "3", "4"} {
 		clock.Advance(time.Second)
 		store.Create(id, "o").Fail(fault.New(fault.Internal, "x"), clock.Now())
@@ -70,7 +74,9 @@
 	require.Equal(t, 1, store.Running())
 }
 
-func TestWaitSeesEveryChange(t *testing.T) {
+// A reader that waits must be woken by the head, by each event, and by the end;
+// otherwise its stream would stall. No event may follow the end.
+func TestWaitReturnsOnEveryChange(t *testing.T) {
 	a := New("r", "o", now)
 	got := make(chan View, 1)
 	wait := func(after int, haveHead bool) View {
@@ -89,5 +95,5 @@
 	require.True(t, v.Done)
 	require.Equal(t, "r", v.Err.RequestID)
 	a.Append(Event{Delta: "late"}, now)
-	require.Len(t, a.View(-1).Events, 1, "nothing follows the end")
+	require.Len(t, a.View(-1).Events, 1, "no event follows the end")
 }
--- a/internal/answer/packed.go
+++ b/internal/answer/packed.go
@@ -6,47 +6,54 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/upstream"
 )
 
-// packed is an ended answer in little memory: one text and where each event
-// ends in it. An event of its own costs several times its text.
+// packed is a compact form of the events of an ended answer: their concatenated
+// text and the offset in it at which each event ends. A slice of events uses
+// several times the memory of its text.
 type packed struct {
-	text   string
-	ends   []uint32
-	finish string
-	usage  *upstream.Usage
+	text         string
+	endOffsets   []uint32
+	finishReason string
+	usage        *upstream.Usage
 }
 
-// eventBytes is the memory of an entry of ends, and answerBytes that of an
-// answer besides its text.
+// eventOverheadBytes is the size of an element of packed.endOffsets.
+// answerOverheadBytes is the memory that an answer uses besides its text and
+// offsets.
 const (
-	eventBytes  = 4
-	answerBytes = 512
+	eventOverheadBytes  = 4
+	answerOverheadBytes = 512
 )
 
+// pack returns the compact form of events.
 func pack(events []Event) *packed {
-	p := &packed{ends: make([]uint32, len(events))}
+	p := &packed{endOffsets: make([]uint32, len(events))}
 	var text strings.Builder
 	for i, e := range events {
 		text.WriteString(e.Delta)
-		p.ends[i] = uint32(text.Len())
+		p.endOffsets[i] = uint32(text.Len())
 		if e.FinishReason != "" {
-			p.finish, p.usage = e.FinishReason, e.Usage
+			p.finishReason, p.usage = e.FinishReason, e.Usage
 		}
 	}
 	p.text = strings.Clone(text.String())
 	return p
 }
 
+// unpack returns the events with their offsets.
 func (p *packed) unpack() []Event {
-	out := make([]Event, len(p.ends))
+	out := make([]Event, len(p.endOffsets))
 	start := uint32(0)
-	for i, end := range p.ends {
+	for i, end := range p.endOffsets {
 		out[i] = Event{Offset: i, Delta: p.text[start:end]}
 		start = end
 	}
-	if p.finish != "" {
-		out[len(out)-1].FinishReason, out[len(out)-1].Usage = p.finish, p.usage
+	if p.finishReason != "" {
+		out[len(out)-1].FinishReason, out[len(out)-1].Usage = p.finishReason, p.usage
 	}
 	return out
 }
 
-func (p *packed) size() int { return len(p.text) + len(p.ends)*eventBytes + answerBytes }
+// memoryBytes returns the approximate memory use of the answer.
+func (p *packed) memoryBytes() int {
+	return len(p.text) + len(p.endOffsets)*eventOverheadBytes + answerOverheadBytes
+}
--- a/internal/answer/store.go
+++ b/internal/answer/store.go
@@ -10,17 +10,19 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/fault"
 )
 
-// Limits bound what a Store keeps of answers that have ended.
+// Limits bound the time and the memory for which a Store keeps ended answers.
 type Limits struct {
-	// Retention is how long an ended answer is kept.
+	// Retention is the time for which an answer is kept after its end.
 	Retention time.Duration
-	// Bytes bounds all ended answers together; the oldest go first.
+	// Bytes bounds the total memory of all ended answers. Those that ended
+	// first are removed first.
 	Bytes int
 }
 
-// Store finds answers by request id.
+// Store holds the answers of one daemon by request id. It is safe for concurrent
+// use.
 //
-// Lock order: the store's mu is taken before an answer's.
+// Lock order: Store.mu before Answer.mu.
 type Store struct {
 	clock  clockwork.Clock
 	limits Limits
@@ -29,12 +31,12 @@
 	answers map[string]*Answer
 }
 
-// NewStore returns an empty store.
+// NewStore returns an empty store with the given limits.
 func NewStore(clock clockwork.Clock, limits Limits) *Store {
 	return &Store{clock: clock, limits: limits, answers: map[string]*Answer{}}
 }
 
-// Create adds an answer for a new request.
+// Create adds an empty answer for a new request and returns it.
 func (s *Store) Create(requestID, organisation string) *Answer {
 	a := New(requestID, organisation, s.clock.Now())
 	s.mu.Lock()
@@ -43,7 +45,7 @@
 	return a
 }
 
-// Get finds an answer.
+// Get returns the answer to a request, and false if there is none.
 func (s *Store) Get(requestID string) (*Answer, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,7 +66,7 @@
 	return n
 }
 
-// Sweep drops ended answers that are over the limits.
+// Sweep removes ended answers that exceed the limits.
 func (s *Store) Sweep() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,28 +75,29 @@
 	total := 0
 	for id, a := range s.answers {
 		a.mu.Lock()
-		over := a.done && now.Sub(a.ended) > s.limits.Retention
+		over := a.done && now.Sub(a.endedAt) > s.limits.Retention
 		if a.done && !over {
 			ended = append(ended, a)
-			total += a.bytes
+			total += a.memoryBytes
 		}
 		a.mu.Unlock()
 		if over {
 			delete(s.answers, id)
 		}
 	}
-	slices.SortFunc(ended, func(x, y *Answer) int { return x.ended.Compare(y.ended) })
+	slices.SortFunc(ended, func(x, y *Answer) int { return x.endedAt.Compare(y.endedAt) })
 	for _, a := range ended {
 		if total <= s.limits.Bytes {
 			return
 		}
-		total -= a.bytes
+		total -= a.memoryBytes
 		delete(s.answers, a.RequestID)
 	}
 }
 
-// Export returns ended answers up to a number of bytes, newest first, for the
-// daemon that takes over after a planned stop.
+// Export returns ended answers, most recently ended first, for the daemon that
+// takes over after a planned stop. It stops at the first answer with which the
+// total memory would exceed limit bytes.
 func (s *Store) Export(limit int) []View {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,10 +107,10 @@
 			ended = append(ended, a)
 		}
 	}
-	slices.SortFunc(ended, func(x, y *Answer) int { return y.ended.Compare(x.ended) })
+	slices.SortFunc(ended, func(x, y *Answer) int { return y.endedAt.Compare(x.endedAt) })
 	var out []View
 	for _, a := range ended {
-		if limit -= a.bytes; limit < 0 {
+		if limit -= a.memoryBytes; limit < 0 {
 			break
 		}
 		out = append(out, a.View(-1))
@@ -115,7 +118,8 @@
 	return out
 }
 
-// Import adds answers handed over by a daemon that stopped.
+// Import adds ended answers that a stopped daemon handed over. Their retention
+// starts again at the time of the import.
 func (s *Store) Import(views []View) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,12 +127,12 @@
 	for _, v := range views {
 		a := New(v.RequestID, v.Organisation, now)
 		a.head, a.events, a.err = v.Head, v.Events, v.Err
-		a.end(now)
+		a.finish(now)
 		s.answers[v.RequestID] = a
 	}
 }
 
-// FailRunning ends every running answer with err and returns how many.
+// FailRunning ends every running answer with err and returns their number.
 func (s *Store) FailRunning(err *fault.Error) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -1,13 +1,14 @@
-// Package claim keeps a request with an idempotency key from running more
-// than once.
+// Package claim ensures that the requests with one idempotency key run at most
+// once across all daemons.
 //
-// Every key has one home daemon: the incarnation in the prefix that discovery
-// gave the caller, or, for a key without a prefix, the incarnation that
-// inserted the key's row in the table. Only the owner of a key runs it. The
-// home owns a key until another daemon takes it over; the home then leaves a
-// tombstone that names the new owner, in the critical section in which it
-// gives the key away. So from the home a chain of tombstones leads to the one
-// owner, however often and late messages arrive.
+// Every key has one home daemon: the incarnation in the key's prefix, which
+// the caller got from discovery, or, for a key without a prefix, the
+// incarnation that inserted the key's row in the stored table. Only the owner
+// of a key runs its request. The home is the first owner. When another daemon
+// takes the key over, the previous owner records a tombstone that names the
+// new owner, in the same critical section as the decision to grant the key. A
+// chain of tombstones therefore leads from the home to the only owner, even if
+// messages are repeated or delayed.
 package claim
 
 import (
@@ -19,32 +20,36 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Lifetime is how long after its issue a key may start a run, and Slack how
-// much longer its outcome is remembered: for clocks that differ and for
-// daemons that were paused.
+// A request may run only until Lifetime after its key was issued. Entries are
+// kept for LifetimeMargin longer, to allow for clock differences between
+// daemons and for daemons that were paused.
 const (
-	Lifetime = time.Hour
-	Slack    = time.Hour
+	Lifetime       = time.Hour
+	LifetimeMargin = time.Hour
 )
 
-// Key is an idempotency key of an organisation.
+// Key is an idempotency key. Keys of different organisations are distinct.
 type Key struct {
 	Organisation string
 	Value        string
 }
 
-// Home is the daemon where a key starts, and when the key was issued.
+// Home identifies the daemon that is the first owner of a key, and the time at
+// which the key was issued.
 type Home struct {
 	Incarnation string
 	Issued      time.Time
 }
 
-// Prefix returns the key prefix that discovery gives out for a daemon.
+// Prefix returns the key prefix that discovery gives to callers for a daemon.
+// The caller appends "." and a value of its own.
 func Prefix(incarnation string, issued time.Time) string {
 	return incarnation + "-" + strconv.FormatInt(issued.Unix(), 36)
 }
 
-// ParseHome reads the prefix of a key "<incarnation>-<issued>.<own>".
+// ParseHome parses the prefix of a key "<incarnation>-<issued>.<own>", where
+// issued is a Unix time in seconds in base 36. It returns false if the key has
+// no such prefix.
 func ParseHome(value string) (Home, bool) {
 	prefix, _, ok := strings.Cut(value, ".")
 	if !ok {
@@ -61,144 +66,154 @@
 	return Home{Incarnation: incarnation, Issued: time.Unix(seconds, 0)}, true
 }
 
-// IncarnationLen is the length of an incarnation id.
+// IncarnationLen is the length of an incarnation id in bytes.
 const IncarnationLen = 26
 
-// State is what a daemon knows of a key.
+// State is the state of a key at one daemon.
 type State int
 
 // States of a key at one daemon.
 const (
-	// Absent: the key was never here, or was given back without running.
+	// Absent: the table has no entry for the key. No request with the key ran
+	// here, or the entry was released or has expired.
 	Absent State = iota
-	// Asking: this daemon is asking for the key.
-	Asking
-	// Owned: the key runs here or has run here, as RequestID.
+	// Pending: this daemon is requesting the key from another daemon.
+	Pending
+	// Owned: this daemon owns the key, and the request RequestID runs or ran
+	// here.
 	Owned
-	// Moved: the key was handed to MovedTo.
+	// Moved: the entry is a tombstone; the incarnation MovedTo took the key.
 	Moved
 )
 
-// Entry is what a daemon knows of a key.
+// Entry is the entry of a key in a Table.
 type Entry struct {
 	State     State
 	Digest    string
 	RequestID string
 	MovedTo   string
-	// Until is when the entry may be forgotten.
+	// Until is the time after which Table.Expire may delete the entry.
 	Until time.Time
 }
 
-// Outcome is the answer to Begin and Take.
+// Outcome is the decision of Table.Begin and Table.Take.
 type Outcome int
 
-// Outcomes.
+// Outcomes of Table.Begin and Table.Take.
 const (
-	// Granted: the asker owns the key and may run it.
+	// Granted: the requesting daemon now owns the key and may run the request.
 	Granted Outcome = iota
-	// Known: the key was run as RequestID at this daemon.
-	Known
-	// Elsewhere: ask the incarnation in MovedTo.
-	Elsewhere
-	// Busy: the key is being asked for here; come back.
+	// Duplicate: the earlier request RequestID with the key runs or ran at this
+	// daemon.
+	Duplicate
+	// Redirect: the key must be requested from the incarnation MovedTo.
+	Redirect
+	// Busy: this daemon is requesting the key itself; the caller should retry.
 	Busy
-	// Mismatch: the key stands for another request body.
+	// Mismatch: the key was used with a different request body.
 	Mismatch
-	// Expired: the key is too old to start a run.
+	// Expired: the key was issued more than Lifetime ago, or too far in the
+	// future.
 	Expired
 )
 
-// Result is an Outcome with its details.
+// Result is an Outcome with its details. RequestID is set for Duplicate, and
+// MovedTo for Redirect.
 type Result struct {
 	Outcome   Outcome
 	RequestID string
 	MovedTo   string
 }
 
-// Table holds the keys that a daemon knows.
+// Table holds the keys known to one daemon. It is safe for concurrent use.
 //
-// Lock order: mu is taken alone.
+// Lock order: no other lock is acquired while mu is held.
 type Table struct {
 	self  string
 	clock clockwork.Clock
 
 	mu      sync.Mutex
 	entries map[Key]Entry
-	// adopted are the homes whose keys this daemon answers for, since they
-	// stopped and handed their keys over.
-	adopted map[string]bool
+	// inheritedHomes is the set of stopped incarnations that handed their keys
+	// over to this daemon, which now acts as the home of those keys.
+	inheritedHomes map[string]bool
 }
 
-// NewTable returns the table of a daemon.
+// NewTable returns an empty table for the incarnation self.
 func NewTable(self string, clock clockwork.Clock) *Table {
-	return &Table{self: self, clock: clock, entries: map[Key]Entry{}, adopted: map[string]bool{}}
+	return &Table{self: self, clock: clock, entries: map[Key]Entry{}, inheritedHomes: map[string]bool{}}
 }
 
-// IsHome reports whether this daemon answers for the keys of home.
+// IsHome reports whether this daemon acts as home, either as that incarnation
+// itself or because it inherited that incarnation's keys.
 func (t *Table) IsHome(home Home) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return home.Incarnation == t.self || t.adopted[home.Incarnation]
+	return home.Incarnation == t.self || t.inheritedHomes[home.Incarnation]
 }
 
-// Begin starts a request with key at this daemon. At the key's home, or where
-// the key is already known, it decides at once. Otherwise it returns Elsewhere
-// after noting that this daemon is asking; the caller must ask MovedTo and
-// then call Settle.
+// Begin claims key for the request requestID at this daemon. digest identifies
+// the request body. If the table has an entry for the key other than a
+// tombstone, or this daemon is the key's home, Begin decides from the table
+// alone. Otherwise it marks the key as Pending and returns Redirect; the caller
+// must then request the key from MovedTo and call Finish.
 func (t *Table) Begin(key Key, home Home, digest, requestID string) Result {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	entry := t.entries[key]
 	if entry.State == Moved {
-		// The tombstone stands again if the key does not come back.
+		// MovedTo is kept so that Finish can restore the tombstone if the key is
+		// not granted.
 		to := entry.MovedTo
-		t.entries[key] = Entry{State: Asking, Digest: digest, RequestID: requestID, MovedTo: to, Until: entry.Until}
-		return Result{Outcome: Elsewhere, MovedTo: to}
+		t.entries[key] = Entry{State: Pending, Digest: digest, RequestID: requestID, MovedTo: to, Until: entry.Until}
+		return Result{Outcome: Redirect, MovedTo: to}
 	}
 	if entry.State != Absent {
-		return t.existing(entry, digest)
+		return t.resultFor(entry, digest)
 	}
-	if t.expired(home) {
+	if t.isExpired(home) {
 		return Result{Outcome: Expired}
 	}
-	isHome := home.Incarnation == t.self || t.adopted[home.Incarnation]
+	isHome := home.Incarnation == t.self || t.inheritedHomes[home.Incarnation]
 	if !isHome {
-		t.entries[key] = Entry{State: Asking, Digest: digest, RequestID: requestID, Until: until(home)}
-		return Result{Outcome: Elsewhere, MovedTo: home.Incarnation}
+		t.entries[key] = Entry{State: Pending, Digest: digest, RequestID: requestID, Until: expiry(home)}
+		return Result{Outcome: Redirect, MovedTo: home.Incarnation}
 	}
-	t.entries[key] = Entry{State: Owned, Digest: digest, RequestID: requestID, Until: until(home)}
+	t.entries[key] = Entry{State: Owned, Digest: digest, RequestID: requestID, Until: expiry(home)}
 	return Result{Outcome: Granted, RequestID: requestID}
 }
 
-func until(home Home) time.Time { return home.Issued.Add(Lifetime + Slack) }
+// expiry returns the time until which an entry is kept.
+func expiry(home Home) time.Time { return home.Issued.Add(Lifetime + LifetimeMargin) }
 
-// expired also rejects issue times from the future, which would be remembered
-// for longer than the table allows.
-func (t *Table) expired(home Home) bool {
+// isExpired also returns true for a key issued more than LifetimeMargin in the
+// future, because its entry would stay in the table for longer than intended.
+func (t *Table) isExpired(home Home) bool {
 	age := t.clock.Since(home.Issued)
-	return age > Lifetime || age < -Slack
+	return age > Lifetime || age < -LifetimeMargin
 }
 
-func (t *Table) existing(entry Entry, digest string) Result {
+// resultFor returns the result for a request whose key already has an entry.
+func (t *Table) resultFor(entry Entry, digest string) Result {
 	switch {
-	case entry.State == Asking:
+	case entry.State == Pending:
 		return Result{Outcome: Busy}
 	case entry.State == Moved:
-		return Result{Outcome: Elsewhere, MovedTo: entry.MovedTo}
+		return Result{Outcome: Redirect, MovedTo: entry.MovedTo}
 	case entry.Digest != digest:
 		return Result{Outcome: Mismatch}
 	default:
-		return Result{Outcome: Known, RequestID: entry.RequestID}
+		return Result{Outcome: Duplicate, RequestID: entry.RequestID}
 	}
 }
 
-// Settle ends the question that Begin opened. granted makes
-// this daemon the owner; otherwise what was known before stands again.
-func (t *Table) Settle(key Key, granted bool) {
+// Finish ends a claim for which Begin returned Redirect. If granted is true,
+// this daemon becomes the owner; otherwise the state before Begin is restored.
+func (t *Table) Finish(key Key, granted bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	entry := t.entries[key]
-	if entry.State != Asking {
+	if entry.State != Pending {
 		return
 	}
 	switch {
@@ -214,13 +229,15 @@
 	}
 }
 
-// Take is asked by another daemon that wants to run key.
+// Take handles the request of the daemon asker to become the owner of key. If
+// it returns Granted, the key's entry here is a tombstone.
 //
 // The tombstone is written in the same critical section as the decision to
-// give the key away. If it were not, a request with the same key that arrives
-// here in between would run too, seen as a clearance billed or a reply sent
-// twice. A repeated Take by the same daemon is granted again: its first
-// answer may have been lost, and no one else can own the key.
+// grant the key. Otherwise a request with the same key that arrives here in
+// between would run as well, and an operation would be billed or a reply sent
+// twice. A repeated Take by the same daemon is granted again, because the
+// response to the first one may have been lost and no other daemon can own the
+// key.
 func (t *Table) Take(key Key, home Home, digest, asker string) Result {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -229,17 +246,17 @@
 		return Result{Outcome: Granted}
 	}
 	if entry.State != Absent {
-		return t.existing(entry, digest)
+		return t.resultFor(entry, digest)
 	}
-	if t.expired(home) {
+	if t.isExpired(home) {
 		return Result{Outcome: Expired}
 	}
-	t.entries[key] = Entry{State: Moved, Digest: digest, MovedTo: asker, Until: until(home)}
+	t.entries[key] = Entry{State: Moved, Digest: digest, MovedTo: asker, Until: expiry(home)}
 	return Result{Outcome: Granted}
 }
 
-// Release gives a key back whose request was not run. The key can then be
-// used again.
+// Release deletes the entry of a key that is owned for the request requestID.
+// It is called if the request was not run, so that the key can be used again.
 func (t *Table) Release(key Key, requestID string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -249,37 +266,41 @@
 	}
 }
 
-// Len returns the number of keys known.
+// Len returns the number of entries.
 func (t *Table) Len() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.entries)
 }
 
-// Expire forgets the keys that no request may use any more.
+// Expire deletes the entries whose Until has passed. Pending entries stay until
+// Finish.
 func (t *Table) Expire() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
 	for key, entry := range t.entries {
-		if now.After(entry.Until) && entry.State != Asking {
+		if now.After(entry.Until) && entry.State != Pending {
 			delete(t.entries, key)
 		}
 	}
 }
 
-// Handover is a key with its entry, for a successor.
+// HandoverEntry is a key and its entry, as sent to the successor of a stopping
+// daemon.
 type Handover struct {
 	Key   Key
 	Entry Entry
 }
 
-// Export returns everything a successor needs to answer for this daemon.
+// Export returns the state that a successor needs to act as the home of this
+// daemon's keys: the incarnations whose keys this daemon is home for, and all
+// owned keys and tombstones.
 func (t *Table) Export() (homes []string, entries []Handover) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	homes = append(homes, t.self)
-	for home := range t.adopted {
+	for home := range t.inheritedHomes {
 		homes = append(homes, home)
 	}
 	for key, entry := range t.entries {
@@ -290,9 +311,10 @@
 	return homes, entries
 }
 
-// Adopt takes over the keys of a daemon that stopped. What this daemon knows
-// itself goes before what is handed over, because a key that it owns was
-// handed to it by that daemon.
+// Import adds the exported state of a daemon that stopped, and makes this daemon
+// act as home for its incarnations. Existing entries take precedence: a key
+// that this daemon owns was granted to it by the stopped daemon, whose own
+// entry is only the tombstone.
 func (t *Table) Adopt(homes []string, entries []Handover) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -302,6 +324,6 @@
 		}
 	}
 	for _, home := range homes {
-		t.adopted[home] = true
+		t.inheritedHomes[home] = true
 	}
 }
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -29,59 +29,61 @@
 	}
 }
 
-// A client repeats a key after more than its life. The daemon no longer knows
-// whether it ran, and must not run it again.
-func TestOldKeyNeverRuns(t *testing.T) {
+// A client repeats a key after the key's entry has expired. The daemon no longer
+// knows whether a request with the key ran, and must reject it.
+func TestExpiredKeyIsRejected(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	table := NewTable(incarnation(1), clock)
 	home := Home{Incarnation: incarnation(1), Issued: clock.Now()}
 	key := Key{Organisation: "o", Value: "k"}
 	require.Equal(t, Granted, table.Begin(key, home, "d", "r1").Outcome)
-	clock.Advance(Lifetime + Slack + time.Second)
+	clock.Advance(Lifetime + LifetimeMargin + time.Second)
 	table.Expire()
 	require.Zero(t, table.Len())
 	require.Equal(t, Expired, table.Begin(key, home, "d", "r2").Outcome)
 	require.Equal(t, Expired, table.Take(key, home, "d", incarnation(2)).Outcome)
 }
 
-// network is a set of daemons whose messages may be lost, on the way out or
-// back, or handled long after the asker gave up.
-type network struct {
+// lossyNetwork is a set of daemons whose requests and responses may be lost, and
+// whose requests may arrive after the sender has stopped waiting.
+type lossyNetwork struct {
 	t      *rapid.T
 	tables []*Table
-	// late are questions that arrive after their asker gave up.
-	late []func()
+	// delayed are requests whose sender has stopped waiting and that are
+	// delivered later.
+	delayed []func()
 }
 
-type link struct {
-	*network
+// lossyTaker is the KeyTaker of the daemon with index from.
+type lossyTaker struct {
+	*lossyNetwork
 	from int
 }
 
-func (l link) Take(_ context.Context, to string, key Key, home Home, digest string) (Result, error) {
+func (l lossyTaker) Take(_ context.Context, to string, key Key, home Home, digest string) (Result, error) {
 	target := slices.IndexFunc(l.tables, func(t *Table) bool { return t.self == to })
-	ask := func() Result { return l.tables[target].Take(key, home, digest, l.tables[l.from].self) }
-	gone := fault.New(fault.KeyUnsettled, "lost").WithRan(fault.RanUnknown)
-	switch rapid.SampledFrom([]string{"ok", "ok", "ok", "lose question", "lose answer", "late question"}).Draw(l.t, "fate") {
-	case "lose question":
-		return Result{}, gone
-	case "lose answer":
-		ask()
-		return Result{}, gone
-	case "late question":
-		l.late = append(l.late, func() { ask() })
-		return Result{}, gone
+	take := func() Result { return l.tables[target].Take(key, home, digest, l.tables[l.from].self) }
+	lost := fault.New(fault.KeyUnsettled, "lost").WithRan(fault.RanUnknown)
+	switch rapid.SampledFrom([]string{"ok", "ok", "ok", "lose request", "lose response", "delay request"}).Draw(l.t, "fate") {
+	case "lose request":
+		return Result{}, lost
+	case "lose response":
+		take()
+		return Result{}, lost
+	case "delay request":
+		l.delayed = append(l.delayed, func() { take() })
+		return Result{}, lost
 	}
-	return ask(), nil
+	return take(), nil
 }
 
-// Clients send one key to any daemons, again and again, while messages between
-// the daemons are lost, answered in vain, or handled late, and requests that
-// were not run give the key back. Whatever the order, the key runs at most
-// once, and who ran it is found again.
+// Clients repeatedly send one key to any of the daemons, while requests and
+// responses between the daemons are lost or delayed and requests that did not
+// run release the key. The key must run at most once, and a request may be
+// reported as a duplicate only after the key has run.
 func TestKeyRunsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := &network{t: t}
+		n := &lossyNetwork{t: t}
 		for i := range 4 {
 			n.tables = append(n.tables, NewTable(incarnation(i), clock))
 		}
@@ -92,13 +94,13 @@
 		}
 		runs := 0
 		for i := range rapid.IntRange(1, 40).Draw(t, "steps") {
-			if len(n.late) > 0 && rapid.Bool().Draw(t, "deliver") {
-				n.late[0]()
-				n.late = n.late[1:]
+			if len(n.delayed) > 0 && rapid.Bool().Draw(t, "deliver") {
+				n.delayed[0]()
+				n.delayed = n.delayed[1:]
 			}
 			at := rapid.IntRange(0, 3).Draw(t, "at")
 			id := fmt.Sprintf("r%d", i)
-			r := NewResolver(n.tables[at].self, n.tables[at], store, link{n, at}, clock)
+			r := NewResolver(n.tables[at].self, n.tables[at], store, lossyTaker{n, at}, clock)
 			decision, err := r.Resolve(context.Background(), key, "d", id)
 			switch {
 			case err != nil:
@@ -118,10 +120,10 @@
 	})
 }
 
-// The store does not answer the write that gives a key its home, or the read
-// after it. The request is refused as not run; when the store is back the key
-// runs once.
-func TestLostAnswersOfTheStore(t *testing.T) {
+// The store fails during the insert that assigns a home to a key, and during the
+// read after it. The request must be rejected as not run. Once the store is
+// available again, the key runs once.
+func TestStoreFailureWhileAssigningHome(t *testing.T) {
 	store := backing.NewMemory()
 	table := NewTable(incarnation(1), clock)
 	r := NewResolver(incarnation(1), table, store, nil, clock)
@@ -150,8 +152,8 @@
 	require.True(t, fault.Is(err, fault.KeyReused))
 }
 
-// The table would grow with every key without a prefix. Old ones are deleted,
-// those that may still be used are not.
+// Without a sweep, the stored table grows with every key without a prefix. The
+// sweep must delete expired rows and keep those of keys that may still be used.
 func TestSweepRows(t *testing.T) {
 	store := backing.NewMemory()
 	clock := clockwork.NewFakeClock()
@@ -161,7 +163,7 @@
 		require.NoError(t, err)
 	}
 	resolve("old")
-	clock.Advance(Lifetime + 2*Slack + time.Second)
+	clock.Advance(Lifetime + 2*LifetimeMargin + time.Second)
 	resolve("new")
 	next, deleted, err := SweepRows(context.Background(), store, "", clock.Now())
 	require.NoError(t, err)
--- a/internal/claim/resolver.go
+++ b/internal/claim/resolver.go
@@ -15,24 +15,26 @@
 
 const (
 	rowPrefix = "claim/"
-	// maxHops bounds how far a chain of tombstones is followed.
+	// maxHops bounds the number of daemons that are contacted along a chain of
+	// tombstones.
 	maxHops = 8
 )
 
-// Asker asks the daemon that answers for an incarnation for a key. The error
-// is fault.KeyUnsettled when that daemon cannot be reached.
+// KeyTaker requests ownership of a key from the daemon that acts as the given incarnation: the
+// incarnation itself or its successor. It returns a fault.KeyUnsettled error if
+// that daemon cannot be reached.
 type Asker interface {
 	Take(ctx context.Context, incarnation string, key Key, home Home, digest string) (Result, error)
 }
 
-// homeRow assigns a home to a key without a prefix.
-type homeRow struct {
+// storedHome is the stored row that records the home of a key without a prefix.
+type storedHome struct {
 	Home   string    `json:"home"`
 	Issued time.Time `json:"issued"`
 }
 
-// Resolver decides, together with the other daemons, whether a request with a
-// key may run here.
+// Resolver decides whether a request with an idempotency key may run at this
+// daemon. It contacts the key's owner where necessary.
 type Resolver struct {
 	self  string
 	table *Table
@@ -41,24 +43,25 @@
 	clock clockwork.Clock
 }
 
-// NewResolver returns the resolver of the daemon self.
+// NewResolver returns a resolver for the incarnation self. store records the
+// homes of keys without a prefix.
 func NewResolver(self string, table *Table, store backing.Table, asker Asker, clock clockwork.Clock) *Resolver {
 	return &Resolver{self: self, table: table, store: store, asker: asker, clock: clock}
 }
 
-// Decision says what to do with a request that carries a key.
+// Decision is the result of Resolver.Resolve.
 type Decision struct {
-	// Run is true when the request may run here.
+	// Run is true if the request may run at this daemon.
 	Run bool
-	// RequestID is the earlier request with the key, whose answer is to be
-	// given, when Run is false.
+	// RequestID identifies the earlier request with the key if Run is false.
+	// The caller gets the answer of that request.
 	RequestID string
-	// At is the incarnation that has that answer.
-	At string
+	// Owner is the incarnation that reported the earlier request.
+	Owner string
 }
 
-// Resolve decides on a request. When it returns an error, the request must
-// not run.
+// Resolve decides whether the request requestID may run. digest identifies the
+// request body. If Resolve returns an error, the request must not run.
 func (r *Resolver) Resolve(ctx context.Context, key Key, digest, requestID string) (Decision, error) {
 	home, prefixed := ParseHome(key.Value)
 	if !prefixed {
@@ -68,94 +71,100 @@
 		}
 	}
 	result := r.table.Begin(key, home, digest, requestID)
-	if result.Outcome != Elsewhere {
-		return r.decide(result, r.self)
+	if result.Outcome != Redirect {
+		return r.toDecision(result, r.self)
 	}
 	granted := false
-	defer func() { r.table.Settle(key, granted) }()
-	decision, err := r.follow(ctx, key, home, digest, result.MovedTo)
+	defer func() { r.table.Finish(key, granted) }()
+	decision, err := r.followOwners(ctx, key, home, digest, result.MovedTo)
 	granted = err == nil && decision.Run
 	return decision, err
 }
 
-// follow asks along the tombstones until the owner answers.
-func (r *Resolver) follow(ctx context.Context, key Key, home Home, digest, at string) (Decision, error) {
+// followOwners requests the key from the incarnation at and then along the
+// chain of tombstones, until a daemon returns a result other than Redirect.
+func (r *Resolver) followOwners(ctx context.Context, key Key, home Home, digest, at string) (Decision, error) {
 	for range maxHops {
 		if at == r.self {
-			// The chain ends here and the key was never run here.
+			// The chain ends at this daemon, and Begin found no earlier request
+			// with the key in the table.
 			return Decision{Run: true}, nil
 		}
 		result, err := r.asker.Take(ctx, at, key, home, digest)
 		if err != nil {
 			return Decision{}, err
 		}
-		if result.Outcome != Elsewhere {
-			return r.decide(result, at)
+		if result.Outcome != Redirect {
+			return r.toDecision(result, at)
 		}
 		at = result.MovedTo
 	}
-	return Decision{}, unsettled("the key moves between daemons")
+	return Decision{}, keyUnsettled("the key was transferred between daemons too often during the lookup")
 }
 
-func (r *Resolver) decide(result Result, at string) (Decision, error) {
+// toDecision converts the result that the incarnation at returned.
+func (r *Resolver) toDecision(result Result, at string) (Decision, error) {
 	switch result.Outcome {
 	case Granted:
 		return Decision{Run: true}, nil
-	case Known:
-		return Decision{RequestID: result.RequestID, At: at}, nil
+	case Duplicate:
+		return Decision{RequestID: result.RequestID, Owner: at}, nil
 	case Mismatch:
-		return Decision{}, fault.New(fault.KeyReused, "Idempotency-Key: the key was used with another request")
+		return Decision{}, fault.New(fault.KeyReused, "Idempotency-Key: the key was already used with a different request body")
 	case Expired:
-		return Decision{}, fault.New(fault.KeyExpired, "Idempotency-Key: the key is too old; whether it ran is not known any more").WithRan(fault.RanUnknown)
+		return Decision{}, fault.New(fault.KeyExpired, "Idempotency-Key: the key has expired; it is no longer known whether a request with it ran").WithRan(fault.RanUnknown)
 	default:
-		return Decision{}, unsettled("the key is being settled")
+		return Decision{}, keyUnsettled("another request with the key is being resolved")
 	}
 }
 
-// unsettled is the answer while it cannot be known whether a key has run.
-func unsettled(why string) error {
-	return fault.New(fault.KeyUnsettled, "Idempotency-Key: %s; ask again with the same key", why).WithRan(fault.RanUnknown)
+// keyUnsettled returns the error for a key of which it is currently unknown
+// whether a request with it has run.
+func keyUnsettled(why string) error {
+	return fault.New(fault.KeyUnsettled, "Idempotency-Key: %s; retry with the same key", why).WithRan(fault.RanUnknown)
 }
 
-// assignHome gives a key without a prefix a home by a conditional insert, or
-// reads which home it has.
+// assignHome returns the home of a key without a prefix. If the key has no row
+// in the store yet, it makes this daemon the home by a conditional insert.
 //
-// The answer to the insert can be lost. The row then says who the home is, and
-// until it can be read the request is refused without running: whoever is the
-// home has not seen the key, so nothing can have run on account of this
-// request.
+// If the response to the insert is lost, or another daemon inserted the row
+// first, the row is read again to learn the home. If the row cannot be read,
+// the request is rejected as not run: no home has received it, so nothing can
+// have run because of it.
 func (r *Resolver) assignHome(ctx context.Context, key Key) (Home, error) {
 	sum := sha256.Sum256([]byte(key.Value))
 	row := rowPrefix + key.Organisation + "/" + hex.EncodeToString(sum[:])
-	var found homeRow
+	var found storedHome
 	revision, err := backing.GetJSON(ctx, r.store, row, &found)
 	if err == nil && revision != 0 {
 		return Home{Incarnation: found.Home, Issued: found.Issued}, nil
 	}
 	if err != nil {
-		return Home{}, storeOut(err)
+		return Home{}, storeUnavailable(err)
 	}
-	mine := homeRow{Home: r.self, Issued: r.clock.Now()}
+	assigned := storedHome{Home: r.self, Issued: r.clock.Now()}
 	_, err = r.store.Commit(ctx, backing.Txn{
 		Checks: []backing.Check{{Key: row}},
-		Puts:   []backing.Put{backing.PutJSON(row, mine)},
+		Puts:   []backing.Put{backing.PutJSON(row, assigned)},
 	})
 	if err == nil {
-		return Home{Incarnation: mine.Home, Issued: mine.Issued}, nil
+		return Home{Incarnation: assigned.Home, Issued: assigned.Issued}, nil
 	}
 	if !trace.IsCompareFailed(err) && !backing.IsUnknownOutcome(err) {
-		return Home{}, storeOut(err)
+		return Home{}, storeUnavailable(err)
 	}
 	revision, err = backing.GetJSON(ctx, r.store, row, &found)
 	if err != nil || revision == 0 {
-		return Home{}, storeOut(trace.ConnectionProblem(err, "the claim could not be read back"))
+		return Home{}, storeUnavailable(trace.ConnectionProblem(err, "the row with the home of the key could not be read after the insert"))
 	}
 	return Home{Incarnation: found.Home, Issued: found.Issued}, nil
 }
 
-func storeOut(err error) error {
-	return fault.New(fault.StoreUnavailable, "the key could not be claimed: %v; a key with a discovery prefix needs no store", err)
+// storeUnavailable returns the error for a request whose key has no prefix and
+// whose home cannot be read or written.
+func storeUnavailable(err error) error {
+	return fault.New(fault.StoreUnavailable, "the home of the idempotency key could not be read or assigned: %v; a key with a prefix from discovery does not need the store", err)
 }
 
-// Release gives a key back whose request was not run.
+// Release gives up the key of the request requestID, which was not run.
 func (r *Resolver) Release(key Key, requestID string) { r.table.Release(key, requestID) }
--- a/internal/claim/sweep.go
+++ b/internal/claim/sweep.go
@@ -8,12 +8,12 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/backing"
 )
 
-// SweepRows deletes the homes of keys without a prefix that no request may use
-// any more, one page a call; see backing.Sweep. Such a key can then be used
-// anew.
+// SweepRows deletes the stored homes of keys without a prefix once they are
+// older than Lifetime plus twice LifetimeMargin. It processes one page of rows
+// per call; see backing.Sweep. A deleted key counts as unused from then on.
 func SweepRows(ctx context.Context, t backing.Table, after string, now time.Time) (next string, deleted int, err error) {
 	return backing.Sweep(ctx, t, rowPrefix, after, func(row backing.Row) bool {
-		var home homeRow
-		return json.Unmarshal(row.Value, &home) == nil && now.Sub(home.Issued) > Lifetime+2*Slack
+		var home storedHome
+		return json.Unmarshal(row.Value, &home) == nil && now.Sub(home.Issued) > Lifetime+2*LifetimeMargin
 	})
 }
--- a/internal/ledger/archive.go
+++ b/internal/ledger/archive.go
@@ -17,10 +17,10 @@
 	archivePrefix = "ledger/archive/"
 	// archiveKeep is how many of the newest batches of a live log stay in the
 	// table, where holders that find their daemon dead look first.
-	archiveKeep = 50
+	archiveKeepBatches = 50
 	// archiveLeast and archiveMost bound the batches moved at once.
-	archiveLeast = 100
-	archiveMost  = 200
+	archiveMinBatches = 100
+	archiveMaxBatches = 200
 )
 
 // archiveRow is the index row of batches that were moved to an object.
@@ -86,13 +86,13 @@
 	from, to = h.ArchivedTo+1, h.Last
 	least := int64(1)
 	if !h.Sealed {
-		to -= archiveKeep
-		least = archiveLeast
+		to -= archiveKeepBatches
+		least = archiveMinBatches
 	}
 	if h.OpenFrom > 0 {
 		to = min(to, h.OpenFrom-1)
 	}
-	to = min(to, from+archiveMost-1)
+	to = min(to, from+archiveMaxBatches-1)
 	return from, to, to-from+1 >= least
 }
 
@@ -126,7 +126,7 @@
 }
 
 // archives lists the index rows below a prefix of their keys.
-func archives(ctx context.Context, table backing.Table, prefix string) ([]archiveRow, error) {
+func listArchives(ctx context.Context, table backing.Table, prefix string) ([]archiveRow, error) {
 	const most = 1 << 20
 	rows, err := table.List(ctx, prefix, "", most)
 	if err != nil {
@@ -144,7 +144,7 @@
 // ArchiveDue moves old batches of every log that has enough of them. Logs that
 // change meanwhile are left for the next time.
 func ArchiveDue(ctx context.Context, p backing.Platform) (int64, error) {
-	all, err := heads(ctx, p)
+	all, err := listHeads(ctx, p)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/ledger/holdings.go
+++ b/internal/ledger/holdings.go
@@ -15,7 +15,7 @@
 
 // usageGiveUp is how long a holder asks an upstream that does not answer
 // before it closes the bill without usage.
-const usageGiveUp = 10 * time.Minute
+const usageTimeout = 10 * time.Minute
 
 // UsageReader asks an upstream what it ran for a request.
 type UsageReader interface {
@@ -23,7 +23,7 @@
 }
 
 // held is a copy of another daemon's bill.
-type held struct {
+type replica struct {
 	bill Bill
 	// after is the newest batch of the owner's log when the copy was first
 	// made; the bill can only be in later batches.
@@ -40,12 +40,12 @@
 	clock clockwork.Clock
 
 	mu     sync.Mutex
-	owners map[string]map[string]held
+	owners map[string]map[string]replica
 }
 
 // NewHoldings returns empty holdings.
 func NewHoldings(self string, table Store, usage UsageReader, clock clockwork.Clock) *Holdings {
-	return &Holdings{self: self, table: table, usage: usage, clock: clock, owners: map[string]map[string]held{}}
+	return &Holdings{self: self, table: table, usage: usage, clock: clock, owners: map[string]map[string]replica{}}
 }
 
 // Hold takes copies. An open copy never replaces a final one, as messages may
@@ -55,7 +55,7 @@
 	defer h.mu.Unlock()
 	copies := h.owners[owner]
 	if copies == nil {
-		copies = map[string]held{}
+		copies = map[string]replica{}
 		h.owners[owner] = copies
 	}
 	for _, b := range bills {
@@ -66,7 +66,7 @@
 		if seen {
 			after = min(after, have.after)
 		}
-		copies[b.RequestID] = held{bill: b, after: after}
+		copies[b.RequestID] = replica{bill: b, after: after}
 	}
 }
 
@@ -104,10 +104,10 @@
 	return n
 }
 
-func (h *Holdings) copies(owner string) []held {
+func (h *Holdings) replicasOf(owner string) []replica {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	out := make([]held, 0, len(h.owners[owner]))
+	out := make([]replica, 0, len(h.owners[owner]))
 	for _, c := range h.owners[owner] {
 		out = append(out, c)
 	}
@@ -119,9 +119,9 @@
 // nothing is left to do; bills whose work is still running upstream are left
 // for a later call.
 func (h *Holdings) Seal(ctx context.Context, owner string) (bool, error) {
-	copies := h.copies(owner)
+	copies := h.replicasOf(owner)
 	log := NewLog(h.table, owner, h.self)
-	log.StartAfter(startOf(copies))
+	log.StartAfter(lowestAfter(copies))
 	if err := log.Sync(ctx); err != nil {
 		return false, trace.Wrap(err)
 	}
@@ -136,7 +136,7 @@
 	for _, c := range copies {
 		bills[c.bill.RequestID] = c.bill
 	}
-	final, running := h.resolveAll(ctx, log, bills)
+	final, running := h.closeOpenBills(ctx, log, bills)
 	if err := log.Append(ctx, final, running == 0); err != nil {
 		return false, trace.Wrap(err)
 	}
@@ -156,7 +156,7 @@
 	return running == 0, nil
 }
 
-func startOf(copies []held) int64 {
+func lowestAfter(copies []replica) int64 {
 	if len(copies) == 0 {
 		return 0
 	}
@@ -167,7 +167,7 @@
 	return start
 }
 
-func (h *Holdings) resolveAll(ctx context.Context, log *Log, bills map[string]Bill) (final []Bill, running int) {
+func (h *Holdings) closeOpenBills(ctx context.Context, log *Log, bills map[string]Bill) (final []Bill, running int) {
 	for _, b := range bills {
 		if b.Final() {
 			final = append(final, b)
@@ -176,7 +176,7 @@
 		if log.closed(b.RequestID) {
 			continue
 		}
-		done, ok := h.resolve(ctx, b)
+		done, ok := h.closeOpenBill(ctx, b)
 		if !ok {
 			running++
 			continue
@@ -187,7 +187,7 @@
 }
 
 // resolve closes an open bill by asking the upstream what it ran.
-func (h *Holdings) resolve(ctx context.Context, b Bill) (Bill, bool) {
+func (h *Holdings) closeOpenBill(ctx context.Context, b Bill) (Bill, bool) {
 	now := h.clock.Now()
 	b.Closed = now
 	if b.Service != "" || b.Upstream == "" {
@@ -197,7 +197,7 @@
 	}
 	usage, err := h.usage.Usage(ctx, b.Upstream, b.RequestID)
 	switch {
-	case err != nil && now.Sub(b.Opened) < usageGiveUp:
+	case err != nil && now.Sub(b.Opened) < usageTimeout:
 		return b, false
 	case err != nil:
 		b.State, b.Presumed = Failed, true
@@ -224,7 +224,7 @@
 // Abandoned returns the incarnations whose logs are not sealed and that are
 // not among the live ones.
 func Abandoned(ctx context.Context, table backing.Table, live map[string]bool) ([]string, error) {
-	all, err := heads(ctx, table)
+	all, err := listHeads(ctx, table)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -36,10 +36,10 @@
 
 // holdWorkers is how many copies to the peers run at once, so that one slow
 // peer does not hold up every request.
-const holdWorkers = 4
+const replicationWorkers = 4
 
 // entry is an uncommitted bill.
-type entry struct {
+type pendingBill struct {
 	bill Bill
 	// order keeps the commits in the order of opening.
 	order int64
@@ -50,7 +50,7 @@
 }
 
 // holdRequest asks for one bill to be made durable.
-type holdRequest struct {
+type replicationRequest struct {
 	id   string
 	done chan error
 }
@@ -60,32 +60,32 @@
 // Lock order: logMu before mu. Neither is held while peers are called; logMu
 // is held while the table is written.
 type Ledger struct {
-	self    string
-	peers   Replicator
-	clock   clockwork.Clock
-	options Options
-	holds   chan holdRequest
+	self                string
+	peers               Replicator
+	clock               clockwork.Clock
+	options             Options
+	replicationRequests chan replicationRequest
 
 	logMu sync.Mutex
 	log   *Log
 
-	mu      sync.Mutex
-	entries map[string]*entry
-	opened  int64
-	after   int64
-	epoch   uint64
+	mu              sync.Mutex
+	entries         map[string]*pendingBill
+	lastOrder       int64
+	lastBatch       int64
+	replicatedEpoch uint64
 }
 
 // New returns the ledger of the daemon self.
 func New(self string, table Store, peers Replicator, clock clockwork.Clock, options Options) *Ledger {
 	return &Ledger{
-		self:    self,
-		peers:   peers,
-		clock:   clock,
-		options: options,
-		holds:   make(chan holdRequest, 1024),
-		log:     NewLog(table, self, self),
-		entries: map[string]*entry{},
+		self:                self,
+		peers:               peers,
+		clock:               clock,
+		options:             options,
+		replicationRequests: make(chan replicationRequest, 1024),
+		log:                 NewLog(table, self, self),
+		entries:             map[string]*pendingBill{},
 	}
 }
 
@@ -99,7 +99,7 @@
 	if !l.put(b, true) {
 		return fault.New(fault.StoreUnavailable, "too many bills wait for the store")
 	}
-	if err := l.durable(ctx, b.RequestID); err != nil {
+	if err := l.makeDurable(ctx, b.RequestID); err != nil {
 		l.Void(b.RequestID)
 		return fault.New(fault.StoreUnavailable, "the bill could not be recorded: %v", err)
 	}
@@ -110,7 +110,7 @@
 // promise of Open.
 func (l *Ledger) Update(ctx context.Context, b Bill) error {
 	l.put(b, false)
-	if err := l.durable(ctx, b.RequestID); err != nil {
+	if err := l.makeDurable(ctx, b.RequestID); err != nil {
 		return fault.New(fault.StoreUnavailable, "the bill could not be recorded: %v", err)
 	}
 	return nil
@@ -122,7 +122,7 @@
 func (l *Ledger) Close(ctx context.Context, b Bill) {
 	b.Closed = l.clock.Now()
 	l.put(b, false)
-	if err := l.durable(ctx, b.RequestID); err != nil {
+	if err := l.makeDurable(ctx, b.RequestID); err != nil {
 		slog.Warn("bill.close_not_held", "request", b.RequestID, "error", err)
 	}
 }
@@ -152,8 +152,8 @@
 	}
 	e, ok := l.entries[b.RequestID]
 	if !ok {
-		l.opened++
-		e = &entry{order: l.opened}
+		l.lastOrder++
+		e = &pendingBill{order: l.lastOrder}
 		l.entries[b.RequestID] = e
 	}
 	e.bill = b
@@ -161,10 +161,10 @@
 	return true
 }
 
-func (l *Ledger) durable(ctx context.Context, id string) error {
-	request := holdRequest{id: id, done: make(chan error, 1)}
+func (l *Ledger) makeDurable(ctx context.Context, id string) error {
+	request := replicationRequest{id: id, done: make(chan error, 1)}
 	select {
-	case l.holds <- request:
+	case l.replicationRequests <- request:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -179,21 +179,21 @@
 // Run copies and commits bills until ctx ends.
 func (l *Ledger) Run(ctx context.Context) {
 	var workers sync.WaitGroup
-	for range holdWorkers {
-		workers.Go(func() { l.holdLoop(ctx) })
+	for range replicationWorkers {
+		workers.Go(func() { l.replicationLoop(ctx) })
 	}
 	workers.Go(func() { l.commitLoop(ctx) })
 	workers.Wait()
 }
 
-func (l *Ledger) holdLoop(ctx context.Context) {
+func (l *Ledger) replicationLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case first := <-l.holds:
-			requests := l.collect(first)
-			err := l.hold(ctx, requests)
+		case first := <-l.replicationRequests:
+			requests := l.collectRequests(first)
+			err := l.replicate(ctx, requests)
 			for _, r := range requests {
 				r.done <- err
 			}
@@ -202,11 +202,11 @@
 }
 
 // collect takes what else is waiting, so that one message serves many bills.
-func (l *Ledger) collect(first holdRequest) []holdRequest {
-	requests := []holdRequest{first}
+func (l *Ledger) collectRequests(first replicationRequest) []replicationRequest {
+	requests := []replicationRequest{first}
 	for len(requests) < MaxBatch {
 		select {
-		case r := <-l.holds:
+		case r := <-l.replicationRequests:
 			requests = append(requests, r)
 		default:
 			return requests
@@ -216,12 +216,12 @@
 }
 
 // hold makes bills durable at the peers or, failing that, in the table.
-func (l *Ledger) hold(ctx context.Context, requests []holdRequest) error {
+func (l *Ledger) replicate(ctx context.Context, requests []replicationRequest) error {
 	ids := make([]string, len(requests))
 	for i, r := range requests {
 		ids[i] = r.id
 	}
-	bills, after := l.newest(ids)
+	bills, after := l.currentBills(ids)
 	if len(bills) == 0 {
 		return nil
 	}
@@ -231,11 +231,11 @@
 	if err != nil {
 		return l.commitBills(ctx, ids)
 	}
-	l.markHeld(bills)
+	l.markReplicated(bills)
 	return nil
 }
 
-func (l *Ledger) newest(ids []string) ([]Bill, int64) {
+func (l *Ledger) currentBills(ids []string) ([]Bill, int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var bills []Bill
@@ -244,10 +244,10 @@
 			bills = append(bills, e.bill)
 		}
 	}
-	return bills, l.after
+	return bills, l.lastBatch
 }
 
-func (l *Ledger) markHeld(bills []Bill) {
+func (l *Ledger) markReplicated(bills []Bill) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, b := range bills {
@@ -268,23 +268,23 @@
 		if err := l.Commit(ctx); err != nil && ctx.Err() == nil {
 			slog.Warn("ledger.commit_failed", "pending", l.Pending(), "error", err)
 		}
-		l.refreshCopies(ctx)
+		l.replicateMissing(ctx)
 	}
 }
 
 // refreshCopies sends every uncommitted bill again after the set of peers
 // that hold copies changed; the new ones have none yet.
-func (l *Ledger) refreshCopies(ctx context.Context) {
+func (l *Ledger) replicateMissing(ctx context.Context) {
 	epoch := l.peers.Epoch()
 	l.mu.Lock()
-	changed := epoch != l.epoch
+	changed := epoch != l.replicatedEpoch
 	var bills []Bill
 	for _, e := range l.entries {
 		if changed || !e.held {
 			bills = append(bills, e.bill)
 		}
 	}
-	after := l.after
+	after := l.lastBatch
 	l.mu.Unlock()
 	for chunk := range slices.Chunk(bills, MaxBatch) {
 		held, cancel := context.WithTimeout(ctx, l.options.HoldTimeout)
@@ -293,10 +293,10 @@
 		if err != nil {
 			return
 		}
-		l.markHeld(chunk)
+		l.markReplicated(chunk)
 	}
 	l.mu.Lock()
-	l.epoch = epoch
+	l.replicatedEpoch = epoch
 	l.mu.Unlock()
 }
 
@@ -305,13 +305,13 @@
 func (l *Ledger) Commit(ctx context.Context) error {
 	for {
 		l.mu.Lock()
-		var due []*entry
+		var due []*pendingBill
 		for _, e := range l.entries {
 			if e.bill.Final() || (!e.held && !e.committed) {
 				due = append(due, e)
 			}
 		}
-		slices.SortFunc(due, func(x, y *entry) int { return cmp.Compare(x.order, y.order) })
+		slices.SortFunc(due, func(x, y *pendingBill) int { return cmp.Compare(x.order, y.order) })
 		due = due[:min(len(due), MaxBatch)]
 		ids := make([]string, len(due))
 		for i, e := range due {
@@ -337,14 +337,14 @@
 func (l *Ledger) commitBills(ctx context.Context, ids []string) error {
 	l.logMu.Lock()
 	defer l.logMu.Unlock()
-	bills, _ := l.newest(ids)
+	bills, _ := l.currentBills(ids)
 	if err := l.log.Append(ctx, bills, false); err != nil {
 		return err
 	}
 	last := l.log.Last()
 	var released []string
 	l.mu.Lock()
-	l.after = last
+	l.lastBatch = last
 	for _, b := range bills {
 		e, ok := l.entries[b.RequestID]
 		switch {
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -19,9 +19,9 @@
 var ctx = context.Background()
 
 // engine is what an upstream says of a request.
-type engine map[string]upstream.RequestUsage
+type usageByRequest map[string]upstream.RequestUsage
 
-func (e engine) Usage(_ context.Context, _, id string) (upstream.RequestUsage, error) {
+func (e usageByRequest) Usage(_ context.Context, _, id string) (upstream.RequestUsage, error) {
 	return e[id], nil
 }
 
@@ -29,7 +29,7 @@
 	return Bill{RequestID: id, State: state, Upstream: "u", OutputPrice: 2}
 }
 
-func listed(t *testing.T, store Store) map[string]Entry {
+func listBills(t *testing.T, store Store) map[string]Entry {
 	t.Helper()
 	rows, err := List(ctx, store, "")
 	require.NoError(t, err)
@@ -46,15 +46,15 @@
 // wakes and sends the request after all: its own bill must still count.
 func TestVoidedWhilePausedThenRun(t *testing.T) {
 	store := backing.NewMemory()
-	holder := NewHoldings("h", store, engine{}, clockwork.NewFakeClock())
+	holder := NewHoldings("h", store, usageByRequest{}, clockwork.NewFakeClock())
 	holder.Hold("a", 0, []Bill{bill("a-1", Open)})
 	done, err := holder.Seal(ctx, "a")
 	require.NoError(t, err)
 	require.True(t, done)
-	require.Empty(t, listed(t, store))
+	require.Empty(t, listBills(t, store))
 	owner := NewLog(store, "a", "a")
 	require.NoError(t, owner.Append(ctx, []Bill{bill("a-1", Answered)}, false))
-	require.Equal(t, Answered, listed(t, store)["a-1"].State)
+	require.Equal(t, Answered, listBills(t, store)["a-1"].State)
 }
 
 // A paused daemon is taken for dead while a plain service works for it. The
@@ -62,36 +62,36 @@
 // knows better.
 func TestPresumedBillIsReplacedOnce(t *testing.T) {
 	store := backing.NewMemory()
-	holder := NewHoldings("h", store, engine{}, clockwork.NewFakeClock())
+	holder := NewHoldings("h", store, usageByRequest{}, clockwork.NewFakeClock())
 	call := Bill{RequestID: "a-1", State: Open, Service: "folders", Upstream: "u"}
 	holder.Hold("a", 0, []Bill{call})
 	_, err := holder.Seal(ctx, "a")
 	require.NoError(t, err)
-	require.Equal(t, Failed, listed(t, store)["a-1"].State)
+	require.Equal(t, Failed, listBills(t, store)["a-1"].State)
 	owner := NewLog(store, "a", "a")
 	call.State, call.Amount = Answered, 7
 	require.NoError(t, owner.Append(ctx, []Bill{call}, false))
 	_, err = holder.Seal(ctx, "a")
 	require.NoError(t, err)
-	require.Equal(t, int64(7), listed(t, store)["a-1"].Amount)
+	require.Equal(t, int64(7), listBills(t, store)["a-1"].Amount)
 }
 
 // Work still runs at the engine when its daemon is found dead. The bill waits
 // for the engine's count instead of being closed with nothing.
 func TestSealWaitsForRunningWork(t *testing.T) {
 	store := backing.NewMemory()
-	usage := engine{"a-1": {Attempts: 1, Running: true}}
+	usage := usageByRequest{"a-1": {Attempts: 1, Running: true}}
 	holder := NewHoldings("h", store, usage, clockwork.NewFakeClock())
 	holder.Hold("a", 0, []Bill{bill("a-1", Open)})
 	done, err := holder.Seal(ctx, "a")
 	require.NoError(t, err)
 	require.False(t, done)
-	require.Empty(t, listed(t, store))
+	require.Empty(t, listBills(t, store))
 	usage["a-1"] = upstream.RequestUsage{Attempts: 1, Finished: true, Usage: upstream.Usage{CompletionTokens: 5}}
 	done, err = holder.Seal(ctx, "a")
 	require.NoError(t, err)
 	require.True(t, done)
-	require.Equal(t, int64(10), listed(t, store)["a-1"].Amount)
+	require.Equal(t, int64(10), listBills(t, store)["a-1"].Amount)
 }
 
 // An owner and two holders append the same bills in any order, with commits
@@ -109,7 +109,7 @@
 				backing.FaultNone, backing.FaultNone, backing.FaultRefuse, backing.FaultLoseAnswer, backing.FaultLoseRequest,
 			}).Draw(t, "fault")
 		})
-		usage := engine{}
+		usage := usageByRequest{}
 		clock := clockwork.NewFakeClock()
 		owner := NewLog(store, "a", "a")
 		holders := []*Holdings{NewHoldings("h1", store, usage, clock), NewHoldings("h2", store, usage, clock)}
@@ -154,18 +154,18 @@
 }
 
 // alone is a daemon without peers.
-type alone struct{}
+type noPeers struct{}
 
-func (alone) Hold(context.Context, string, int64, []Bill) error { return errors.New("no peers") }
-func (alone) Release(context.Context, string, []string)         {}
-func (alone) Epoch() uint64                                     { return 0 }
+func (noPeers) Hold(context.Context, string, int64, []Bill) error { return errors.New("no peers") }
+func (noPeers) Release(context.Context, string, []string)         {}
+func (noPeers) Epoch() uint64                                     { return 0 }
 
 // A daemon without peers writes each closed bill at once, while its regular
 // commit has picked up the same bill. A publisher was billed twice: the second
 // writer did not look whether the first had written the bill meanwhile.
 func TestTwoCommitsAtOnceBillOnce(t *testing.T) {
 	store := backing.NewMemory()
-	l := New("a", store, alone{}, clockwork.NewRealClock(), Options{
+	l := New("a", store, noPeers{}, clockwork.NewRealClock(), Options{
 		CommitInterval: func() time.Duration { return time.Microsecond }, MaxPending: 1000, HoldTimeout: time.Second,
 	})
 	running, stop := context.WithCancel(ctx)
@@ -186,7 +186,7 @@
 	require.NoError(t, l.Commit(ctx))
 	stop()
 	loop.Wait()
-	require.Len(t, listed(t, store), n)
+	require.Len(t, listBills(t, store), n)
 }
 
 // Old batches are moved to the object store while the owner goes on and a
@@ -202,7 +202,7 @@
 			require.NoError(t, owner.Append(ctx, []Bill{bill(fmt.Sprintf("a-%d", n), Answered)}, false))
 		}
 	}
-	more(archiveLeast + archiveKeep - 1)
+	more(archiveMinBatches + archiveKeepBatches - 1)
 	moved, err := Archive(ctx, store, "a")
 	require.NoError(t, err)
 	require.Zero(t, moved, "not worth it yet")
@@ -216,24 +216,24 @@
 	_, err = Archive(ctx, store, "a")
 	require.Error(t, err)
 	store.SetFault(nil)
-	require.Len(t, listed(t, store), n)
+	require.Len(t, listBills(t, store), n)
 	rows, err := store.List(ctx, batchPrefix, "", 1000)
 	require.NoError(t, err)
-	require.Len(t, rows, archiveKeep)
-	more(archiveLeast)
+	require.Len(t, rows, archiveKeepBatches)
+	more(archiveMinBatches)
 	moved, err = ArchiveDue(ctx, store)
 	require.NoError(t, err)
-	require.Equal(t, int64(archiveLeast), moved)
-	require.Len(t, listed(t, store), n)
+	require.Equal(t, int64(archiveMinBatches), moved)
+	require.Len(t, listBills(t, store), n)
 
 	// The holder's copies are older than what is left in the table.
-	holder := NewHoldings("h", store, engine{"a-1": {Attempts: 1, Finished: true}}, clockwork.NewFakeClock())
+	holder := NewHoldings("h", store, usageByRequest{"a-1": {Attempts: 1, Finished: true}}, clockwork.NewFakeClock())
 	holder.Hold("a", 0, []Bill{bill("a-1", Open), bill("a-new", Answered)})
 	done, err := holder.Seal(ctx, "a")
 	require.NoError(t, err)
 	require.True(t, done)
-	require.Len(t, listed(t, store), n+1)
+	require.Len(t, listBills(t, store), n+1)
 	_, err = ArchiveDue(ctx, store)
 	require.NoError(t, err)
-	require.Len(t, listed(t, store), n+1)
+	require.Len(t, listBills(t, store), n+1)
 }
--- a/internal/ledger/list.go
+++ b/internal/ledger/list.go
@@ -21,8 +21,8 @@
 // empty organisation is all organisations. A second settled bill of a request,
 // which would be a fault, is listed after the others and not hidden.
 func List(ctx context.Context, store Store, organisation string) ([]Entry, error) {
-	l := lister{bills: map[string]Entry{}}
-	archived, err := archives(ctx, store, archivePrefix)
+	l := billLister{bills: map[string]Entry{}}
+	archived, err := listArchives(ctx, store, archivePrefix)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -40,13 +40,13 @@
 }
 
 // lister collects bills in the order of their opening.
-type lister struct {
-	bills   map[string]Entry
-	order   []string
-	doubled []Entry
+type billLister struct {
+	bills      map[string]Entry
+	order      []string
+	duplicates []Entry
 }
 
-func (l *lister) readTable(ctx context.Context, table backing.Table) error {
+func (l *billLister) readTable(ctx context.Context, table backing.Table) error {
 	const page = 200
 	after := ""
 	for {
@@ -72,7 +72,7 @@
 	}
 }
 
-func (l *lister) add(batch int64, bills []Bill) {
+func (l *billLister) add(batch int64, bills []Bill) {
 	for _, bill := range bills {
 		have, seen := l.bills[bill.RequestID]
 		entry := Entry{Bill: bill, Batch: batch}
@@ -81,29 +81,29 @@
 			l.order = append(l.order, bill.RequestID)
 			l.bills[bill.RequestID] = entry
 		case have.Settled() && bill.Settled():
-			l.doubled = append(l.doubled, entry)
+			l.duplicates = append(l.duplicates, entry)
 		case !have.Settled() && (bill.Final() || !have.Final()):
 			l.bills[bill.RequestID] = entry
 		}
 	}
 }
 
-func (l *lister) entries(organisation string) []Entry {
+func (l *billLister) entries(organisation string) []Entry {
 	var out []Entry
 	for _, id := range l.order {
 		entry := l.bills[id]
-		if entry.State != Void && wanted(entry, organisation) {
+		if entry.State != Void && belongsTo(entry, organisation) {
 			out = append(out, entry)
 		}
 	}
-	for _, entry := range l.doubled {
-		if wanted(entry, organisation) {
+	for _, entry := range l.duplicates {
+		if belongsTo(entry, organisation) {
 			out = append(out, entry)
 		}
 	}
 	return out
 }
 
-func wanted(e Entry, organisation string) bool {
+func belongsTo(e Entry, organisation string) bool {
 	return organisation == "" || e.Organisation == organisation
 }
--- a/internal/ledger/log.go
+++ b/internal/ledger/log.go
@@ -102,7 +102,7 @@
 	incarnation string
 	writer      string
 
-	known    head
+	head     head
 	revision int64
 	// open maps the request ids of committed open bills to their batch.
 	open map[string]int64
@@ -127,10 +127,10 @@
 
 // StartAfter makes the log treat batches up to n as read. It is used by a
 // holder whose records all came after batch n.
-func (l *Log) StartAfter(n int64) { l.known.Last = n }
+func (l *Log) StartAfter(n int64) { l.head.Last = n }
 
 // Last returns the number of the newest batch known.
-func (l *Log) Last() int64 { return l.known.Last }
+func (l *Log) Last() int64 { return l.head.Last }
 
 // Sync reads the batches that others wrote.
 func (l *Log) Sync(ctx context.Context) error {
@@ -139,7 +139,7 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	start := l.known.Last
+	start := l.head.Last
 	if h.OpenFrom > 0 && h.OpenFrom <= start && l.revision == 0 {
 		start = h.OpenFrom - 1
 	}
@@ -153,15 +153,15 @@
 		if _, err := backing.GetJSON(ctx, l.table, batchKey(l.incarnation, n), &b); err != nil {
 			return trace.Wrap(err)
 		}
-		l.note(n, b.Bills)
+		l.recordBills(n, b.Bills)
 	}
-	l.known, l.revision = h, revision
+	l.head, l.revision = h, revision
 	return nil
 }
 
 // syncArchived reads the archived batches after batch start.
 func (l *Log) syncArchived(ctx context.Context, start int64) error {
-	rows, err := archives(ctx, l.table, archivePrefix+l.incarnation+"/")
+	rows, err := listArchives(ctx, l.table, archivePrefix+l.incarnation+"/")
 	if err != nil {
 		return err
 	}
@@ -173,12 +173,12 @@
 		if err != nil {
 			return err
 		}
-		l.note(row.To, bills)
+		l.recordBills(row.To, bills)
 	}
 	return nil
 }
 
-func (l *Log) note(n int64, bills []Bill) {
+func (l *Log) recordBills(n int64, bills []Bill) {
 	for _, b := range bills {
 		switch {
 		case b.Settled():
@@ -227,10 +227,10 @@
 func (l *Log) Append(ctx context.Context, bills []Bill, seal bool) error {
 	for {
 		pending := l.unbilled(bills)
-		if len(pending) == 0 && (!seal || l.known.Sealed) {
+		if len(pending) == 0 && (!seal || l.head.Sealed) {
 			return nil
 		}
-		next := l.next(pending, seal)
+		next := l.nextHead(pending, seal)
 		txn := backing.Txn{
 			Checks: []backing.Check{{Key: headPrefix + l.incarnation, Revision: l.revision}},
 			Puts: []backing.Put{
@@ -240,9 +240,9 @@
 		}
 		revision, err := l.table.Commit(ctx, txn)
 		if err == nil {
-			l.note(next.Last, pending)
-			l.known, l.revision = next, revision
-			l.forget(pending)
+			l.recordBills(next.Last, pending)
+			l.head, l.revision = next, revision
+			l.forgetOwn(pending)
 			return nil
 		}
 		if !trace.IsCompareFailed(err) && !backing.IsUnknownOutcome(err) {
@@ -275,7 +275,7 @@
 
 // forget drops the ids that this writer itself finalised: it will not offer
 // them again.
-func (l *Log) forget(bills []Bill) {
+func (l *Log) forgetOwn(bills []Bill) {
 	if l.writer != l.incarnation {
 		return
 	}
@@ -285,8 +285,8 @@
 	}
 }
 
-func (l *Log) next(pending []Bill, seal bool) head {
-	next := head{Last: l.known.Last + 1, Sealed: seal, ArchivedTo: l.known.ArchivedTo}
+func (l *Log) nextHead(pending []Bill, seal bool) head {
+	next := head{Last: l.head.Last + 1, Sealed: seal, ArchivedTo: l.head.ArchivedTo}
 	closing := map[string]bool{}
 	for _, b := range pending {
 		if b.Final() {
@@ -304,7 +304,7 @@
 }
 
 // heads returns the heads of all logs by incarnation.
-func heads(ctx context.Context, table backing.Table) (map[string]head, error) {
+func listHeads(ctx context.Context, table backing.Table) (map[string]head, error) {
 	rows, err := table.List(ctx, headPrefix, "", 1<<20)
 	if err != nil {
 		return nil, trace.Wrap(err)
--- a/internal/session/keyring.go
+++ b/internal/session/keyring.go
@@ -14,26 +14,28 @@
 )
 
 const (
-	keysRow   = "session/keys"
-	secretLen = 32
-	// SpreadTime is how long a new key is only accepted and not yet used for
-	// signing, so that every daemon knows it before tokens carry it.
+	keysRowKey = "session/keys"
+	secretLen  = 32
+	// KeyPropagationDelay is the time for which a new key is accepted but not
+	// yet used for signing, so that every daemon has read it before the first
+	// token is signed with it.
 	SpreadTime = time.Minute
 )
 
-// Key is a signing key.
+// Key is a symmetric key that signs and verifies tokens.
 type Key struct {
 	ID      string    `json:"id"`
 	Secret  []byte    `json:"secret"`
 	Created time.Time `json:"created"`
 }
 
-// keySet is the row that holds the keys, oldest first.
-type keySet struct {
+// keyRow is the stored row with the keys, oldest first.
+type keyRow struct {
 	Keys []Key `json:"keys"`
 }
 
-// Keyring holds the signing keys, which live in the table.
+// Keyring holds a copy of the signing keys that are stored in the table. It is
+// safe for concurrent use.
 type Keyring struct {
 	table backing.Table
 	clock clockwork.Clock
@@ -42,38 +44,42 @@
 	keys []Key
 }
 
-// NewKeyring returns an empty keyring; Refresh fills it.
+// NewKeyring returns an empty keyring; Refresh loads the keys.
 func NewKeyring(table backing.Table, clock clockwork.Clock) *Keyring {
 	return &Keyring{table: table, clock: clock}
 }
 
-// Refresh reads the keys and makes the first one when there is none.
+// Refresh reads the keys from the table. If there are none, it creates the first
+// one.
 func (k *Keyring) Refresh(ctx context.Context) error {
-	var set keySet
-	if _, err := backing.GetJSON(ctx, k.table, keysRow, &set); err != nil {
+	var set keyRow
+	if _, err := backing.GetJSON(ctx, k.table, keysRowKey, &set); err != nil {
 		return trace.Wrap(err)
 	}
 	if len(set.Keys) > 0 {
 		k.Install(set.Keys)
 		return nil
 	}
-	// Several daemons may start at once; the row is made by one of them.
-	if err := k.write(ctx, 0, keySet{}); err != nil && !trace.IsCompareFailed(err) {
+	// Several daemons may start at once; the conditional write of only one of
+	// them succeeds.
+	if err := k.commitNewKey(ctx, 0, keyRow{}); err != nil && !trace.IsCompareFailed(err) {
 		return trace.Wrap(err)
 	}
-	// Whoever made the first key, the row says which it is.
-	if _, err := backing.GetJSON(ctx, k.table, keysRow, &set); err != nil {
+	// The row is read again because another daemon may have written the first
+	// key.
+	if _, err := backing.GetJSON(ctx, k.table, keysRowKey, &set); err != nil {
 		return trace.Wrap(err)
 	}
 	k.Install(set.Keys)
 	return nil
 }
 
-// Rotate adds a key and drops those older than retention. Tokens signed with
-// the earlier keys stay good until then.
+// Rotate adds a key and removes those older than retention, except the newest of
+// the existing keys. Tokens stay valid as long as their key is kept. The keyring
+// itself changes only at the next Refresh.
 func (k *Keyring) Rotate(ctx context.Context, retention time.Duration) error {
-	var set keySet
-	revision, err := backing.GetJSON(ctx, k.table, keysRow, &set)
+	var set keyRow
+	revision, err := backing.GetJSON(ctx, k.table, keysRowKey, &set)
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -83,22 +89,23 @@
 			return k.clock.Since(key.Created) > retention && key.ID != newest
 		})
 	}
-	return trace.Wrap(k.write(ctx, revision, set))
+	return trace.Wrap(k.commitNewKey(ctx, revision, set))
 }
 
-// write adds a new key to set and writes it in place of the row at revision.
-func (k *Keyring) write(ctx context.Context, revision int64, set keySet) error {
+// commitNewKey adds a new key to set and writes set to the table, on the
+// condition that the row is still at revision.
+func (k *Keyring) commitNewKey(ctx context.Context, revision int64, set keyRow) error {
 	secret := make([]byte, secretLen)
 	_, _ = rand.Read(secret)
 	set.Keys = append(set.Keys, Key{ID: rand.Text()[:12], Secret: secret, Created: k.clock.Now()})
 	_, err := k.table.Commit(ctx, backing.Txn{
-		Checks: []backing.Check{{Key: keysRow, Revision: revision}},
-		Puts:   []backing.Put{backing.PutJSON(keysRow, set)},
+		Checks: []backing.Check{{Key: keysRowKey, Revision: revision}},
+		Puts:   []backing.Put{backing.PutJSON(keysRowKey, set)},
 	})
 	return err
 }
 
-// Install replaces the keys, as when a peer hands them over.
+// Install replaces the keys, for example by those read from a peer.
 func (k *Keyring) Install(keys []Key) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -112,8 +119,10 @@
 	return slices.Clone(k.keys)
 }
 
-// Signing returns the newest key that every daemon has had time to learn.
-func (k *Keyring) Signing() (Key, error) {
+// SigningKey returns the newest key that is at least KeyPropagationDelay old, or
+// the oldest key if none is. It returns a trace.NotFound error if there are no
+// keys.
+func (k *Keyring) SigningKey() (Key, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.clock.Now()
@@ -123,12 +132,12 @@
 		}
 	}
 	if len(k.keys) == 0 {
-		return Key{}, trace.NotFound("no signing key yet")
+		return Key{}, trace.NotFound("no signing key has been loaded yet")
 	}
 	return k.keys[0], nil
 }
 
-// Lookup returns a key by id.
+// Lookup returns the key with the given id, and false if there is none.
 func (k *Keyring) Lookup(id string) (Key, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -1,6 +1,7 @@
-// Package session signs and checks the tokens that callers carry: session
-// tokens, which keep a session on its version, and resume tokens, which let
-// any daemon continue a stream that was cut. Nothing is stored for either.
+// Package session signs and verifies the tokens that callers send with their
+// requests: session tokens, which keep the requests of a session on the same
+// model version, and resume tokens, with which any daemon can resume an
+// interrupted stream. The tokens contain all state; the daemons store none.
 package session
 
 import (
@@ -13,7 +14,8 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/config"
 )
 
-// Audiences keep one sort of token from being used as the other.
+// The audience claim prevents a session token from being accepted as a resume
+// token, and the reverse.
 const (
 	audienceSession = "session"
 	audienceResume  = "resume"
@@ -23,7 +25,8 @@
 type Session struct {
 	Organisation string            `json:"org"`
 	Version      config.VersionRef `json:"ver"`
-	// Started is when the session began.
+	// Started is the time at which the session began. It is sent as the
+	// issue time of the token.
 	Started time.Time `json:"-"`
 }
 
@@ -32,7 +35,7 @@
 	RequestID    string            `json:"req"`
 	Organisation string            `json:"org"`
 	Version      config.VersionRef `json:"ver"`
-	// Address is the upstream that runs the attempt.
+	// Address is the address of the upstream that runs the attempt.
 	Address string `json:"addr"`
 	Attempt string `json:"att"`
 	// Session is the session token of the request.
@@ -49,30 +52,32 @@
 	jwt.RegisteredClaims
 }
 
-// Signer signs and checks tokens with the keys of a Keyring.
+// Signer signs and verifies tokens with the keys of a Keyring.
 type Signer struct {
 	keys  *Keyring
 	clock clockwork.Clock
-	// lifetime of session tokens; resume tokens live as long.
+	// lifetime is the validity of session tokens and of resume tokens.
 	lifetime time.Duration
 }
 
-// NewSigner returns a signer whose tokens last for lifetime.
+// NewSigner returns a signer whose tokens are valid for lifetime.
 func NewSigner(keys *Keyring, clock clockwork.Clock, lifetime time.Duration) *Signer {
 	return &Signer{keys: keys, clock: clock, lifetime: lifetime}
 }
 
-// SignSession returns the token of s.
+// SignSession returns the signed session token of v. It expires after the
+// signer's lifetime, counted from v.Started.
 func (s *Signer) SignSession(v Session) (string, error) {
-	return s.sign(sessionClaims{Session: v, RegisteredClaims: s.registered(audienceSession, v.Started)})
+	return s.sign(sessionClaims{Session: v, RegisteredClaims: s.registeredClaims(audienceSession, v.Started)})
 }
 
-// SignResume returns the token of r.
+// SignResume returns the signed resume token of r. It expires after the signer's
+// lifetime, counted from now.
 func (s *Signer) SignResume(r Resume) (string, error) {
-	return s.sign(resumeClaims{Resume: r, RegisteredClaims: s.registered(audienceResume, s.clock.Now())})
+	return s.sign(resumeClaims{Resume: r, RegisteredClaims: s.registeredClaims(audienceResume, s.clock.Now())})
 }
 
-func (s *Signer) registered(audience string, start time.Time) jwt.RegisteredClaims {
+func (s *Signer) registeredClaims(audience string, start time.Time) jwt.RegisteredClaims {
 	return jwt.RegisteredClaims{
 		Audience:  jwt.ClaimStrings{audience},
 		IssuedAt:  jwt.NewNumericDate(start),
@@ -81,7 +86,7 @@
 }
 
 func (s *Signer) sign(claims jwt.Claims) (string, error) {
-	key, err := s.keys.Signing()
+	key, err := s.keys.SigningKey()
 	if err != nil {
 		return "", trace.Wrap(err)
 	}
@@ -91,25 +96,27 @@
 	return signed, trace.Wrap(err)
 }
 
-// ParseSession checks a session token.
+// ParseSession verifies a session token and returns its content.
 func (s *Signer) ParseSession(token string) (Session, error) {
 	var claims sessionClaims
-	if err := s.parse(token, audienceSession, &claims); err != nil {
+	if err := s.parseToken(token, audienceSession, &claims); err != nil {
 		return Session{}, err
 	}
 	claims.Session.Started = claims.IssuedAt.Time
 	return claims.Session, nil
 }
 
-// ParseResume checks a resume token.
+// ParseResume verifies a resume token and returns its content.
 func (s *Signer) ParseResume(token string) (Resume, error) {
 	var claims resumeClaims
-	err := s.parse(token, audienceResume, &claims)
+	err := s.parseToken(token, audienceResume, &claims)
 	return claims.Resume, err
 }
 
-func (s *Signer) parse(token, audience string, claims jwt.Claims) error {
-	_, err := jwt.ParseWithClaims(token, claims, s.secret,
+// parseToken verifies the signature, audience and validity period of token and
+// decodes its claims. It tolerates a clock difference of one minute.
+func (s *Signer) parseToken(token, audience string, claims jwt.Claims) error {
+	_, err := jwt.ParseWithClaims(token, claims, s.verificationKey,
 		jwt.WithValidMethods([]string{jwt.SigningMethodHS256.Alg()}),
 		jwt.WithAudience(audience),
 		jwt.WithIssuedAt(),
@@ -120,7 +127,9 @@
 	return trace.Wrap(err)
 }
 
-func (s *Signer) secret(t *jwt.Token) (any, error) {
+// verificationKey returns the secret of the key that t names in its header. It is
+// a jwt.Keyfunc.
+func (s *Signer) verificationKey(t *jwt.Token) (any, error) {
 	id, _ := t.Header["kid"].(string)
 	key, ok := s.keys.Lookup(id)
 	if !ok {
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -15,9 +15,10 @@
 
 var ctx = context.Background()
 
-// Many daemons start at once on an empty table. There is one key, not one for
-// each of them, and all know it.
-func TestOneFirstKey(t *testing.T) {
+// Many daemons start at once on an empty table. If each created a key of its
+// own, they would reject each other's tokens. Exactly one key must be created,
+// and all daemons must load it.
+func TestConcurrentStartCreatesOneKey(t *testing.T) {
 	store := backing.NewMemory()
 	rings := make([]*Keyring, 8)
 	var all sync.WaitGroup
@@ -33,8 +34,9 @@
 	}
 }
 
-// A token is checked: its signature, key, use, and end.
-func TestTokens(t *testing.T) {
+// A token must be rejected if its signature, key or audience is wrong, or if it
+// has expired.
+func TestTokenVerification(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	store := backing.NewMemory()
 	ring := NewKeyring(store, clock)
@@ -48,7 +50,7 @@
 	require.True(t, session.Started.Equal(got.Started))
 	require.Equal(t, session.Version, got.Version)
 	_, err = signer.ParseResume(token)
-	require.Error(t, err, "a session token is no resume token")
+	require.Error(t, err, "a session token is not a resume token")
 	resume, err := signer.SignResume(Resume{RequestID: "r"})
 	require.NoError(t, err)
 	_, err = signer.ParseSession(resume)
@@ -59,30 +61,31 @@
 	other := NewKeyring(backing.NewMemory(), clock)
 	require.NoError(t, other.Refresh(ctx))
 	_, err = NewSigner(other, clock, time.Hour).ParseSession(token)
-	require.Error(t, err, "signed by somebody else")
+	require.Error(t, err, "signed with an unknown key")
 
 	clock.Advance(time.Hour + 2*time.Minute)
 	_, err = signer.ParseSession(token)
 	require.Error(t, err, "ended")
 }
 
-// A key is rotated. Daemons that have not read it yet must not meet tokens
-// signed with it; old tokens stay good until the old key is dropped.
-func TestRotation(t *testing.T) {
+// A daemon that has not read a new key yet would reject tokens signed with it, so
+// the key must not be used for signing before KeyPropagationDelay. Tokens of the
+// old key must stay valid until that key is removed.
+func TestKeyRotation(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	store := backing.NewMemory()
 	ring := NewKeyring(store, clock)
 	require.NoError(t, ring.Refresh(ctx))
 	clock.Advance(SpreadTime)
-	first, err := ring.Signing()
+	first, err := ring.SigningKey()
 	require.NoError(t, err)
 	require.NoError(t, ring.Rotate(ctx, time.Hour))
 	require.NoError(t, ring.Refresh(ctx))
-	signing, err := ring.Signing()
+	signing, err := ring.SigningKey()
 	require.NoError(t, err)
-	require.Equal(t, first, signing, "the new key has not spread yet")
+	require.Equal(t, first, signing, "the new key is not used before the propagation delay")
 	clock.Advance(SpreadTime)
-	signing, err = ring.Signing()
+	signing, err = ring.SigningKey()
 	require.NoError(t, err)
 	require.NotEqual(t, first.ID, signing.ID)
 	_, known := ring.Lookup(first.ID)
@@ -92,5 +95,5 @@
 	require.NoError(t, ring.Refresh(ctx))
 	_, known = ring.Lookup(first.ID)
 	require.False(t, known)
-	require.Len(t, ring.Keys(), 2, "the newest before, and the new one")
+	require.Len(t, ring.Keys(), 2, "the previously newest key and the new one")
 }
