--- a/internal/ledger/archive.go
+++ b/internal/ledger/archive.go
@@ -15,15 +15,18 @@
 
 const (
 	archivePrefix = "ledger/archive/"
-	// archiveKeep is how many of the newest batches of a live log stay in the
-	// table, where holders that find their daemon dead look first.
+	// archiveKeepBatches is the number of newest batches that stay in the table
+	// if the log is not sealed. A peer that seals the log of a dead daemon
+	// reads these first.
 	archiveKeepBatches = 50
-	// archiveLeast and archiveMost bound the batches moved at once.
+	// archiveMinBatches and archiveMaxBatches bound the number of batches moved
+	// at once. The minimum does not apply to sealed logs.
 	archiveMinBatches = 100
 	archiveMaxBatches = 200
 )
 
-// archiveRow is the index row of batches that were moved to an object.
+// archiveRow is the index row of an archive object, which contains the bills of
+// the batches From to To.
 type archiveRow struct {
 	Object string `json:"object"`
 	From   int64  `json:"from"`
@@ -35,13 +38,14 @@
 	return fmt.Sprintf("%s%s/%012d", archivePrefix, incarnation, from)
 }
 
-// Archive moves old batches of an incarnation's log into one object and
-// returns how many.
+// Archive moves old batches of an incarnation's log into one object and returns
+// the number of batches.
 //
-// The object is written first. The transaction that deletes the batches puts
-// the index row in their place, on the condition that the log has not changed;
-// an archiver that was paused, or one of two, finds its condition failed, and
-// bills are always in exactly one of the two places.
+// It writes the object first. One transaction then deletes the batches and adds
+// the index row, on the condition that the head of the log has not changed.
+// This condition fails for a daemon that was paused meanwhile, and for one of
+// two that archive concurrently, so that every bill is always either in the
+// table or in an indexed object.
 func Archive(ctx context.Context, p backing.Platform, incarnation string) (int64, error) {
 	var h head
 	revision, err := backing.GetJSON(ctx, p, headPrefix+incarnation, &h)
@@ -81,7 +85,8 @@
 	return to - from + 1, nil
 }
 
-// archiveRange returns which batches may be moved, and whether it is worth it.
+// archiveRange returns the range of batches that may be moved, and whether there
+// are enough of them. Batches from the oldest open bill on are not moved.
 func archiveRange(h head) (from, to int64, due bool) {
 	from, to = h.ArchivedTo+1, h.Last
 	least := int64(1)
@@ -96,6 +101,7 @@
 	return from, to, to-from+1 >= least
 }
 
+// writeArchive writes bills to an object as compressed JSON.
 func writeArchive(ctx context.Context, objects backing.Objects, name string, bills []Bill) error {
 	var data bytes.Buffer
 	w := gzip.NewWriter(&data)
@@ -108,6 +114,7 @@
 	return trace.Wrap(objects.PutObject(ctx, name, data.Bytes()))
 }
 
+// readArchive reads an object that writeArchive wrote.
 func readArchive(ctx context.Context, objects backing.Objects, name string) ([]Bill, error) {
 	data, err := objects.GetObject(ctx, name)
 	if err != nil {
@@ -125,10 +132,10 @@
 	return bills, trace.Wrap(json.Unmarshal(text, &bills))
 }
 
-// archives lists the index rows below a prefix of their keys.
+// listArchives returns the index rows whose keys start with prefix.
 func listArchives(ctx context.Context, table backing.Table, prefix string) ([]archiveRow, error) {
-	const most = 1 << 20
-	rows, err := table.List(ctx, prefix, "", most)
+	const maxRows = 1 << 20
+	rows, err := table.List(ctx, prefix, "", maxRows)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -141,8 +148,9 @@
 	return out, nil
 }
 
-// ArchiveDue moves old batches of every log that has enough of them. Logs that
-// change meanwhile are left for the next time.
+// ArchiveDue archives old batches of every log that has enough of them, and
+// returns the number of batches moved. It skips logs that change meanwhile; a
+// later call archives those.
 func ArchiveDue(ctx context.Context, p backing.Platform) (int64, error) {
 	all, err := listHeads(ctx, p)
 	if err != nil {
--- a/internal/ledger/holdings.go
+++ b/internal/ledger/holdings.go
@@ -13,64 +13,69 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/upstream"
 )
 
-// usageGiveUp is how long a holder asks an upstream that does not answer
-// before it closes the bill without usage.
+// usageTimeout is the age of a bill, counted from its opening, from which on it
+// is closed without usage if the upstream does not respond.
 const usageTimeout = 10 * time.Minute
 
-// UsageReader asks an upstream what it ran for a request.
+// UsageReader reads from an upstream which work it did for a request.
 type UsageReader interface {
 	Usage(ctx context.Context, address, requestID string) (upstream.RequestUsage, error)
 }
 
-// held is a copy of another daemon's bill.
+// replica is a copy of another daemon's bill.
 type replica struct {
 	bill Bill
-	// after is the newest batch of the owner's log when the copy was first
-	// made; the bill can only be in later batches.
+	// after is the newest batch of the owner's log at the time of the first
+	// replication; only later batches can contain the bill.
 	after int64
 }
 
-// Holdings are the copies that this daemon holds for others.
+// ReplicaStore holds replicas of other daemons' uncommitted bills. It is safe for
+// concurrent use.
 //
-// Lock order: mu is taken alone; sealing works on a copy.
+// Lock order: no other lock is acquired while mu is held; Seal works on a copy
+// of the replicas.
 type Holdings struct {
 	self  string
 	table Store
 	usage UsageReader
 	clock clockwork.Clock
 
-	mu     sync.Mutex
+	mu sync.Mutex
+	// owners maps the incarnation that owns the bills to its replicas by
+	// request id.
 	owners map[string]map[string]replica
 }
 
-// NewHoldings returns empty holdings.
+// NewReplicaStore returns an empty store of the incarnation self.
 func NewHoldings(self string, table Store, usage UsageReader, clock clockwork.Clock) *Holdings {
 	return &Holdings{self: self, table: table, usage: usage, clock: clock, owners: map[string]map[string]replica{}}
 }
 
-// Hold takes copies. An open copy never replaces a final one, as messages may
-// arrive out of order.
+// Add adds or replaces replicas of the bills of owner. after is the newest batch
+// of the owner's log. An open bill never replaces a final one, because messages
+// may arrive out of order.
 func (h *Holdings) Hold(owner string, after int64, bills []Bill) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	copies := h.owners[owner]
-	if copies == nil {
-		copies = map[string]replica{}
-		h.owners[owner] = copies
+	replicas := h.owners[owner]
+	if replicas == nil {
+		replicas = map[string]replica{}
+		h.owners[owner] = replicas
 	}
 	for _, b := range bills {
-		have, seen := copies[b.RequestID]
+		have, seen := replicas[b.RequestID]
 		if seen && have.bill.Final() && !b.Final() {
 			continue
 		}
 		if seen {
 			after = min(after, have.after)
 		}
-		copies[b.RequestID] = replica{bill: b, after: after}
+		replicas[b.RequestID] = replica{bill: b, after: after}
 	}
 }
 
-// Release drops copies that are committed or void.
+// Remove deletes replicas of bills that are committed or void.
 func (h *Holdings) Release(owner string, ids []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -82,7 +87,7 @@
 	}
 }
 
-// Owners returns the incarnations that this daemon holds copies of.
+// Owners returns the incarnations that own the replicated bills.
 func (h *Holdings) Owners() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -93,17 +98,18 @@
 	return out
 }
 
-// Len returns the number of copies.
+// Len returns the number of replicas.
 func (h *Holdings) Len() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := 0
-	for _, copies := range h.owners {
-		n += len(copies)
+	for _, replicas := range h.owners {
+		n += len(replicas)
 	}
 	return n
 }
 
+// replicasOf returns a copy of the replicas of owner's bills.
 func (h *Holdings) replicasOf(owner string) []replica {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -114,14 +120,15 @@
 	return out
 }
 
-// Seal appends to a dead incarnation's log what is missing from it: the
-// copies held here and the open bills committed there. It reports whether
-// nothing is left to do; bills whose work is still running upstream are left
-// for a later call.
+// Seal completes the log of a dead incarnation. It appends the final bills of
+// the replicas, and closes the open bills of the replicas and of the log. If all
+// are closed, it marks the log as sealed and returns true. Bills whose requests
+// still run at the upstream, or whose usage cannot be read yet, are left for a
+// later call.
 func (h *Holdings) Seal(ctx context.Context, owner string) (bool, error) {
-	copies := h.replicasOf(owner)
+	replicas := h.replicasOf(owner)
 	log := NewLog(h.table, owner, h.self)
-	log.StartAfter(lowestAfter(copies))
+	log.StartAfter(lowestAfter(replicas))
 	if err := log.Sync(ctx); err != nil {
 		return false, trace.Wrap(err)
 	}
@@ -133,7 +140,7 @@
 	for _, b := range open {
 		bills[b.RequestID] = b
 	}
-	for _, c := range copies {
+	for _, c := range replicas {
 		bills[c.bill.RequestID] = c.bill
 	}
 	final, running := h.closeOpenBills(ctx, log, bills)
@@ -144,7 +151,7 @@
 	for i, b := range final {
 		ids[i] = b.RequestID
 	}
-	for _, c := range copies {
+	for _, c := range replicas {
 		if log.closed(c.bill.RequestID) {
 			ids = append(ids, c.bill.RequestID)
 		}
@@ -156,17 +163,22 @@
 	return running == 0, nil
 }
 
-func lowestAfter(copies []replica) int64 {
-	if len(copies) == 0 {
+// lowestAfter returns the newest batch that cannot contain any of the bills; 0 if
+// there are none.
+func lowestAfter(replicas []replica) int64 {
+	if len(replicas) == 0 {
 		return 0
 	}
-	start := copies[0].after
-	for _, c := range copies {
+	start := replicas[0].after
+	for _, c := range replicas {
 		start = min(start, c.after)
 	}
 	return start
 }
 
+// closeOpenBills returns the bills that are final or can be closed, and the
+// number of those that have to stay open. It omits open bills that the log has
+// closed already.
 func (h *Holdings) closeOpenBills(ctx context.Context, log *Log, bills map[string]Bill) (final []Bill, running int) {
 	for _, b := range bills {
 		if b.Final() {
@@ -186,7 +198,8 @@
 	return final, running
 }
 
-// resolve closes an open bill by asking the upstream what it ran.
+// closeOpenBill closes an open bill according to the usage that the upstream
+// reports. It returns false if the bill has to stay open for now.
 func (h *Holdings) closeOpenBill(ctx context.Context, b Bill) (Bill, bool) {
 	now := h.clock.Now()
 	b.Closed = now
@@ -221,8 +234,8 @@
 	return b, true
 }
 
-// Abandoned returns the incarnations whose logs are not sealed and that are
-// not among the live ones.
+// UnsealedLogs returns the incarnations that are not live, and whose logs contain
+// open bills and are not sealed.
 func Abandoned(ctx context.Context, table backing.Table, live map[string]bool) ([]string, error) {
 	all, err := listHeads(ctx, table)
 	if err != nil {
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -13,52 +13,55 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/fault"
 )
 
-// Replicator copies uncommitted bills to peers.
+// Replicator replicates uncommitted bills to peers.
 type Replicator interface {
-	// Hold returns nil once enough peers hold the bills. after is the newest
-	// batch of the owner's log.
+	// Replicate returns nil once enough peers hold replicas of the bills. after
+	// is the newest batch of the owner's log.
 	Hold(ctx context.Context, owner string, after int64, bills []Bill) error
-	// Release tells the peers that the bills are committed or void.
+	// Release makes the peers delete their replicas of bills that are committed
+	// or void.
 	Release(ctx context.Context, owner string, ids []string)
-	// Epoch changes whenever the peers that hold bills change.
+	// Epoch returns a number that changes whenever the set of peers that hold
+	// replicas changes.
 	Epoch() uint64
 }
 
 // Options are the settings of a Ledger.
 type Options struct {
-	// CommitInterval returns the time between commits.
+	// CommitInterval returns the time to wait until the next commit.
 	CommitInterval func() time.Duration
-	// MaxPending bounds the uncommitted bills; more work is refused.
+	// MaxPending bounds the number of uncommitted bills. Open fails beyond it.
 	MaxPending int
-	// HoldTimeout bounds one copy to the peers.
+	// ReplicationTimeout bounds one call of Replicator.Replicate.
 	HoldTimeout time.Duration
 }
 
-// holdWorkers is how many copies to the peers run at once, so that one slow
-// peer does not hold up every request.
+// replicationWorkers is the number of concurrent calls of Replicator.Replicate.
+// With more than one, a slow peer does not delay every request.
 const replicationWorkers = 4
 
-// entry is an uncommitted bill.
+// pendingBill is a bill that is not final in the table yet.
 type pendingBill struct {
 	bill Bill
-	// order keeps the commits in the order of opening.
+	// order numbers the bills by their opening; they are committed in this order.
 	order int64
-	// held is true when peers have a copy of the newest state.
-	held bool
-	// committed is true when the table has the bill as open.
+	// replicated is true if enough peers hold a replica of the current bill.
+	replicated bool
+	// committed is true if the table contains the bill in state Open.
 	committed bool
 }
 
-// holdRequest asks for one bill to be made durable.
+// replicationRequest is a request to make one bill durable; done receives the
+// result.
 type replicationRequest struct {
 	id   string
 	done chan error
 }
 
-// Ledger bills the requests of one daemon.
+// Ledger bills the requests of one daemon. It is safe for concurrent use.
 //
-// Lock order: logMu before mu. Neither is held while peers are called; logMu
-// is held while the table is written.
+// Lock order: logMu before mu. Neither is held during calls to peers; logMu is
+// held while the table is written.
 type Ledger struct {
 	self                string
 	peers               Replicator
@@ -76,7 +79,8 @@
 	replicatedEpoch uint64
 }
 
-// New returns the ledger of the daemon self.
+// New returns the ledger of the incarnation self. Its methods need Run to be
+// running.
 func New(self string, table Store, peers Replicator, clock clockwork.Clock, options Options) *Ledger {
 	return &Ledger{
 		self:                self,
@@ -89,15 +93,16 @@
 	}
 }
 
-// Open records a request that is about to be dispatched. When it returns nil
-// the bill survives this daemon; on an error nothing may be dispatched.
+// Open records the bill of a request that is about to be dispatched. If it
+// returns nil, the bill is durable: it survives a crash of this daemon. If it
+// returns an error, the request must not be dispatched.
 //
-// Without this a daemon that dies after dispatch would leave work that ran
-// and that nobody bills.
+// Otherwise the work of a daemon that crashes after the dispatch would never be
+// billed.
 func (l *Ledger) Open(ctx context.Context, b Bill) error {
 	b.State = Open
 	if !l.put(b, true) {
-		return fault.New(fault.StoreUnavailable, "too many bills wait for the store")
+		return fault.New(fault.StoreUnavailable, "too many bills are waiting to be committed to the store")
 	}
 	if err := l.makeDurable(ctx, b.RequestID); err != nil {
 		l.Void(b.RequestID)
@@ -106,8 +111,8 @@
 	return nil
 }
 
-// Update records a change of an open bill, such as a new attempt, with the
-// promise of Open.
+// Update records a change of an open bill, such as a new attempt. If it returns
+// nil, the change is durable.
 func (l *Ledger) Update(ctx context.Context, b Bill) error {
 	l.put(b, false)
 	if err := l.makeDurable(ctx, b.RequestID); err != nil {
@@ -116,9 +121,9 @@
 	return nil
 }
 
-// Close makes a bill final. It waits until the final state survives this
-// daemon, or until ctx ends: the open bill is durable already, and whoever
-// finds it after a crash asks the upstream for the usage.
+// Close records the final state of a bill, and waits until it is durable or ctx
+// ends. A failure is only logged: the open bill is durable already, and after a
+// crash a peer closes it with the usage that the upstream reports.
 func (l *Ledger) Close(ctx context.Context, b Bill) {
 	b.Closed = l.clock.Now()
 	l.put(b, false)
@@ -127,7 +132,7 @@
 	}
 }
 
-// Void withdraws an opened bill of a request that was not run.
+// Void cancels the open bill of a request that was not run.
 func (l *Ledger) Void(id string) {
 	l.mu.Lock()
 	e, ok := l.entries[id]
@@ -144,6 +149,8 @@
 	}
 }
 
+// put adds or replaces a pending bill. It returns false if isNew is set and
+// MaxPending is reached.
 func (l *Ledger) put(b Bill, isNew bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -157,10 +164,12 @@
 		l.entries[b.RequestID] = e
 	}
 	e.bill = b
-	e.held = false
+	e.replicated = false
 	return true
 }
 
+// makeDurable waits until the pending bill id is replicated or committed, or
+// until ctx ends.
 func (l *Ledger) makeDurable(ctx context.Context, id string) error {
 	request := replicationRequest{id: id, done: make(chan error, 1)}
 	select {
@@ -176,7 +185,7 @@
 	}
 }
 
-// Run copies and commits bills until ctx ends.
+// Run replicates and commits bills until ctx ends.
 func (l *Ledger) Run(ctx context.Context) {
 	var workers sync.WaitGroup
 	for range replicationWorkers {
@@ -186,6 +195,7 @@
 	workers.Wait()
 }
 
+// replicationLoop processes replication requests until ctx ends.
 func (l *Ledger) replicationLoop(ctx context.Context) {
 	for {
 		select {
@@ -201,7 +211,8 @@
 	}
 }
 
-// collect takes what else is waiting, so that one message serves many bills.
+// collectRequests returns first and up to MaxBatch-1 other waiting requests, so
+// that one message to a peer carries many bills.
 func (l *Ledger) collectRequests(first replicationRequest) []replicationRequest {
 	requests := []replicationRequest{first}
 	for len(requests) < MaxBatch {
@@ -215,7 +226,8 @@
 	return requests
 }
 
-// hold makes bills durable at the peers or, failing that, in the table.
+// replicate sends the requested bills to the peers. If that fails, it commits
+// them to the table instead.
 func (l *Ledger) replicate(ctx context.Context, requests []replicationRequest) error {
 	ids := make([]string, len(requests))
 	for i, r := range requests {
@@ -225,8 +237,8 @@
 	if len(bills) == 0 {
 		return nil
 	}
-	held, cancel := context.WithTimeout(ctx, l.options.HoldTimeout)
-	err := l.peers.Hold(held, l.self, after, bills)
+	replicationCtx, cancel := context.WithTimeout(ctx, l.options.HoldTimeout)
+	err := l.peers.Hold(replicationCtx, l.self, after, bills)
 	cancel()
 	if err != nil {
 		return l.commitBills(ctx, ids)
@@ -235,6 +247,8 @@
 	return nil
 }
 
+// currentBills returns those of the given bills that are pending, and the newest
+// batch of the log.
 func (l *Ledger) currentBills(ids []string) ([]Bill, int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -247,17 +261,21 @@
 	return bills, l.lastBatch
 }
 
+// markReplicated marks the bills as replicated, except those whose state or
+// attempt has changed since they were sent.
 func (l *Ledger) markReplicated(bills []Bill) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, b := range bills {
 		e, ok := l.entries[b.RequestID]
 		if ok && e.bill.State == b.State && e.bill.Attempt == b.Attempt {
-			e.held = true
+			e.replicated = true
 		}
 	}
 }
 
+// commitLoop commits bills in intervals and replicates missing ones until ctx
+// ends.
 func (l *Ledger) commitLoop(ctx context.Context) {
 	for {
 		select {
@@ -272,23 +290,24 @@
 	}
 }
 
-// refreshCopies sends every uncommitted bill again after the set of peers
-// that hold copies changed; the new ones have none yet.
+// replicateMissing replicates the pending bills that are not replicated yet.
+// After a change of the set of peers it replicates all of them, because the new
+// peers hold no replicas.
 func (l *Ledger) replicateMissing(ctx context.Context) {
 	epoch := l.peers.Epoch()
 	l.mu.Lock()
 	changed := epoch != l.replicatedEpoch
 	var bills []Bill
 	for _, e := range l.entries {
-		if changed || !e.held {
+		if changed || !e.replicated {
 			bills = append(bills, e.bill)
 		}
 	}
 	after := l.lastBatch
 	l.mu.Unlock()
 	for chunk := range slices.Chunk(bills, MaxBatch) {
-		held, cancel := context.WithTimeout(ctx, l.options.HoldTimeout)
-		err := l.peers.Hold(held, l.self, after, chunk)
+		replicationCtx, cancel := context.WithTimeout(ctx, l.options.HoldTimeout)
+		err := l.peers.Hold(replicationCtx, l.self, after, chunk)
 		cancel()
 		if err != nil {
 			return
@@ -300,14 +319,14 @@
 	l.mu.Unlock()
 }
 
-// Commit writes all final bills to the table, and open ones that no peer
-// holds.
+// Commit writes to the table all final bills, and those open bills that are
+// neither replicated nor committed.
 func (l *Ledger) Commit(ctx context.Context) error {
 	for {
 		l.mu.Lock()
 		var due []*pendingBill
 		for _, e := range l.entries {
-			if e.bill.Final() || (!e.held && !e.committed) {
+			if e.bill.Final() || (!e.replicated && !e.committed) {
 				due = append(due, e)
 			}
 		}
@@ -327,13 +346,12 @@
 	}
 }
 
-// commitBills writes the bills with these ids that are still uncommitted.
+// commitBills writes those of the given bills that are still pending.
 //
-// A regular commit and a bill that no peer could hold may reach this with the
-// same bill. The second writer must not go by what it saw before it waited for
-// the log: the bill would be written twice, and the organisation billed twice.
-// So the bills are looked up while the log is locked, and one committed
-// meanwhile is gone by then.
+// A regular commit and a failed replication may call it concurrently with the
+// same bill. The bills are therefore looked up only after logMu is acquired: a
+// final bill that the other call has committed is then no longer pending.
+// Otherwise it would be written twice and the organisation billed twice.
 func (l *Ledger) commitBills(ctx context.Context, ids []string) error {
 	l.logMu.Lock()
 	defer l.logMu.Unlock()
@@ -363,14 +381,14 @@
 	return nil
 }
 
-// Pending returns the number of bills that are not final in the table.
+// Pending returns the number of bills that are not final in the table yet.
 func (l *Ledger) Pending() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.entries)
 }
 
-// Find returns an uncommitted bill.
+// Find returns the pending bill of a request, and false if there is none.
 func (l *Ledger) Find(id string) (Bill, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -18,7 +18,7 @@
 
 var ctx = context.Background()
 
-// engine is what an upstream says of a request.
+// usageByRequest is a UsageReader that returns the usage set for each request.
 type usageByRequest map[string]upstream.RequestUsage
 
 func (e usageByRequest) Usage(_ context.Context, _, id string) (upstream.RequestUsage, error) {
@@ -42,9 +42,9 @@
 }
 
 // A daemon is paused between opening a bill and sending the request. It is
-// taken for dead and, as the engine ran nothing, the bill is voided. Then it
-// wakes and sends the request after all: its own bill must still count.
-func TestVoidedWhilePausedThenRun(t *testing.T) {
+// considered dead, and a peer voids the bill because the upstream ran nothing.
+// The daemon then resumes and sends the request: its own bill must be listed.
+func TestOwnerBillReplacesVoidBill(t *testing.T) {
 	store := backing.NewMemory()
 	holder := NewHoldings("h", store, usageByRequest{}, clockwork.NewFakeClock())
 	holder.Hold("a", 0, []Bill{bill("a-1", Open)})
@@ -57,10 +57,11 @@
 	require.Equal(t, Answered, listBills(t, store)["a-1"].State)
 }
 
-// A paused daemon is taken for dead while a plain service works for it. The
-// holder cannot learn what ran and presumes a failure; the daemon wakes and
-// knows better.
-func TestPresumedBillIsReplacedOnce(t *testing.T) {
+// A daemon is paused while a plain service runs its request, and is considered
+// dead. A peer cannot read the usage from the service and presumes a failure.
+// After the daemon resumes, its own bill must replace the presumed one, and the
+// next seal must not add another.
+func TestOwnerBillReplacesPresumedBill(t *testing.T) {
 	store := backing.NewMemory()
 	holder := NewHoldings("h", store, usageByRequest{}, clockwork.NewFakeClock())
 	call := Bill{RequestID: "a-1", State: Open, Service: "folders", Upstream: "u"}
@@ -76,8 +77,9 @@
 	require.Equal(t, int64(7), listBills(t, store)["a-1"].Amount)
 }
 
-// Work still runs at the engine when its daemon is found dead. The bill waits
-// for the engine's count instead of being closed with nothing.
+// A request still runs at the upstream when its daemon is found dead. The bill
+// must stay open until the upstream reports the final usage; otherwise the
+// request would be billed with an amount of 0.
 func TestSealWaitsForRunningWork(t *testing.T) {
 	store := backing.NewMemory()
 	usage := usageByRequest{"a-1": {Attempts: 1, Running: true}}
@@ -94,10 +96,9 @@
 	require.Equal(t, int64(10), listBills(t, store)["a-1"].Amount)
 }
 
-// An owner and two holders append the same bills in any order, with commits
-// that are refused, lost on the way, or whose answers are lost, and an owner
-// that was only paused. Once all have got through, every request has exactly
-// one bill.
+// An owner that was only paused and two peers with replicas append the same bills
+// in any order, while commits are refused or their requests or responses are
+// lost. After all have succeeded, every request must have exactly one bill.
 func TestEachRequestIsBilledOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := backing.NewMemory()
@@ -153,17 +154,17 @@
 	})
 }
 
-// alone is a daemon without peers.
+// noPeers is the Replicator of a daemon without peers.
 type noPeers struct{}
 
 func (noPeers) Hold(context.Context, string, int64, []Bill) error { return errors.New("no peers") }
 func (noPeers) Release(context.Context, string, []string)         {}
 func (noPeers) Epoch() uint64                                     { return 0 }
 
-// A daemon without peers writes each closed bill at once, while its regular
-// commit has picked up the same bill. A publisher was billed twice: the second
-// writer did not look whether the first had written the bill meanwhile.
-func TestTwoCommitsAtOnceBillOnce(t *testing.T) {
+// A daemon without peers commits each closed bill immediately, while its regular
+// commit has selected the same bill. An organisation is billed twice if the
+// second writer does not check whether the first has written the bill meanwhile.
+func TestConcurrentCommitsBillOnce(t *testing.T) {
 	store := backing.NewMemory()
 	l := New("a", store, noPeers{}, clockwork.NewRealClock(), Options{
 		CommitInterval: func() time.Duration { return time.Microsecond }, MaxPending: 1000, HoldTimeout: time.Second,
@@ -189,10 +190,10 @@
 	require.Len(t, listBills(t, store), n)
 }
 
-// Old batches are moved to the object store while the owner goes on and a
-// holder seals; answers of the store are lost on the way. The ledger shows the
-// same bills throughout, each once.
-func TestArchivedBillsStayBilledOnce(t *testing.T) {
+// Old batches are archived while the owner continues to append, a response of the
+// store is lost, and a peer seals the log. List must return the same bills before
+// and after archiving, each once.
+func TestArchivedBillsAreListedOnce(t *testing.T) {
 	store := backing.NewMemory()
 	owner := NewLog(store, "a", "a")
 	n := 0
@@ -205,7 +206,7 @@
 	more(archiveMinBatches + archiveKeepBatches - 1)
 	moved, err := Archive(ctx, store, "a")
 	require.NoError(t, err)
-	require.Zero(t, moved, "not worth it yet")
+	require.Zero(t, moved, "fewer batches than the minimum")
 	more(1)
 	store.SetFault(func(p backing.FaultPoint) backing.FaultAction {
 		if p.Op == "commit" {
@@ -226,7 +227,7 @@
 	require.Equal(t, int64(archiveMinBatches), moved)
 	require.Len(t, listBills(t, store), n)
 
-	// The holder's copies are older than what is left in the table.
+	// The replicas are older than the batches that are left in the table.
 	holder := NewHoldings("h", store, usageByRequest{"a-1": {Attempts: 1, Finished: true}}, clockwork.NewFakeClock())
 	holder.Hold("a", 0, []Bill{bill("a-1", Open), bill("a-new", Answered)})
 	done, err := holder.Seal(ctx, "a")
--- a/internal/ledger/list.go
+++ b/internal/ledger/list.go
@@ -11,15 +11,17 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/backing"
 )
 
-// Entry is a bill with its place in a log.
+// Entry is a bill and the number of the batch that contains it. For an archived
+// bill, Batch is the last batch of its archive object.
 type Entry struct {
 	Bill
 	Batch int64 `json:"batch"`
 }
 
-// List reads all bills, final ones and those still open, over all logs. An
-// empty organisation is all organisations. A second settled bill of a request,
-// which would be a fault, is listed after the others and not hidden.
+// List returns the open and final bills of all logs, except void ones. An empty
+// organisation selects all organisations. If a request has a second settled
+// bill, which would be a fault of the ledger, that bill is listed after all
+// others rather than hidden.
 func List(ctx context.Context, store Store, organisation string) ([]Entry, error) {
 	l := billLister{bills: map[string]Entry{}}
 	archived, err := listArchives(ctx, store, archivePrefix)
@@ -39,13 +41,15 @@
 	return l.entries(organisation), nil
 }
 
-// lister collects bills in the order of their opening.
+// billLister merges the bills of all batches into one entry per request, in the
+// order in which the requests first occur.
 type billLister struct {
 	bills      map[string]Entry
 	order      []string
 	duplicates []Entry
 }
 
+// readTable adds the bills of the batches in the table.
 func (l *billLister) readTable(ctx context.Context, table backing.Table) error {
 	const page = 200
 	after := ""
@@ -72,6 +76,9 @@
 	}
 }
 
+// add adds the bills of one batch. A bill replaces an earlier one of the same
+// request that is not settled, except that an open bill replaces only an open
+// one.
 func (l *billLister) add(batch int64, bills []Bill) {
 	for _, bill := range bills {
 		have, seen := l.bills[bill.RequestID]
@@ -88,6 +95,7 @@
 	}
 }
 
+// entries returns the merged bills of an organisation and then the duplicates.
 func (l *billLister) entries(organisation string) []Entry {
 	var out []Entry
 	for _, id := range l.order {
--- a/internal/ledger/log.go
+++ b/internal/ledger/log.go
@@ -16,32 +16,33 @@
 const (
 	headPrefix  = "ledger/head/"
 	batchPrefix = "ledger/batch/"
-	// MaxBatch bounds the bills of one batch.
+	// MaxBatch is the maximum number of bills that a Ledger writes as one batch
+	// or sends to peers in one message.
 	MaxBatch = 500
 )
 
-// head is the row of an incarnation's log.
+// head is the stored row with the state of an incarnation's log.
 type head struct {
 	// Last is the number of the newest batch.
 	Last int64 `json:"last"`
 	// OpenFrom is the oldest batch with an open bill that no later batch
-	// closes; 0 when there is none.
+	// closes; 0 if there is none.
 	OpenFrom int64 `json:"open_from,omitempty"`
-	// Sealed is set by a holder once the incarnation was found dead and
-	// nothing was missing any more.
+	// Sealed is set by a peer after the incarnation died and all its bills are
+	// final in the log.
 	Sealed bool `json:"sealed,omitempty"`
-	// ArchivedTo is the newest batch that was moved to an object.
+	// ArchivedTo is the newest batch that was moved to an archive object.
 	ArchivedTo int64 `json:"archived_to,omitempty"`
 }
 
-// batch is one batch of bills.
+// batch is one batch of bills. Writer is the incarnation that wrote it.
 type batch struct {
 	Writer string
 	Bills  []Bill
 }
 
-// batchRow is a batch in the table. Bills of one daemon are much alike, so the
-// row is a small part of their JSON when it is compressed.
+// batchRow is the stored row of a batch. The bills are compressed because those
+// of one daemon are very similar: the row is much smaller than their JSON.
 type batchRow struct {
 	Writer string `json:"writer"`
 	Count  int    `json:"count"`
@@ -76,7 +77,8 @@
 	return trace.Wrap(json.NewDecoder(r).Decode(&b.Bills))
 }
 
-// RowSize returns the size of the row of a batch, for measurements.
+// RowSize returns the size in bytes of the row of a batch with the given bills.
+// It is used to measure the storage that the ledger needs.
 func RowSize(bills []Bill) int {
 	data, err := json.Marshal(batch{Bills: bills})
 	if err != nil {
@@ -89,14 +91,14 @@
 	return fmt.Sprintf("%s%s/%012d", batchPrefix, incarnation, n)
 }
 
-// Store is where logs are kept: batches in the table, older ones in objects.
+// Store stores the logs: recent batches in the table and older ones in objects.
 type Store interface {
 	backing.Table
 	backing.Objects
 }
 
-// Log appends to the log of one incarnation. It is not safe for concurrent
-// use.
+// Log reads and appends to the log of one incarnation. It is not safe for
+// concurrent use.
 type Log struct {
 	table       Store
 	incarnation string
@@ -106,14 +108,16 @@
 	revision int64
 	// open maps the request ids of committed open bills to their batch.
 	open map[string]int64
-	// settled has the ids of settled bills read from batches of other writers,
-	// and presumed those of bills that a settled one may still replace.
+	// settled contains the request ids of settled bills that were read from the
+	// log, and presumed those of void and presumed bills, which a settled bill
+	// may still replace. The owner's own bills are removed after each Append;
+	// see forgetOwn.
 	settled  map[string]bool
 	presumed map[string]bool
 }
 
-// NewLog returns a writer for incarnation's log. writer is the incarnation
-// that writes.
+// NewLog returns a Log for the log of incarnation. writer is the incarnation that
+// appends: the same one, or a peer that seals the log.
 func NewLog(table Store, incarnation, writer string) *Log {
 	return &Log{
 		table:       table,
@@ -125,14 +129,15 @@
 	}
 }
 
-// StartAfter makes the log treat batches up to n as read. It is used by a
-// holder whose records all came after batch n.
+// StartAfter makes the log treat batches up to n as read. A peer calls it if its
+// replicas can only be in batches after n. Sync still reads earlier batches from
+// the oldest open bill on.
 func (l *Log) StartAfter(n int64) { l.head.Last = n }
 
-// Last returns the number of the newest batch known.
+// Last returns the number of the newest batch that was read or written.
 func (l *Log) Last() int64 { return l.head.Last }
 
-// Sync reads the batches that others wrote.
+// Sync reads the batches that other writers appended since the last call.
 func (l *Log) Sync(ctx context.Context) error {
 	var h head
 	revision, err := backing.GetJSON(ctx, l.table, headPrefix+l.incarnation, &h)
@@ -178,6 +183,8 @@
 	return nil
 }
 
+// recordBills updates the sets of open, settled and presumed bills by those of
+// batch n.
 func (l *Log) recordBills(n int64, bills []Bill) {
 	for _, b := range bills {
 		switch {
@@ -193,10 +200,11 @@
 	}
 }
 
-// closed reports whether a final bill of the request was read.
+// closed reports whether the log contains a final bill of the request, as far as
+// settled and presumed record it.
 func (l *Log) closed(id string) bool { return l.settled[id] || l.presumed[id] }
 
-// OpenBills returns the committed bills that are still open.
+// OpenBills returns the bills that are open in the log.
 func (l *Log) OpenBills(ctx context.Context) ([]Bill, error) {
 	var out []Bill
 	batches := map[int64]bool{}
@@ -217,13 +225,14 @@
 	return out, nil
 }
 
-// Append writes bills as one batch, leaving out what is billed already. seal
-// marks the log as complete.
+// Append writes bills as one batch, except those that the log already contains.
+// If seal is true, it marks the log as sealed.
 //
-// A batch is conditional on the revision of the head, which every batch
-// changes. So a repeat after a lost answer, a second holder, or a paused
-// owner that wakes up all fail their condition, read what was written
-// meanwhile, and leave out what it bills; a bill is never written twice.
+// The write is conditional on the revision of the head, which every batch
+// changes. The condition fails for a retry after a lost response, for a second
+// peer that seals the log, and for an owner that was paused. Each of them then
+// reads the batches written meanwhile and leaves out their bills, so that no
+// bill is written twice.
 func (l *Log) Append(ctx context.Context, bills []Bill, seal bool) error {
 	for {
 		pending := l.unbilled(bills)
@@ -253,12 +262,13 @@
 			return trace.Wrap(err)
 		}
 		if l.revision == before {
-			return trace.ConnectionProblem(err, "the batch may still be on its way")
+			return trace.ConnectionProblem(err, "the outcome of the batch write is unknown; the store may still apply it")
 		}
 	}
 }
 
-// unbilled leaves out what earlier batches bill.
+// unbilled returns the bills that the log does not contain yet, or of which it
+// contains only a version that they may replace.
 func (l *Log) unbilled(bills []Bill) []Bill {
 	var out []Bill
 	for _, b := range bills {
@@ -273,8 +283,9 @@
 	return out
 }
 
-// forget drops the ids that this writer itself finalised: it will not offer
-// them again.
+// forgetOwn removes the request ids of bills that the owner of the log has written
+// itself from settled and presumed. The owner does not append them again, so
+// keeping them would only use memory.
 func (l *Log) forgetOwn(bills []Bill) {
 	if l.writer != l.incarnation {
 		return
@@ -285,6 +296,7 @@
 	}
 }
 
+// nextHead returns the head after a batch with the pending bills.
 func (l *Log) nextHead(pending []Bill, seal bool) head {
 	next := head{Last: l.head.Last + 1, Sealed: seal, ArchivedTo: l.head.ArchivedTo}
 	closing := map[string]bool{}
@@ -303,7 +315,7 @@
 	return next
 }
 
-// heads returns the heads of all logs by incarnation.
+// listHeads returns the heads of all logs by incarnation.
 func listHeads(ctx context.Context, table backing.Table) (map[string]head, error) {
 	rows, err := table.List(ctx, headPrefix, "", 1<<20)
 	if err != nil {
