--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -229,8 +229,8 @@
 	}
 }
 
-// Take handles the request of the daemon asker to become the owner of key. If
-// it returns Granted, the key's entry here is a tombstone.
+// Take handles the request of the daemon newOwner to take over key. If it returns
+// Granted, the key's entry here is a tombstone.
 //
 // The tombstone is written in the same critical section as the decision to
 // grant the key. Otherwise a request with the same key that arrives here in
@@ -238,11 +238,11 @@
 // twice. A repeated Take by the same daemon is granted again, because the
 // response to the first one may have been lost and no other daemon can own the
 // key.
-func (t *Table) Take(key Key, home Home, digest, asker string) Result {
+func (t *Table) Take(key Key, home Home, digest, newOwner string) Result {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	entry := t.entries[key]
-	if entry.State == Moved && entry.MovedTo == asker {
+	if entry.State == Moved && entry.MovedTo == newOwner {
 		return Result{Outcome: Granted}
 	}
 	if entry.State != Absent {
@@ -251,7 +251,7 @@
 	if t.isExpired(home) {
 		return Result{Outcome: Expired}
 	}
-	t.entries[key] = Entry{State: Moved, Digest: digest, MovedTo: asker, Until: expiry(home)}
+	t.entries[key] = Entry{State: Moved, Digest: digest, MovedTo: newOwner, Until: expiry(home)}
 	return Result{Outcome: Granted}
 }
 
--- a/internal/claim/resolver.go
+++ b/internal/claim/resolver.go
@@ -20,9 +20,9 @@
 	maxHops = 8
 )
 
-// KeyTaker requests ownership of a key from the daemon that acts as the given incarnation: the
-// incarnation itself or its successor. It returns a fault.KeyUnsettled error if
-// that daemon cannot be reached.
+// KeyTaker requests ownership of a key from the daemon that acts as the given
+// incarnation: the incarnation itself or its successor. It returns a
+// fault.KeyUnsettled error if that daemon cannot be reached.
 type Asker interface {
 	Take(ctx context.Context, incarnation string, key Key, home Home, digest string) (Result, error)
 }
@@ -36,17 +36,17 @@
 // Resolver decides whether a request with an idempotency key may run at this
 // daemon. It contacts the key's owner where necessary.
 type Resolver struct {
-	self  string
-	table *Table
-	store backing.Table
-	asker Asker
-	clock clockwork.Clock
+	self     string
+	table    *Table
+	store    backing.Table
+	keyTaker Asker
+	clock    clockwork.Clock
 }
 
 // NewResolver returns a resolver for the incarnation self. store records the
 // homes of keys without a prefix.
-func NewResolver(self string, table *Table, store backing.Table, asker Asker, clock clockwork.Clock) *Resolver {
-	return &Resolver{self: self, table: table, store: store, asker: asker, clock: clock}
+func NewResolver(self string, table *Table, store backing.Table, keyTaker Asker, clock clockwork.Clock) *Resolver {
+	return &Resolver{self: self, table: table, store: store, keyTaker: keyTaker, clock: clock}
 }
 
 // Decision is the result of Resolver.Resolve.
@@ -56,7 +56,7 @@
 	// RequestID identifies the earlier request with the key if Run is false.
 	// The caller gets the answer of that request.
 	RequestID string
-	// Owner is the incarnation that reported the earlier request.
+	// Owner is the incarnation that was asked and reported the earlier request.
 	Owner string
 }
 
@@ -90,7 +90,7 @@
 			// with the key in the table.
 			return Decision{Run: true}, nil
 		}
-		result, err := r.asker.Take(ctx, at, key, home, digest)
+		result, err := r.keyTaker.Take(ctx, at, key, home, digest)
 		if err != nil {
 			return Decision{}, err
 		}
--- a/internal/ledger/holdings.go
+++ b/internal/ledger/holdings.go
@@ -26,7 +26,8 @@
 type replica struct {
 	bill Bill
 	// after is the newest batch of the owner's log at the time of the first
-	// replication; only later batches can contain the bill.
+	// replication. The bill was not final then, so only later batches can
+	// contain its final version.
 	after int64
 }
 
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -132,7 +132,8 @@
 	}
 }
 
-// Void cancels the open bill of a request that was not run.
+// Void cancels the open bill of a request that was not run. If the table already
+// contains the bill, the next commit closes it with a void one.
 func (l *Ledger) Void(id string) {
 	l.mu.Lock()
 	e, ok := l.entries[id]
@@ -274,7 +275,7 @@
 	}
 }
 
-// commitLoop commits bills in intervals and replicates missing ones until ctx
+// commitLoop commits bills at intervals and replicates missing ones until ctx
 // ends.
 func (l *Ledger) commitLoop(ctx context.Context) {
 	for {
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -46,9 +46,9 @@
 // The daemon then resumes and sends the request: its own bill must be listed.
 func TestOwnerBillReplacesVoidBill(t *testing.T) {
 	store := backing.NewMemory()
-	holder := NewHoldings("h", store, usageByRequest{}, clockwork.NewFakeClock())
-	holder.Hold("a", 0, []Bill{bill("a-1", Open)})
-	done, err := holder.Seal(ctx, "a")
+	replicas := NewHoldings("h", store, usageByRequest{}, clockwork.NewFakeClock())
+	replicas.Hold("a", 0, []Bill{bill("a-1", Open)})
+	done, err := replicas.Seal(ctx, "a")
 	require.NoError(t, err)
 	require.True(t, done)
 	require.Empty(t, listBills(t, store))
@@ -63,16 +63,16 @@
 // next seal must not add another.
 func TestOwnerBillReplacesPresumedBill(t *testing.T) {
 	store := backing.NewMemory()
-	holder := NewHoldings("h", store, usageByRequest{}, clockwork.NewFakeClock())
+	replicas := NewHoldings("h", store, usageByRequest{}, clockwork.NewFakeClock())
 	call := Bill{RequestID: "a-1", State: Open, Service: "folders", Upstream: "u"}
-	holder.Hold("a", 0, []Bill{call})
-	_, err := holder.Seal(ctx, "a")
+	replicas.Hold("a", 0, []Bill{call})
+	_, err := replicas.Seal(ctx, "a")
 	require.NoError(t, err)
 	require.Equal(t, Failed, listBills(t, store)["a-1"].State)
 	owner := NewLog(store, "a", "a")
 	call.State, call.Amount = Answered, 7
 	require.NoError(t, owner.Append(ctx, []Bill{call}, false))
-	_, err = holder.Seal(ctx, "a")
+	_, err = replicas.Seal(ctx, "a")
 	require.NoError(t, err)
 	require.Equal(t, int64(7), listBills(t, store)["a-1"].Amount)
 }
@@ -83,14 +83,14 @@
 func TestSealWaitsForRunningWork(t *testing.T) {
 	store := backing.NewMemory()
 	usage := usageByRequest{"a-1": {Attempts: 1, Running: true}}
-	holder := NewHoldings("h", store, usage, clockwork.NewFakeClock())
-	holder.Hold("a", 0, []Bill{bill("a-1", Open)})
-	done, err := holder.Seal(ctx, "a")
+	replicas := NewHoldings("h", store, usage, clockwork.NewFakeClock())
+	replicas.Hold("a", 0, []Bill{bill("a-1", Open)})
+	done, err := replicas.Seal(ctx, "a")
 	require.NoError(t, err)
 	require.False(t, done)
 	require.Empty(t, listBills(t, store))
 	usage["a-1"] = upstream.RequestUsage{Attempts: 1, Finished: true, Usage: upstream.Usage{CompletionTokens: 5}}
-	done, err = holder.Seal(ctx, "a")
+	done, err = replicas.Seal(ctx, "a")
 	require.NoError(t, err)
 	require.True(t, done)
 	require.Equal(t, int64(10), listBills(t, store)["a-1"].Amount)
@@ -113,7 +113,7 @@
 		usage := usageByRequest{}
 		clock := clockwork.NewFakeClock()
 		owner := NewLog(store, "a", "a")
-		holders := []*Holdings{NewHoldings("h1", store, usage, clock), NewHoldings("h2", store, usage, clock)}
+		replicaStores := []*Holdings{NewHoldings("h1", store, usage, clock), NewHoldings("h2", store, usage, clock)}
 		var pending []Bill
 		n := 0
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
@@ -126,7 +126,7 @@
 				if rapid.Bool().Draw(t, "copy is open") {
 					copied.State = Open
 				}
-				for _, h := range holders {
+				for _, h := range replicaStores {
 					h.Hold("a", owner.Last(), []Bill{copied})
 				}
 				pending = append(pending, b)
@@ -135,14 +135,14 @@
 					pending = nil
 				}
 			case "seal":
-				_, _ = holders[rapid.IntRange(0, 1).Draw(t, "holder")].Seal(ctx, "a")
+				_, _ = replicaStores[rapid.IntRange(0, 1).Draw(t, "holder")].Seal(ctx, "a")
 			}
 		}
 		store.SetFault(nil)
 		if err := owner.Append(ctx, pending, false); err != nil {
 			t.Fatal(err)
 		}
-		for _, h := range holders {
+		for _, h := range replicaStores {
 			if _, err := h.Seal(ctx, "a"); err != nil {
 				t.Fatal(err)
 			}
@@ -228,9 +228,9 @@
 	require.Len(t, listBills(t, store), n)
 
 	// The replicas are older than the batches that are left in the table.
-	holder := NewHoldings("h", store, usageByRequest{"a-1": {Attempts: 1, Finished: true}}, clockwork.NewFakeClock())
-	holder.Hold("a", 0, []Bill{bill("a-1", Open), bill("a-new", Answered)})
-	done, err := holder.Seal(ctx, "a")
+	replicas := NewHoldings("h", store, usageByRequest{"a-1": {Attempts: 1, Finished: true}}, clockwork.NewFakeClock())
+	replicas.Hold("a", 0, []Bill{bill("a-1", Open), bill("a-new", Answered)})
+	done, err := replicas.Seal(ctx, "a")
 	require.NoError(t, err)
 	require.True(t, done)
 	require.Len(t, listBills(t, store), n+1)
