--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -18,10 +18,10 @@
 
 var ctx = context.Background()
 
-// engine is what an upstream says of a request.
-type engine map[string]upstream.RequestUsage
+// usageByRequest is a UsageReader that returns the usage set for each request.
+type usageByRequest map[string]upstream.RequestUsage
 
-func (e engine) Usage(_ context.Context, _, id string) (upstream.RequestUsage, error) {
+func (e usageByRequest) Usage(_ context.Context, _, id string) (upstream.RequestUsage, error) {
 	return e[id], nil
 }
 
@@ -29,7 +29,7 @@
 	return Bill{RequestID: id, State: state, Upstream: "u", OutputPrice: 2}
 }
 
-func listed(t *testing.T, store Store) map[string]Entry {
+func listBills(t *testing.T, store Store) map[string]Entry {
 	t.Helper()
 	rows, err := List(ctx, store, "")
 	require.NoError(t, err)
@@ -42,62 +42,63 @@
 }
 
 // A daemon is paused between opening a bill and sending the request. It is
-// taken for dead and, as the engine ran nothing, the bill is voided. Then it
-// wakes and sends the request after all: its own bill must still count.
-func TestVoidedWhilePausedThenRun(t *testing.T) {
+// considered dead, and a peer voids the bill because the upstream ran nothing.
+// The daemon then resumes and sends the request: its own bill must be listed.
+func TestOwnerBillReplacesVoidBill(t *testing.T) {
 	store := backing.NewMemory()
-	holder := NewHoldings("h", store, engine{}, clockwork.NewFakeClock())
-	holder.Hold("a", 0, []Bill{bill("a-1", Open)})
-	done, err := holder.Seal(ctx, "a")
+	replicas := NewHoldings("h", store, usageByRequest{}, clockwork.NewFakeClock())
+	replicas.Hold("a", 0, []Bill{bill("a-1", Open)})
+	done, err := replicas.Seal(ctx, "a")
 	require.NoError(t, err)
 	require.True(t, done)
-	require.Empty(t, listed(t, store))
+	require.Empty(t, listBills(t, store))
 	owner := NewLog(store, "a", "a")
 	require.NoError(t, owner.Append(ctx, []Bill{bill("a-1", Answered)}, false))
-	require.Equal(t, Answered, listed(t, store)["a-1"].State)
+	require.Equal(t, Answered, listBills(t, store)["a-1"].State)
 }
 
-// A paused daemon is taken for dead while a plain service works for it. The
-// holder cannot learn what ran and presumes a failure; the daemon wakes and
-// knows better.
-func TestPresumedBillIsReplacedOnce(t *testing.T) {
+// A daemon is paused while a plain service runs its request, and is considered
+// dead. A peer cannot read the usage from the service and presumes a failure.
+// After the daemon resumes, its own bill must replace the presumed one, and the
+// next seal must not add another.
+func TestOwnerBillReplacesPresumedBill(t *testing.T) {
 	store := backing.NewMemory()
-	holder := NewHoldings("h", store, engine{}, clockwork.NewFakeClock())
+	replicas := NewHoldings("h", store, usageByRequest{}, clockwork.NewFakeClock())
 	call := Bill{RequestID: "a-1", State: Open, Service: "folders", Upstream: "u"}
-	holder.Hold("a", 0, []Bill{call})
-	_, err := holder.Seal(ctx, "a")
+	replicas.Hold("a", 0, []Bill{call})
+	_, err := replicas.Seal(ctx, "a")
 	require.NoError(t, err)
-	require.Equal(t, Failed, listed(t, store)["a-1"].State)
+	require.Equal(t, Failed, listBills(t, store)["a-1"].State)
 	owner := NewLog(store, "a", "a")
 	call.State, call.Amount = Answered, 7
 	require.NoError(t, owner.Append(ctx, []Bill{call}, false))
-	_, err = holder.Seal(ctx, "a")
+	_, err = replicas.Seal(ctx, "a")
 	require.NoError(t, err)
-	require.Equal(t, int64(7), listed(t, store)["a-1"].Amount)
+	require.Equal(t, int64(7), listBills(t, store)["a-1"].Amount)
 }
 
-// Work still runs at the engine when its daemon is found dead. The bill waits
-// for the engine's count instead of being closed with nothing.
+// A request still runs at the upstream when its daemon is found dead. The bill
+// must stay open until the upstream reports the final usage; otherwise the
+// request would be billed with an amount of 0.
 func TestSealWaitsForRunningWork(t *testing.T) {
 	store := backing.NewMemory()
-	usage := engine{"a-1": {Attempts: 1, Running: true}}
-	holder := NewHoldings("h", store, usage, clockwork.NewFakeClock())
-	holder.Hold("a", 0, []Bill{bill("a-1", Open)})
-	done, err := holder.Seal(ctx, "a")
+	usage := usageByRequest{"a-1": {Attempts: 1, Running: true}}
+	replicas := NewHoldings("h", store, usage, clockwork.NewFakeClock())
+	replicas.Hold("a", 0, []Bill{bill("a-1", Open)})
+	done, err := replicas.Seal(ctx, "a")
 	require.NoError(t, err)
 	require.False(t, done)
-	require.Empty(t, listed(t, store))
+	require.Empty(t, listBills(t, store))
 	usage["a-1"] = upstream.RequestUsage{Attempts: 1, Finished: true, Usage: upstream.Usage{CompletionTokens: 5}}
-	done, err = holder.Seal(ctx, "a")
+	done, err = replicas.Seal(ctx, "a")
 	require.NoError(t, err)
 	require.True(t, done)
-	require.Equal(t, int64(10), listed(t, store)["a-1"].Amount)
+	require.Equal(t, int64(10), listBills(t, store)["a-1"].Amount)
 }
 
-// An owner and two holders append the same bills in any order, with commits
-// that are refused, lost on the way, or whose answers are lost, and an owner
-// that was only paused. Once all have got through, every request has exactly
-// one bill.
+// An owner that was only paused and two peers with replicas append the same bills
+// in any order, while commits are refused or their requests or responses are
+// lost. After all have succeeded, every request must have exactly one bill.
 func TestEachRequestIsBilledOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := backing.NewMemory()
@@ -109,10 +110,10 @@
 				backing.FaultNone, backing.FaultNone, backing.FaultRefuse, backing.FaultLoseAnswer, backing.FaultLoseRequest,
 			}).Draw(t, "fault")
 		})
-		usage := engine{}
+		usage := usageByRequest{}
 		clock := clockwork.NewFakeClock()
 		owner := NewLog(store, "a", "a")
-		holders := []*Holdings{NewHoldings("h1", store, usage, clock), NewHoldings("h2", store, usage, clock)}
+		replicaStores := []*Holdings{NewHoldings("h1", store, usage, clock), NewHoldings("h2", store, usage, clock)}
 		var pending []Bill
 		n := 0
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
@@ -125,7 +126,7 @@
 				if rapid.Bool().Draw(t, "copy is open") {
 					copied.State = Open
 				}
-				for _, h := range holders {
+				for _, h := range replicaStores {
 					h.Hold("a", owner.Last(), []Bill{copied})
 				}
 				pending = append(pending, b)
@@ -134,14 +135,14 @@
 					pending = nil
 				}
 			case "seal":
-				_, _ = holders[rapid.IntRange(0, 1).Draw(t, "holder")].Seal(ctx, "a")
+				_, _ = replicaStores[rapid.IntRange(0, 1).Draw(t, "holder")].Seal(ctx, "a")
 			}
 		}
 		store.SetFault(nil)
 		if err := owner.Append(ctx, pending, false); err != nil {
 			t.Fatal(err)
 		}
-		for _, h := range holders {
+		for _, h := range replicaStores {
 			if _, err := h.Seal(ctx, "a"); err != nil {
 				t.Fatal(err)
 			}
@@ -153,19 +154,19 @@
 	})
 }
 
-// alone is a daemon without peers.
-type alone struct{}
+// noPeers is the Replicator of a daemon without peers.
+type noPeers struct{}
 
-func (alone) Hold(context.Context, string, int64, []Bill) error { return errors.New("no peers") }
-func (alone) Release(context.Context, string, []string)         {}
-func (alone) Epoch() uint64                                     { return 0 }
+func (noPeers) Hold(context.Context, string, int64, []Bill) error { return errors.New("no peers") }
+func (noPeers) Release(context.Context, string, []string)         {}
+func (noPeers) Epoch() uint64                                     { return 0 }
 
-// A daemon without peers writes each closed bill at once, while its regular
-// commit has picked up the same bill. A publisher was billed twice: the second
-// writer did not look whether the first had written the bill meanwhile.
-func TestTwoCommitsAtOnceBillOnce(t *testing.T) {
+// A daemon without peers commits each closed bill immediately, while its regular
+// commit has selected the same bill. An organisation is billed twice if the
+// second writer does not check whether the first has written the bill meanwhile.
+func TestConcurrentCommitsBillOnce(t *testing.T) {
 	store := backing.NewMemory()
-	l := New("a", store, alone{}, clockwork.NewRealClock(), Options{
+	l := New("a", store, noPeers{}, clockwork.NewRealClock(), Options{
 		CommitInterval: func() time.Duration { return time.Microsecond }, MaxPending: 1000, HoldTimeout: time.Second,
 	})
 	running, stop := context.WithCancel(ctx)
@@ -186,13 +187,13 @@
 	require.NoError(t, l.Commit(ctx))
 	stop()
 	loop.Wait()
-	require.Len(t, listed(t, store), n)
+	require.Len(t, listBills(t, store), n)
 }
 
-// Old batches are moved to the object store while the owner goes on and a
-// holder seals; answers of the store are lost on the way. The ledger shows the
-// same bills throughout, each once.
-func TestArchivedBillsStayBilledOnce(t *testing.T) {
+// Old batches are archived while the owner continues to append, a response of the
+// store is lost, and a peer seals the log. List must return the same bills before
+// and after archiving, each once.
+func TestArchivedBillsAreListedOnce(t *testing.T) {
 	store := backing.NewMemory()
 	owner := NewLog(store, "a", "a")
 	n := 0
@@ -202,10 +203,10 @@
 			require.NoError(t, owner.Append(ctx, []Bill{bill(fmt.Sprintf("a-%d", n), Answered)}, false))
 		}
 	}
-	more(archiveLeast + archiveKeep - 1)
+	more(archiveMinBatches + archiveKeepBatches - 1)
 	moved, err := Archive(ctx, store, "a")
 	require.NoError(t, err)
-	require.Zero(t, moved, "not worth it yet")
+	require.Zero(t, moved, "fewer batches than the minimum")
 	more(1)
 	store.SetFault(func(p backing.FaultPoint) backing.FaultAction {
 		if p.Op == "commit" {
@@ -216,24 +217,24 @@
 	_, err = Archive(ctx, store, "a")
 	require.Error(t, err)
 	store.SetFault(nil)
-	require.Len(t, listed(t, store), n)
+	require.Len(t, listBills(t, store), n)
 	rows, err := store.List(ctx, batchPrefix, "", 1000)
 	require.NoError(t, err)
-	require.Len(t, rows, archiveKeep)
-	more(archiveLeast)
+	require.Len(t, rows, archiveKeepBatches)
+	more(archiveMinBatches)
 	moved, err = ArchiveDue(ctx, store)
 	require.NoError(t, err)
-	require.Equal(t, int64(archiveLeast), moved)
-	require.Len(t, listed(t, store), n)
+	require.Equal(t, int64(archiveMinBatches), moved)
+	require.Len(t, listBills(t, store), n)
 
-	// The holder's copies are older than what is left in the table.
-	holder := NewHoldings("h", store, engine{"a-1": {Attempts: 1, Finished: true}}, clockwork.NewFakeClock())
-	holder.Hold("a", 0, []Bill{bill("a-1", Open), bill("a-new", Answered)})
-	done, err := holder.Seal(ctx, "a")
+	// The replicas are older than the batches that are left in the table.
+	replicas := NewHoldings("h", store, usageByRequest{"a-1": {Attempts: 1, Finished: true}}, clockwork.NewFakeClock())
+	replicas.Hold("a", 0, []Bill{bill("a-1", Open), bill("a-new", Answered)})
+	done, err := replicas.Seal(ctx, "a")
 	require.NoError(t, err)
 	require.True(t, done)
-	require.Len(t, listed(t, store), n+1)
+	require.Len(t, listBills(t, store), n+1)
 	_, err = ArchiveDue(ctx, store)
 	require.NoError(t, err)
-	require.Len(t, listed(t, store), n+1)
+	require.Len(t, listBills(t, store), n+1)
 }
--- a/internal/ledger/list.go
+++ b/internal/ledger/list.go
@@ -11,18 +11,20 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/backing"
 )
 
-// Entry is a bill with its place in a log.
+// Entry is a bill and the number of the batch that contains it. For an archived
+// bill, Batch is the last batch of its archive object.
 type Entry struct {
 	Bill
 	Batch int64 `json:"batch"`
 }
 
-// List reads all bills, final ones and those still open, over all logs. An
-// empty organisation is all organisations. A second settled bill of a request,
-// which would be a fault, is listed after the others and not hidden.
+// List returns the open and final bills of all logs, except void ones. An empty
+// organisation selects all organisations. If a request has a second settled
+// bill, which would be a fault of the ledger, that bill is listed after all
+// others rather than hidden.
 func List(ctx context.Context, store Store, organisation string) ([]Entry, error) {
-	l := lister{bills: map[string]Entry{}}
-	archived, err := archives(ctx, store, archivePrefix)
+	l := billLister{bills: map[string]Entry{}}
+	archived, err := listArchives(ctx, store, archivePrefix)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -39,14 +41,16 @@
 	return l.entries(organisation), nil
 }
 
-// lister collects bills in the order of their opening.
-type lister struct {
-	bills   map[string]Entry
-	order   []string
-	doubled []Entry
+// billLister merges the bills of all batches into one entry per request, in the
+// order in which the requests first occur.
+type billLister struct {
+	bills      map[string]Entry
+	order      []string
+	duplicates []Entry
 }
 
-func (l *lister) readTable(ctx context.Context, table backing.Table) error {
+// readTable adds the bills of the batches in the table.
+func (l *billLister) readTable(ctx context.Context, table backing.Table) error {
 	const page = 200
 	after := ""
 	for {
@@ -72,7 +76,10 @@
 	}
 }
 
-func (l *lister) add(batch int64, bills []Bill) {
+// add adds the bills of one batch. A bill replaces an earlier one of the same
+// request that is not settled, except that an open bill replaces only an open
+// one.
+func (l *billLister) add(batch int64, bills []Bill) {
 	for _, bill := range bills {
 		have, seen := l.bills[bill.RequestID]
 		entry := Entry{Bill: bill, Batch: batch}
@@ -81,29 +88,30 @@
 			l.order = append(l.order, bill.RequestID)
 			l.bills[bill.RequestID] = entry
 		case have.Settled() && bill.Settled():
-			l.doubled = append(l.doubled, entry)
+			l.duplicates = append(l.duplicates, entry)
 		case !have.Settled() && (bill.Final() || !have.Final()):
 			l.bills[bill.RequestID] = entry
 		}
 	}
 }
 
-func (l *lister) entries(organisation string) []Entry {
+// entries returns the merged bills of an organisation and then the duplicates.
+func (l *billLister) entries(organisation string) []Entry {
 	var out []Entry
 	for _, id := range l.order {
 		entry := l.bills[id]
-		if entry.State != Void && wanted(entry, organisation) {
+		if entry.State != Void && belongsTo(entry, organisation) {
 			out = append(out, entry)
 		}
 	}
-	for _, entry := range l.doubled {
-		if wanted(entry, organisation) {
+	for _, entry := range l.duplicates {
+		if belongsTo(entry, organisation) {
 			out = append(out, entry)
 		}
 	}
 	return out
 }
 
-func wanted(e Entry, organisation string) bool {
+func belongsTo(e Entry, organisation string) bool {
 	return organisation == "" || e.Organisation == organisation
 }
