--- a/internal/entry/beliefs.go
+++ b/internal/entry/beliefs.go
@@ -49,7 +49,7 @@
 func (n *Node) inForce() []Evacuation {
 	out := []Evacuation{}
 	for _, o := range n.evacuations.InForce() {
-		out = append(out, Evacuation{FailureDomain: o.FailureDomain, SinceMS: o.Age.Milliseconds(), Open: n.table.OpenIn(o.FailureDomain)})
+		out = append(out, Evacuation{FailureDomain: o.FailureDomain, SinceMS: o.Age.Milliseconds(), Open: n.table.OpenRequestsIn(o.FailureDomain)})
 	}
 	return out
 }
--- a/internal/entry/budget.go
+++ b/internal/entry/budget.go
@@ -11,17 +11,17 @@
 //
 // Daemons that are cut off from each other each see the others as gone, and choose owners
 // among those they reach. Each side shares out only its own part of the rate.
-func (n *Node) budgetShare(instance string, rate float64) pacing.Part {
+func (n *Node) budgetShare(instance string, rate float64) pacing.Share {
 	live := n.registry.Live()
 	rate *= float64(len(live)) / float64(len(live)+unreachable(n.registry.All()))
-	owners := pacing.Owners(rate, len(live))
+	owners := pacing.OwnerCount(rate, len(live))
 	own := n.registry.Self().Incarnation
 	first := n.registry.Firsts("budget/"+instance, owners, func(member.Daemon) bool { return true })
 	rank := slices.IndexFunc(first, func(d member.Daemon) bool { return d.Incarnation == own })
 	if rank < 0 {
-		return pacing.Part{}
+		return pacing.Share{}
 	}
-	return pacing.PartOf(rate, rank, owners)
+	return pacing.ShareOf(rate, rank, owners)
 }
 
 // unreachable is the number of daemons that do not answer and may still run: no other
--- a/internal/entry/crashes.go
+++ b/internal/entry/crashes.go
@@ -39,7 +39,7 @@
 
 	mu sync.Mutex
 	// broken are instances whose connections broke, until they have been looked at.
-	broken  map[inventory.Number][]quarantine.Suspect
+	broken  map[inventory.InstanceHash][]quarantine.Suspect
 	reports []*report
 	// waiting are requests whose next attempt waits for what is decided.
 	waiting map[quarantine.Digest][]chan struct{}
@@ -59,7 +59,7 @@
 
 func newCrashes(n *Node) *crashes {
 	return &crashes{
-		Node: n, news: make(chan struct{}, 1), broken: map[inventory.Number][]quarantine.Suspect{},
+		Node: n, news: make(chan struct{}, 1), broken: map[inventory.InstanceHash][]quarantine.Suspect{},
 		waiting: map[quarantine.Digest][]chan struct{}{}, telling: map[string]bool{},
 	}
 }
@@ -75,7 +75,7 @@
 		c.signal()
 		return decided
 	}
-	number := i.Number()
+	number := i.Hash()
 	first := c.broken[number] == nil
 	c.broken[number] = append(c.broken[number], s)
 	if first {
@@ -124,7 +124,7 @@
 		ended = c.pool.Ended(context.Background(), i.Address)
 	}
 	suspects := c.looked(i)
-	if !ended || c.table.Leaves(i.Life()) {
+	if !ended || c.table.IsLeaving(i.Incarnation()) {
 		c.goOn(quarantine.Digests(suspects))
 		return
 	}
@@ -141,15 +141,15 @@
 func (c *crashes) suspects(i inventory.Instance) []quarantine.Digest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return quarantine.Digests(c.broken[i.Number()])
+	return quarantine.Digests(c.broken[i.Hash()])
 }
 
 // looked ends the look at an instance and returns the requests whose connections broke.
 func (c *crashes) looked(i inventory.Instance) []quarantine.Suspect {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	suspects := c.broken[i.Number()]
-	delete(c.broken, i.Number())
+	suspects := c.broken[i.Hash()]
+	delete(c.broken, i.Hash())
 	return suspects
 }
 
@@ -175,7 +175,7 @@
 
 func (r *report) crash(age time.Duration) quarantine.Crash {
 	return quarantine.Crash{
-		Instance: r.instance.Number(), ID: r.instance.ID, Age: age, Suspects: slices.Clone(r.suspects),
+		Instance: r.instance.Hash(), ID: r.instance.ID, Age: age, Suspects: slices.Clone(r.suspects),
 	}
 }
 
--- a/internal/entry/evacuate.go
+++ b/internal/entry/evacuate.go
@@ -11,26 +11,26 @@
 // takeEvacuations takes in what was read of the operator's orders about failure domains,
 // and reports whether it is news.
 func (n *Node) takeEvacuations(news platform.OperatorNews) bool {
-	before := n.evacuations.Sum()
+	before := n.evacuations.Checksum()
 	switch {
 	case news.Whole && n.isSettling():
-		n.evacuated(n.evacuations.Confirm(news.Evacuations), "store")
+		n.evacuated(n.evacuations.MergeStale(news.Evacuations), "store")
 	case news.Whole:
 		n.evacuated(n.evacuations.Replace(news.Evacuations, news.Revision), "store")
 	default:
-		n.evacuated(n.evacuations.Learn(news.Evacuations), "store")
+		n.evacuated(n.evacuations.Merge(news.Evacuations), "store")
 	}
-	return n.evacuations.Sum() != before
+	return n.evacuations.Checksum() != before
 }
 
 // learnEvacuations takes in the orders about failure domains that a peer knows, which may
 // have them from an older copy of the store.
 func (n *Node) learnEvacuations(orders []evacuation.Order, source string) {
 	if n.isSettling() {
-		n.evacuated(n.evacuations.Confirm(orders), source)
+		n.evacuated(n.evacuations.MergeStale(orders), source)
 		return
 	}
-	n.evacuated(n.evacuations.LearnAll(orders), source)
+	n.evacuated(n.evacuations.MergeAll(orders), source)
 }
 
 // evacuated puts orders about failure domains in force.
@@ -42,7 +42,7 @@
 			event = "evacuation.lifted"
 		}
 		slog.Info(event, "failure_domain", o.FailureDomain, "revision", o.Revision, "age_ms", o.Age.Milliseconds(),
-			"open", n.table.OpenIn(o.FailureDomain), "source", source)
+			"open", n.table.OpenRequestsIn(o.FailureDomain), "source", source)
 	}
 	n.offer()
 }
@@ -52,7 +52,7 @@
 // A daemon that knows the configuration and not the evacuations would send to a failure
 // domain that the operator has emptied.
 func (n *Node) servable() *catalog.Catalog {
-	if !n.evacuations.Known() {
+	if !n.evacuations.Loaded() {
 		return nil
 	}
 	return n.current.Load()
--- a/internal/entry/link_test.go
+++ b/internal/entry/link_test.go
@@ -84,9 +84,9 @@
 func (n *Node) prompt(random *rand.Rand, to inventory.Instance) {
 	common := random.IntN(linkCommon)
 	n.table.Begin(to, 5000)
-	n.prompts.Sent(to, []inventory.Beginning{
-		{Key: inventory.PromptKey(common), Work: 2500},
-		{Key: inventory.PromptKey(1000 + random.IntN(linkSubjects)), Work: 6300},
+	n.prompts.NoteSent(to, []inventory.Prefix{
+		{Key: inventory.PrefixHash(common), Work: 2500},
+		{Key: inventory.PrefixHash(1000 + random.IntN(linkSubjects)), Work: 6300},
 	})
 }
 
--- a/internal/entry/list.go
+++ b/internal/entry/list.go
@@ -55,7 +55,7 @@
 // readList reads the whole list, or what changed in it.
 func (n *Node) readList(ctx context.Context, whole bool) error {
 	base := n.table.Revision()
-	first := !n.table.Known()
+	first := !n.table.Loaded()
 	whole = whole || first
 	asked := n.clock.Now()
 	var news platform.InstanceNews
--- a/internal/entry/module.go
+++ b/internal/entry/module.go
@@ -270,7 +270,7 @@
 	n := p.node
 	telemetry.Publish("hornbeamsill", func() any {
 		operator := n.fresh.view()
-		limited, _ := n.table.Limited()
+		limited, _ := n.table.LimitsInForce()
 		return figures{
 			Config: n.configVersion(), Operator: operator.read, OperatorAgeMS: n.clock.Since(operator.at).Milliseconds(), Reader: n.reader(),
 			List: n.table.Revision(), ListAgeMS: n.table.Age().Milliseconds(),
--- a/internal/entry/node.go
+++ b/internal/entry/node.go
@@ -91,11 +91,11 @@
 	// work is what this daemon, as a reader, knows of the work of others, and
 	// prompts which upstream instances hold which parts of prompts.
 	work    *workSums
-	prompts *inventory.Prompts
+	prompts *inventory.PrefixIndex
 	// quarantine refuses the requests that crash upstream instances.
 	quarantine *quarantined
 	// evacuations are the operator's orders about failure domains.
-	evacuations *evacuation.Book
+	evacuations *evacuation.Registry
 	// fresh is how new the operator's rows are, and question the one for newer ones
 	// that the store holds.
 	fresh    freshness
@@ -122,8 +122,8 @@
 func NewNode(s settings.Routes, clock clockwork.Clock, store *platform.Store, codec platform.Headers) *Node {
 	n := &Node{
 		settings: s, clock: clock, store: store, kv: platform.Table{Store: store},
-		table: inventory.NewTable(clock), prompts: inventory.NewPrompts(clock), pool: upconn.NewPool(), metrics: forward.NewMetrics(),
-		evacuations: evacuation.NewBook(clock),
+		table: inventory.NewTable(clock), prompts: inventory.NewPrefixIndex(clock), pool: upconn.NewPool(), metrics: forward.NewMetrics(),
+		evacuations: evacuation.NewRegistry(clock),
 		started:     clock.Now(), startedAt: clock.Now(), work: newWorkSums(), peers: peer.NewClient(nil), kick: make(chan struct{}, 1), ready: make(chan struct{}), misses: map[string]int{},
 	}
 	incarnation := ident.NewIncarnation()
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -161,10 +161,10 @@
 func (n *Node) beliefs() peer.Beat {
 	b := peer.Beat{
 		From: n.registry.Self(), News: n.registry.News(), Digest: n.registry.Digest(),
-		Config: n.configVersion(), List: n.table.Revision(), Quarantine: n.quarantine.list.Sum(), Left: n.table.LeftLately(),
-		Evacuated: n.evacuations.Sum(), Limits: n.table.LimitsLately(),
+		Config: n.configVersion(), List: n.table.Revision(), Quarantine: n.quarantine.list.Sum(), Left: n.table.RecentlyLeaving(),
+		Evacuated: n.evacuations.Checksum(), Limits: n.table.RecentLimits(),
 	}
-	_, b.Limited = n.table.Limited()
+	_, b.Limited = n.table.LimitsInForce()
 	_, states := n.book.Orders()
 	for _, s := range states {
 		b.Shifts += max(s.Order, s.Restated) + int64(s.Step)
@@ -226,7 +226,7 @@
 
 // heardLimits takes in what a peer knows of the limits of instances, and passes it on.
 func (n *Node) heardLimits(limits []inventory.Limit, source string) {
-	news := n.table.LearnLimits(limits)
+	news := n.table.MergeLimits(limits)
 	for _, l := range news {
 		l.Log(source)
 	}
@@ -253,7 +253,7 @@
 // listFromPeers reports whether the list of a peer is to be taken: this daemon
 // has none, or the store is silent and no reader has told of a newer one.
 func (n *Node) listFromPeers() bool {
-	return !n.table.Known() || n.contact.silent(n.clock.Now(), storeSilence) && n.table.Age() > n.listPace()
+	return !n.table.Loaded() || n.contact.silent(n.clock.Now(), storeSilence) && n.table.Age() > n.listPace()
 }
 
 // settleTime is how long no news of daemons must have come before one that knows
@@ -366,7 +366,7 @@
 		b.Quarantine = n.quarantine.list.Entries()
 	}
 	if r.Evacuations {
-		b.Evacuations, b.EvacuationsKnown = n.evacuations.Orders(), n.evacuations.Known()
+		b.Evacuations, b.EvacuationsKnown = n.evacuations.Orders(), n.evacuations.Loaded()
 	}
 	if r.Limits {
 		b.Limits = n.table.Limits()
--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -38,7 +38,7 @@
 	var report peer.CrashReport
 	for i, age := range []time.Duration{1, 9, 5} {
 		report.Crashes = append(report.Crashes, quarantine.Crash{
-			Instance: inventory.Number(i), Age: age * time.Second, Suspects: []quarantine.Suspect{suspect},
+			Instance: inventory.InstanceHash(i), Age: age * time.Second, Suspects: []quarantine.Suspect{suspect},
 		})
 	}
 	report.Crashes = append(report.Crashes, quarantine.Crash{Instance: 9, Age: 7 * time.Second})
@@ -72,7 +72,7 @@
 	beside := quarantine.Suspect{Digest: quarantine.NewDigest("POST", "shop.example", "/notes/two", "visrad", nil), Route: "notes"}
 	var report peer.CrashReport
 	for i := range 3 {
-		report.Crashes = append(report.Crashes, quarantine.Crash{Instance: inventory.Number(i), Suspects: []quarantine.Suspect{suspect, beside}})
+		report.Crashes = append(report.Crashes, quarantine.Crash{Instance: inventory.InstanceHash(i), Suspects: []quarantine.Suspect{suspect, beside}})
 	}
 	ctx, stop := context.WithTimeout(t.Context(), 20*time.Second)
 	defer stop()
--- a/internal/entry/readers.go
+++ b/internal/entry/readers.go
@@ -167,7 +167,7 @@
 
 // dated adds to news who tells it and how new the operator's rows are here.
 func (n *Node) dated(news peer.News) peer.News {
-	news.From, news.Evacuated = n.registry.Self().PeerAddress, n.evacuations.Sum()
+	news.From, news.Evacuated = n.registry.Self().PeerAddress, n.evacuations.Checksum()
 	view := n.fresh.view()
 	news.OperatorRead, news.OperatorChanged, news.OperatorAge = view.read, view.changed, n.clock.Since(view.at)
 	return news
@@ -200,7 +200,7 @@
 	}
 	follows := news.OperatorWhole && view.read >= news.OperatorBase
 	known := view.read >= news.OperatorChanged || follows || len(news.Manifest) > 0
-	if !known || news.Evacuated != n.evacuations.Sum() {
+	if !known || news.Evacuated != n.evacuations.Checksum() {
 		n.behind.Store(true)
 		return
 	}
@@ -222,7 +222,7 @@
 func (n *Node) OnNews(news peer.News) {
 	n.store.NoteRevision(max(news.List, news.OperatorRead))
 	if len(news.Evacuations) > 0 {
-		n.evacuated(n.evacuations.LearnAll(news.Evacuations), news.From)
+		n.evacuated(n.evacuations.MergeAll(news.Evacuations), news.From)
 	}
 	n.takeManifest(news.Manifest, news.From)
 	for _, o := range news.Orders {
@@ -241,7 +241,7 @@
 	case news.Whole != nil && revision <= news.List:
 		n.table.Replace(*news.Whole, n.keptUntil(news.Doubted))
 		n.table.Confirm(news.ListAge)
-	case !n.table.Known() || revision < news.Base:
+	case !n.table.Loaded() || revision < news.Base:
 		// Something was missed; this daemon reads, or asks, for all of it.
 	case revision >= news.List:
 		n.table.Confirm(news.ListAge)
--- a/internal/entry/restore.go
+++ b/internal/entry/restore.go
@@ -66,7 +66,7 @@
 	until := now.Add(restoreTime)
 	n.contact.restored(now)
 	n.settling.begin(until)
-	n.table.Settle(until)
+	n.table.SetStaleUntil(until)
 	n.book.Retell()
 	n.quarantine.saveAgain()
 	n.question.abandon()
--- a/internal/entry/restore_test.go
+++ b/internal/entry/restore_test.go
@@ -29,7 +29,7 @@
 	n.table.Replace(inventory.Snapshot{Revision: secondEra, Instances: []inventory.Instance{
 		{ID: "i-1", Service: "s", Version: "v1", FailureDomain: "a"}, {ID: "i-2", Service: "s", Version: "v1", FailureDomain: "a"},
 	}}, clock.Now())
-	n.evacuated(n.evacuations.LearnAll([]evacuation.Order{{FailureDomain: "b", Revision: secondEra}}), "store")
+	n.evacuated(n.evacuations.MergeAll([]evacuation.Order{{FailureDomain: "b", Revision: secondEra}}), "store")
 	n.ordered(shift.Order{ID: secondEra, Era: 1, Service: "s", To: "v2", Allowed: time.Minute}, "store")
 	require.False(t, n.isSettling())
 	return n, clock
--- a/internal/entry/work.go
+++ b/internal/entry/work.go
@@ -39,10 +39,10 @@
 // Lock order: mu is taken alone.
 type workSums struct {
 	mu      sync.Mutex
-	group   *inventory.Sum
+	group   *inventory.WorkSum
 	domains map[string]domainSum
 	// forGroup and forDomains are readings that were not told to them yet.
-	forGroup, forDomains []inventory.Reading
+	forGroup, forDomains []inventory.CachedPrefix
 }
 
 type domainSum struct {
@@ -51,7 +51,7 @@
 }
 
 func newWorkSums() *workSums {
-	return &workSums{group: inventory.NewSum(), domains: map[string]domainSum{}}
+	return &workSums{group: inventory.NewWorkSum(), domains: map[string]domainSum{}}
 }
 
 // add takes in the work of a daemon of the group.
@@ -73,12 +73,12 @@
 }
 
 // newest returns the last n readings, or all if there are fewer.
-func newest(all []inventory.Reading, n int) []inventory.Reading {
+func newest(all []inventory.CachedPrefix, n int) []inventory.CachedPrefix {
 	return all[max(len(all)-n, 0):]
 }
 
 // split takes the last n readings off and returns them and the rest.
-func split(all []inventory.Reading, n int) (taken, rest []inventory.Reading) {
+func split(all []inventory.CachedPrefix, n int) (taken, rest []inventory.CachedPrefix) {
 	at := max(len(all)-n, 0)
 	return all[at:], all[:at:at]
 }
@@ -87,7 +87,7 @@
 func readingsIn(pause time.Duration) int { return int(readingsPerSecond * pause.Seconds()) }
 
 // tellGroup returns the sum over all groups, and at most some readings to tell.
-func (w *workSums) tellGroup(now time.Time, most int) (inventory.Work, []inventory.Reading) {
+func (w *workSums) tellGroup(now time.Time, most int) (inventory.Work, []inventory.CachedPrefix) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	out := w.group.Total(now)
@@ -105,7 +105,7 @@
 }
 
 // tellDomains returns the sum of this group, and at most some readings to tell others.
-func (w *workSums) tellDomains(now time.Time, most int) (inventory.Work, []inventory.Reading) {
+func (w *workSums) tellDomains(now time.Time, most int) (inventory.Work, []inventory.CachedPrefix) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	read, rest := split(w.forDomains, most)
@@ -139,8 +139,8 @@
 func (n *Node) tellWork(ctx context.Context, readings int) int {
 	n.work.add(n.ownWork(), n.clock.Now())
 	work, read := n.work.tellGroup(n.clock.Now(), readings)
-	n.table.SetFleet(work)
-	n.prompts.Learn(read)
+	n.table.SetFleetWork(work)
+	n.prompts.Merge(read)
 	told := peer.GroupWork{Amounts: peer.PackWork(work), Readings: peer.PackReadings(read)}
 	n.callEach(ctx, beatTimeout, n.others(n.workGroup()), func(call context.Context, address string) {
 		own, err := n.peers.GroupWork(call, address, told)
@@ -180,14 +180,14 @@
 func (n *Node) ownWork() peer.OwnWork {
 	return peer.OwnWork{
 		Incarnation: n.registry.Self().Incarnation,
-		Amounts:     peer.PackWork(n.table.Own()), Readings: peer.PackReadings(n.prompts.Untold()),
+		Amounts:     peer.PackWork(n.table.OwnWork()), Readings: peer.PackReadings(n.prompts.TakePending()),
 	}
 }
 
 // OnGroupWork implements peer.RoutesHandler.
 func (n *Node) OnGroupWork(w peer.GroupWork) peer.OwnWork {
-	n.table.SetFleet(peer.UnpackWork(w.Amounts))
-	n.prompts.Learn(peer.UnpackReadings(w.Readings))
+	n.table.SetFleetWork(peer.UnpackWork(w.Amounts))
+	n.prompts.Merge(peer.UnpackReadings(w.Readings))
 	return n.ownWork()
 }
 
--- a/internal/entry/work_test.go
+++ b/internal/entry/work_test.go
@@ -17,24 +17,24 @@
 func TestWorkOfGroupsIsAddedUp(t *testing.T) {
 	now := time.Now()
 	w := newWorkSums()
-	one, two := inventory.Reading{Key: 1, Instance: 5}, inventory.Reading{Key: 2, Instance: 5}
+	one, two := inventory.CachedPrefix{Key: 1, Instance: 5}, inventory.CachedPrefix{Key: 2, Instance: 5}
 	own := peer.OwnWork{
 		Incarnation: "a", Amounts: peer.PackWork(inventory.Work{5: {Waiting: 1000, Open: 1}}),
-		Readings: peer.PackReadings([]inventory.Reading{one}),
+		Readings: peer.PackReadings([]inventory.CachedPrefix{one}),
 	}
 	w.add(own, now)
 	w.addDomain(peer.DomainWork{
 		Domain: "far", Amounts: peer.PackWork(inventory.Work{5: {Waiting: 500, Open: 2}}),
-		Readings: peer.PackReadings([]inventory.Reading{two}),
+		Readings: peer.PackReadings([]inventory.CachedPrefix{two}),
 	}, now)
 	work, read := w.tellGroup(now, 10)
 	require.Equal(t, inventory.Work{5: {Waiting: 1500, Open: 3}}, work)
-	require.Equal(t, []inventory.Reading{one, two}, read)
+	require.Equal(t, []inventory.CachedPrefix{one, two}, read)
 	_, read = w.tellGroup(now, 10)
 	require.Empty(t, read)
 	work, read = w.tellDomains(now, 10)
 	require.Equal(t, inventory.Work{5: {Waiting: 1000, Open: 1}}, work, "only this group's own")
-	require.Equal(t, []inventory.Reading{one}, read, "what another domain told is not told back")
+	require.Equal(t, []inventory.CachedPrefix{one}, read, "what another domain told is not told back")
 
 	later := now.Add(domainTime + time.Second)
 	w.add(own, later)
@@ -46,9 +46,9 @@
 // first, the others later, and what has waited for seconds no more.
 func TestReadingsWaitTheirTurn(t *testing.T) {
 	w := newWorkSums()
-	var all []inventory.Reading
-	for key := range inventory.PromptKey(maxUntold + 100) {
-		all = append(all, inventory.Reading{Key: key, Instance: 5})
+	var all []inventory.CachedPrefix
+	for key := range inventory.PrefixHash(maxUntold + 100) {
+		all = append(all, inventory.CachedPrefix{Key: key, Instance: 5})
 	}
 	w.add(peer.OwnWork{Incarnation: "a", Readings: peer.PackReadings(all)}, time.Now())
 	_, read := w.tellGroup(time.Now(), 40)
@@ -73,15 +73,15 @@
 	n.know()
 	i := inventory.Instance{ID: "i", Service: "s"}
 	n.table.Begin(i, 500)
-	n.prompts.Sent(i, []inventory.Beginning{{Key: 7, Work: 1000}})
+	n.prompts.NoteSent(i, []inventory.Prefix{{Key: 7, Work: 1000}})
 	told := peer.GroupWork{
-		Amounts:  peer.PackWork(inventory.Work{i.Number(): {Waiting: 2000, Open: 3}}),
-		Readings: peer.PackReadings([]inventory.Reading{{Key: 9, Instance: i.Number()}}),
+		Amounts:  peer.PackWork(inventory.Work{i.Hash(): {Waiting: 2000, Open: 3}}),
+		Readings: peer.PackReadings([]inventory.CachedPrefix{{Key: 9, Instance: i.Hash()}}),
 	}
 	own := n.OnGroupWork(told)
-	require.Equal(t, inventory.Work{i.Number(): {Waiting: 500, Open: 1}}, peer.UnpackWork(own.Amounts))
-	require.Equal(t, []inventory.Reading{{Key: 7, Instance: i.Number()}}, peer.UnpackReadings(own.Readings))
+	require.Equal(t, inventory.Work{i.Hash(): {Waiting: 500, Open: 1}}, peer.UnpackWork(own.Amounts))
+	require.Equal(t, []inventory.CachedPrefix{{Key: 7, Instance: i.Hash()}}, peer.UnpackReadings(own.Readings))
 	require.Empty(t, n.OnGroupWork(told).Readings)
-	require.Equal(t, 1, n.prompts.Kept(i.Number(), []inventory.Beginning{{Key: 9}}))
+	require.Equal(t, 1, n.prompts.CachedCount(i.Hash(), []inventory.Prefix{{Key: 9}}))
 	require.InDelta(t, 2000, n.table.Usable("s")[0].Waiting, 0.01)
 }
--- a/internal/evacuation/book.go
+++ b/internal/evacuation/book.go
@@ -37,7 +37,7 @@
 // records is that of the failure domains.
 //
 // Lock order: no other lock is taken while mu is held.
-type Book struct {
+type Registry struct {
 	clock clockwork.Clock
 
 	mu      sync.Mutex
@@ -46,20 +46,20 @@
 }
 
 // NewRegistry returns an empty registry, for which Loaded returns false.
-func NewBook(clock clockwork.Clock) *Book {
-	return &Book{clock: clock, records: map[string]record{}}
+func NewRegistry(clock clockwork.Clock) *Registry {
+	return &Registry{clock: clock, records: map[string]record{}}
 }
 
 // Loaded reports whether all orders in force at some point in time have been merged. Until
 // then any failure domain may be evacuated.
-func (b *Book) Known() bool {
+func (b *Registry) Loaded() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.loaded
 }
 
 // Merge merges orders and returns those that changed something.
-func (b *Book) Learn(orders []Order) []Order {
+func (b *Registry) Merge(orders []Order) []Order {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.merge(orders)
@@ -67,7 +67,7 @@
 
 // MergeAll merges all orders that another daemon knows, including those that lift an
 // evacuation, and returns those that changed something.
-func (b *Book) LearnAll(orders []Order) []Order {
+func (b *Registry) MergeAll(orders []Order) []Order {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.loaded = true
@@ -77,7 +77,7 @@
 // Replace merges all evacuations in force at a revision of the store. Known evacuations up to
 // this revision that are not among them are lifted. It returns the orders that changed
 // something.
-func (b *Book) Replace(inForce []Order, revision int64) []Order {
+func (b *Registry) Replace(inForce []Order, revision int64) []Order {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.loaded = true
@@ -94,7 +94,7 @@
 // MergeStale merges all evacuations in force according to a copy of the store that may be
 // outdated. It ignores those of failure domains whose evacuation is known to be lifted, and
 // lifts none. It returns the orders that changed something.
-func (b *Book) Confirm(inForce []Order) []Order {
+func (b *Registry) MergeStale(inForce []Order) []Order {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.loaded = true
@@ -106,7 +106,7 @@
 
 // merge stores newer orders and returns those that start or end an evacuation. The lock is
 // held.
-func (b *Book) merge(orders []Order) []Order {
+func (b *Registry) merge(orders []Order) []Order {
 	var changed []Order
 	for _, o := range orders {
 		old, ok := b.records[o.FailureDomain]
@@ -123,7 +123,7 @@
 }
 
 // Orders returns the newest order of each failure domain, sorted by the name of the domain.
-func (b *Book) Orders() []Order {
+func (b *Registry) Orders() []Order {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := make([]Order, 0, len(b.records))
@@ -135,7 +135,7 @@
 }
 
 // InForce returns the evacuations in force, sorted by the name of the failure domain.
-func (b *Book) InForce() []Order {
+func (b *Registry) InForce() []Order {
 	return slices.DeleteFunc(b.Orders(), func(o Order) bool { return o.Lifted })
 }
 
@@ -145,8 +145,8 @@
 // Checksum returns a checksum that is equal at daemons with the same evacuations in force; 0
 // means that Loaded is false. It ignores the revisions at which evacuations were lifted,
 // because a daemon that reads the whole store learns only that they were lifted.
-func (b *Book) Sum() uint64 {
-	if !b.Known() {
+func (b *Registry) Checksum() uint64 {
+	if !b.Loaded() {
 		return 0
 	}
 	sum := uint64(emptyChecksum)
--- a/internal/evacuation/book_test.go
+++ b/internal/evacuation/book_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func evacuatedDomains(b *Book) []string {
+func evacuatedDomains(b *Registry) []string {
 	var out []string
 	for _, o := range b.InForce() {
 		out = append(out, o.FailureDomain)
@@ -19,18 +19,18 @@
 
 // Guards against a delayed message that restores an evacuation after it was lifted.
 func TestOldOrderDoesNotRestoreALiftedEvacuation(t *testing.T) {
-	b := NewBook(clockwork.NewFakeClock())
-	require.Len(t, b.Learn([]Order{{FailureDomain: "hall-b", Revision: 74}}), 1)
-	require.Len(t, b.Learn([]Order{{FailureDomain: "hall-b", Revision: 105, Lifted: true}}), 1)
-	require.Empty(t, b.Learn([]Order{{FailureDomain: "hall-b", Revision: 74}}))
+	b := NewRegistry(clockwork.NewFakeClock())
+	require.Len(t, b.Merge([]Order{{FailureDomain: "hall-b", Revision: 74}}), 1)
+	require.Len(t, b.Merge([]Order{{FailureDomain: "hall-b", Revision: 105, Lifted: true}}), 1)
+	require.Empty(t, b.Merge([]Order{{FailureDomain: "hall-b", Revision: 74}}))
 	require.Empty(t, evacuatedDomains(b))
 }
 
 // Guards against an evacuation that stays in force because its end is in a part of the store's
 // history that is no longer available.
 func TestReplaceLiftsOlderEvacuationsThatAreNotListed(t *testing.T) {
-	b := NewBook(clockwork.NewFakeClock())
-	b.Learn([]Order{{FailureDomain: "hall-a", Revision: 10}, {FailureDomain: "hall-b", Revision: 20}, {FailureDomain: "hall-c", Revision: 50}})
+	b := NewRegistry(clockwork.NewFakeClock())
+	b.Merge([]Order{{FailureDomain: "hall-a", Revision: 10}, {FailureDomain: "hall-b", Revision: 20}, {FailureDomain: "hall-c", Revision: 50}})
 	changed := b.Replace([]Order{{FailureDomain: "hall-b", Revision: 20}}, 40)
 	require.Equal(t, []Order{{FailureDomain: "hall-a", Revision: 40, Lifted: true}}, changed)
 	require.Equal(t, []string{"hall-b", "hall-c"}, evacuatedDomains(b), "hall-c is newer than what was read")
@@ -38,13 +38,13 @@
 
 // Guards against a daemon that serves before it knows which failure domains are evacuated.
 func TestSingleOrdersDoNotMakeTheStateKnown(t *testing.T) {
-	b := NewBook(clockwork.NewFakeClock())
-	b.Learn([]Order{{FailureDomain: "hall-a", Revision: 10}})
-	require.False(t, b.Known())
-	require.Zero(t, b.Sum())
-	b.LearnAll(nil)
-	require.True(t, b.Known())
-	require.NotZero(t, b.Sum())
+	b := NewRegistry(clockwork.NewFakeClock())
+	b.Merge([]Order{{FailureDomain: "hall-a", Revision: 10}})
+	require.False(t, b.Loaded())
+	require.Zero(t, b.Checksum())
+	b.MergeAll(nil)
+	require.True(t, b.Loaded())
+	require.NotZero(t, b.Checksum())
 }
 
 // Guards against daemons whose checksums are equal although their evacuations differ. For any
@@ -58,20 +58,20 @@
 			domain := string(rune('a' + random.IntN(3)))
 			log = append(log, Order{FailureDomain: domain, Revision: revision + 1, Lifted: random.IntN(2) == 0})
 		}
-		first := NewBook(clockwork.NewFakeClock())
-		first.LearnAll(log)
-		second := NewBook(clockwork.NewFakeClock())
-		second.LearnAll(nil)
+		first := NewRegistry(clockwork.NewFakeClock())
+		first.MergeAll(log)
+		second := NewRegistry(clockwork.NewFakeClock())
+		second.MergeAll(nil)
 		for _, i := range random.Perm(len(log)) {
-			second.Learn(log[i : i+1])
-			require.Equal(t, equalInForce(first, second), first.Sum() == second.Sum())
+			second.Merge(log[i : i+1])
+			require.Equal(t, equalInForce(first, second), first.Checksum() == second.Checksum())
 		}
-		require.Equal(t, first.Sum(), second.Sum())
+		require.Equal(t, first.Checksum(), second.Checksum())
 		require.Equal(t, evacuatedDomains(first), evacuatedDomains(second))
 	}
 }
 
-func equalInForce(a, b *Book) bool {
+func equalInForce(a, b *Registry) bool {
 	x, y := a.InForce(), b.InForce()
 	if len(x) != len(y) {
 		return false
@@ -88,10 +88,10 @@
 // age at which another daemon passed the order on.
 func TestAgeIncludesTheSendersAge(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	first, second := NewBook(clock), NewBook(clock)
-	first.Learn([]Order{{FailureDomain: "hall-a", Revision: 10}})
+	first, second := NewRegistry(clock), NewRegistry(clock)
+	first.Merge([]Order{{FailureDomain: "hall-a", Revision: 10}})
 	clock.Advance(3 * time.Second)
-	second.LearnAll(first.Orders())
+	second.MergeAll(first.Orders())
 	clock.Advance(time.Second)
 	require.Equal(t, 4*time.Second, second.InForce()[0].Age)
 }
@@ -99,13 +99,13 @@
 // Guards against an outdated copy of the store that lifts a known evacuation or restores a
 // lifted one.
 func TestStaleCopyDoesNotOverrideKnownOrders(t *testing.T) {
-	b := NewBook(clockwork.NewFakeClock())
-	b.Learn([]Order{{FailureDomain: "a", Revision: 30}, {FailureDomain: "b", Revision: 20}, {FailureDomain: "b", Revision: 31, Lifted: true}})
-	changed := b.Confirm([]Order{{FailureDomain: "b", Revision: 1020}, {FailureDomain: "c", Revision: 1010}})
+	b := NewRegistry(clockwork.NewFakeClock())
+	b.Merge([]Order{{FailureDomain: "a", Revision: 30}, {FailureDomain: "b", Revision: 20}, {FailureDomain: "b", Revision: 31, Lifted: true}})
+	changed := b.MergeStale([]Order{{FailureDomain: "b", Revision: 1020}, {FailureDomain: "c", Revision: 1010}})
 	require.Len(t, changed, 1)
 	require.Equal(t, "c", changed[0].FailureDomain)
 	require.Equal(t, []string{"a", "c"}, domains(b.InForce()))
-	b.Learn([]Order{{FailureDomain: "b", Revision: 1040}})
+	b.Merge([]Order{{FailureDomain: "b", Revision: 1040}})
 	require.Equal(t, []string{"a", "b", "c"}, domains(b.InForce()))
 	b.Replace([]Order{{FailureDomain: "c", Revision: 1010}, {FailureDomain: "b", Revision: 1040}}, 1050)
 	require.Equal(t, []string{"b", "c"}, domains(b.InForce()))
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -76,7 +76,7 @@
 		for _, v := range views {
 			if side.Accept(v.Instance.Version) {
 				c := q.candidate(v, prompt)
-				c.Trial = side.Part > 0
+				c.Canary = side.Part > 0
 				group = append(group, c)
 			}
 		}
@@ -91,7 +91,7 @@
 // group. If none of them may at once it is any of the group that may, and if the request
 // would have to wait for too long, also one that failed lately.
 func (q *request) untried(group []place.Candidate, part float64) []place.Candidate {
-	best := place.Ready(place.Filter(place.Part(group, part), q.tried))
+	best := place.Ready(place.Filter(place.Subset(group, part), q.tried))
 	if len(best) == 0 || best[0].Wait == 0 {
 		return best
 	}
@@ -109,8 +109,8 @@
 
 func (q *request) candidate(v inventory.View, p prompt) place.Candidate {
 	return place.Candidate{
-		ID: v.Instance.ID, Near: v.Instance.FailureDomain == q.FailureDomain, Slots: v.Instance.Slots,
-		Load: v.Load, Open: v.Open, Waiting: v.Waiting, Reads: q.reads(p, v.Instance), Ejected: v.Ejected,
+		ID: v.Instance.ID, Local: v.Instance.FailureDomain == q.FailureDomain, Slots: v.Instance.Slots,
+		Load: v.Load, Open: v.Open, Waiting: v.Waiting, Prefill: q.reads(p, v.Instance), Ejected: v.Ejected,
 		Warming: v.Warming, Wait: v.Wait, NoTurn: v.NoTurn, ProbeDue: v.ProbeDue,
 	}
 }
@@ -122,12 +122,12 @@
 	if probe, due := place.Probe(all); due {
 		picked, ok = probe, true
 	} else if q.apart {
-		picked, ok = place.Apart(all, random)
+		picked, ok = place.TwoChoices(all, random)
 	} else if key := q.subject(); key != "" {
 		if n := len(q.route.Models); n > 1 && q.model != q.route.Models[n-1] {
-			all = place.Near(all)
+			all = place.Local(all)
 		}
-		picked, ok = place.ByPrompt(all, key+"\x00"+q.model, random)
+		picked, ok = place.LowestCost(all, key+"\x00"+q.model, random)
 	} else {
 		picked, ok = place.LeastLoaded(all, random)
 	}
@@ -180,14 +180,14 @@
 	span.SetAttributes(attribute.String("instance", instance.ID), attribute.String("version", instance.Version), attribute.String("model", q.model))
 	a := &attempt{
 		span: span, request: q, instance: instance, cancel: cancel, sentAt: time.Now(),
-		work: picked.Reads, before: picked.Waiting, waits: true, warming: picked.Warming,
+		work: picked.Prefill, before: picked.Waiting, waits: true, warming: picked.Warming,
 	}
 	q.Table.Begin(instance, a.work)
-	if !picked.Trial {
+	if !picked.Canary {
 		// A trial's few instances read nearly all prompts before the rest of their
 		// version gets any. Known as the only ones that keep them, they were sent
 		// everything by all daemons at once when all sessions moved.
-		q.Prompts.Sent(instance, q.prompt().beginnings)
+		q.Prompts.NoteSent(instance, q.prompt().beginnings)
 	}
 	if q.service.Engine {
 		a.expected = cascade.BaseHead + q.pace.Expect(a.before+a.work, a.sentAt)
@@ -233,7 +233,7 @@
 	q.sends++
 	a.exchange = exchange
 	if a.facts.HasLoad {
-		q.Table.Report(a.instance, a.facts.Load)
+		q.Table.ReportLoad(a.instance, a.facts.Load)
 	}
 	if a.facts.Leaving || a.facts.WrongOne {
 		// Of a wrong one the address belongs to another instance now.
@@ -244,7 +244,7 @@
 		q.Table.NoteWarming(a.instance, a.facts.Warming)
 	}
 	if a.facts.Rest > 0 {
-		q.Table.Rest(a.instance, a.facts.Rest)
+		q.Table.BackOff(a.instance, a.facts.Rest)
 		slog.Info("instance.resting", "instance", a.instance.ID, "rest_ms", a.facts.Rest.Milliseconds(), "request", a.request.facts.ID)
 	}
 	if a.facts.NotRun {
@@ -275,7 +275,7 @@
 // noteLeaving takes in what an answer says of its instance: that it leaves, or is not
 // there any more.
 func (a *attempt) noteLeaving() {
-	if a.Table.NoteLeaving(a.instance.Life()) {
+	if a.Table.NoteLeaving(a.instance.Incarnation()) {
 		slog.Info("instance.leaving", "instance", a.instance.ID, "source", "answer", "request", a.request.facts.ID,
 			"list", a.Table.Revision())
 		a.SpreadNews()
@@ -315,7 +315,7 @@
 func (a *attempt) started() {
 	if a.waits {
 		a.waits = false
-		a.Table.Started(a.instance, a.work)
+		a.Table.RemoveWaiting(a.instance, a.work)
 	}
 }
 
@@ -340,7 +340,7 @@
 	case upconn.NotSent(err):
 		outcome = inventory.OutcomeUnreachable
 	case errors.Is(err, errSilent):
-		outcome = inventory.OutcomeSilent
+		outcome = inventory.OutcomeTimeout
 	}
 	if a.r.Context().Err() == nil {
 		if broke(err) {
--- a/internal/forward/evidence.go
+++ b/internal/forward/evidence.go
@@ -124,7 +124,7 @@
 	case inventory.OutcomeNone, inventory.OutcomeUnreachable:
 		o.Unfinished = true
 		return o, o.Pace > 0
-	case inventory.OutcomeSilent:
+	case inventory.OutcomeTimeout:
 		o.Took = time.Since(a.sentAt)
 		return o, true
 	}
@@ -185,7 +185,7 @@
 // noteTime takes in how long the answer took, or that it ran into its deadline.
 func (a *attempt) noteTime(outcome inventory.Outcome) {
 	now := time.Now()
-	if a.model == "" || a.dropped || (outcome != inventory.OutcomeGood && now.Before(a.deadline)) {
+	if a.model == "" || a.dropped || (outcome != inventory.OutcomeSuccess && now.Before(a.deadline)) {
 		return
 	}
 	head, rest := now.Sub(a.sentAt), time.Duration(0)
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -112,7 +112,7 @@
 	table.Replace(list, time.Time{})
 	book := shift.NewBook(clock, time.Second, 1, func(string, func(string) bool) int { return 0 })
 	book.Ordered(shift.Order{ID: 1, Service: "engines", To: "v2", Allowed: time.Minute})
-	prompts := inventory.NewPrompts(clock)
+	prompts := inventory.NewPrefixIndex(clock)
 	h := New(Deps{Table: table, Versions: book, Prompts: prompts})
 	send := func(session int) {
 		q := &request{
@@ -128,10 +128,10 @@
 	for session := range 50 {
 		send(session)
 	}
-	require.Empty(t, prompts.Untold())
+	require.Empty(t, prompts.TakePending())
 	book.Learn(shift.State{Order: 1, Service: "engines", To: "v2", Phase: shift.Running, Share: 1, Step: 2})
 	send(0)
-	require.Len(t, prompts.Untold(), 1)
+	require.Len(t, prompts.TakePending(), 1)
 }
 
 // refusesNone is a Quarantine without any request.
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -47,7 +47,7 @@
 	AwaitReady func(ctx context.Context)
 	ReadyIn    func() time.Duration
 	Table      *inventory.Table
-	Prompts    *inventory.Prompts
+	Prompts    *inventory.PrefixIndex
 	// RefusesStreams reports whether this daemon stops before a stream that is sent now
 	// would have time to end.
 	RefusesStreams func() bool
--- a/internal/forward/models.go
+++ b/internal/forward/models.go
@@ -38,7 +38,7 @@
 	all := q.candidates()
 	least, waiting := math.Inf(1), 0.0
 	for _, c := range all {
-		least = min(least, c.Waiting+c.Reads)
+		least = min(least, c.Waiting+c.Prefill)
 		waiting += c.Waiting / float64(len(all))
 	}
 	return cascade.BaseHead + q.pace.Expect(least, now), q.pace.Expect(waiting, now)
--- a/internal/forward/pace_test.go
+++ b/internal/forward/pace_test.go
@@ -41,7 +41,7 @@
 	require.Len(t, v.all, 1)
 	require.True(t, v.all[0].Unfinished, "neither a success nor a failure yet")
 	require.GreaterOrEqual(t, v.all[0].Pace, time.Second/pacedEvents)
-	o, ok := a.observation(inventory.OutcomeGood)
+	o, ok := a.observation(inventory.OutcomeSuccess)
 	require.True(t, ok)
 	require.Zero(t, o.Pace, "not told twice")
 	require.False(t, o.Unfinished)
@@ -82,7 +82,7 @@
 	require.True(t, ok)
 	require.Equal(t, first.Took, second.Told.Took)
 	a.headAt = later.Add(2 * time.Second)
-	last, ok := a.observation(inventory.OutcomeGood)
+	last, ok := a.observation(inventory.OutcomeSuccess)
 	require.True(t, ok)
 	require.Equal(t, 3500*time.Millisecond, last.Took)
 	require.Equal(t, second.Took, last.Told.Took)
@@ -97,7 +97,7 @@
 	for range leastPaced {
 		a.noteEvent()
 	}
-	o, ok := a.observation(inventory.OutcomeGood)
+	o, ok := a.observation(inventory.OutcomeSuccess)
 	require.True(t, ok)
 	require.Zero(t, o.Took)
 	require.Zero(t, o.Pace)
--- a/internal/forward/plain.go
+++ b/internal/forward/plain.go
@@ -99,7 +99,7 @@
 		return whole, err
 	}
 	a.finished()
-	a.end(inventory.OutcomeGood)
+	a.end(inventory.OutcomeSuccess)
 	q.ran = fault.RanYes
 	q.deliver(whole)
 	return nil, nil
@@ -124,7 +124,7 @@
 		return err
 	}
 	a.finished()
-	a.end(inventory.OutcomeGood)
+	a.end(inventory.OutcomeSuccess)
 	q.ran = fault.RanYes
 	return nil
 }
--- a/internal/forward/prompt.go
+++ b/internal/forward/prompt.go
@@ -9,7 +9,7 @@
 // prompt is what is known of the parts of a request's prompt for one model.
 type prompt struct {
 	// beginnings end with each of the shared parts, shortest first.
-	beginnings []inventory.Beginning
+	beginnings []inventory.Prefix
 	// work is that of reading the whole prompt, in prompt tokens of the largest model.
 	work float64
 }
@@ -24,8 +24,8 @@
 	for _, part := range q.shared() {
 		_, _ = hash.WriteString("\x00" + part.ID)
 		tokens += part.Tokens
-		p.beginnings = append(p.beginnings, inventory.Beginning{
-			Key: inventory.PromptKey(hash.Sum64()), Work: cost * float64(tokens),
+		p.beginnings = append(p.beginnings, inventory.Prefix{
+			Key: inventory.PrefixHash(hash.Sum64()), Work: cost * float64(tokens),
 		})
 	}
 	// A caller may count fewer tokens than its parts have together.
@@ -38,7 +38,7 @@
 	if len(p.beginnings) == 0 {
 		return p.work
 	}
-	if kept := q.Prompts.Kept(i.Number(), p.beginnings); kept > 0 {
+	if kept := q.Prompts.CachedCount(i.Hash(), p.beginnings); kept > 0 {
 		return p.work - p.beginnings[kept-1].Work
 	}
 	return p.work
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -71,7 +71,7 @@
 	if q.weak(a) {
 		err := &weakError{confidence: a.facts.Confidence}
 		a.dropped = true
-		a.end(inventory.OutcomeGood)
+		a.end(inventory.OutcomeSuccess)
 		return nil, err
 	}
 	stall := time.AfterFunc(q.stallTime(), a.cancel)
@@ -100,7 +100,7 @@
 
 func (q *request) endStream(a *attempt) error {
 	a.finished()
-	a.end(inventory.OutcomeGood)
+	a.end(inventory.OutcomeSuccess)
 	q.ran = fault.RanYes
 	if !q.begun {
 		q.head(a.exchange.Status(), a.exchange.Header())
--- a/internal/forward/turn.go
+++ b/internal/forward/turn.go
@@ -97,7 +97,7 @@
 // comeBack is when a caller is told to come back where no instance may take its request:
 // when the first of them takes requests again, if all have said when.
 func (q *request) comeBack() time.Duration {
-	if left, resting := q.Table.AllRest(q.service.Name); resting {
+	if left, resting := q.Table.AllBackingOff(q.service.Name); resting {
 		return left
 	}
 	if q.Table.AllEvacuated(q.service.Name) {
--- a/internal/inventory/budget.go
+++ b/internal/inventory/budget.go
@@ -43,7 +43,7 @@
 
 	pacer pacing.Pacer
 	// share is this daemon's share, computed at sharedAt for the given rate.
-	share    pacing.Part
+	share    pacing.Share
 	sharedAt time.Time
 	rate     float64
 	// revoked is closed when the reserved turns are no longer valid; nil if there are none.
@@ -51,11 +51,11 @@
 }
 
 // ShareFunc returns this daemon's share of an instance's rate in requests per second.
-type Share func(instance string, rate float64) pacing.Part
+type ShareFunc func(instance string, rate float64) pacing.Share
 
 // SetWarmUps sets the warm-up settings by service, and the function that computes this
 // daemon's share of a rate.
-func (t *Table) SetWarmUps(byService map[string]catalog.WarmUp, share Share) {
+func (t *Table) SetWarmUps(byService map[string]catalog.WarmUp, share ShareFunc) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.warmUps, t.shareOf = byService, share
@@ -63,7 +63,7 @@
 
 // BackOff excludes an instance from selection for the time that it requested. Any request sent
 // earlier would be refused, and its caller would lose the time of that attempt.
-func (t *Table) Rest(i Instance, d time.Duration) {
+func (t *Table) BackOff(i Instance, d time.Duration) {
 	t.withEntry(i, func(e *entry) {
 		if until := t.clock.Now().Add(d); until.After(e.budget.backOffUntil) {
 			e.budget.backOffUntil = until
@@ -130,7 +130,7 @@
 		return rate
 	}
 	old := b.share
-	b.share, b.sharedAt = pacing.Part{}, now
+	b.share, b.sharedAt = pacing.Share{}, now
 	if !math.IsInf(rate, 1) {
 		b.share = t.shareOf(e.instance.ID, rate)
 	}
--- a/internal/inventory/evacuated.go
+++ b/internal/inventory/evacuated.go
@@ -61,7 +61,7 @@
 
 // OpenRequestsIn returns the number of open requests of all daemons at the instances of a
 // failure domain, from the work that daemons report to each other.
-func (t *Table) OpenIn(domain string) int {
+func (t *Table) OpenRequestsIn(domain string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now, open := t.clock.Now(), 0
--- a/internal/inventory/health.go
+++ b/internal/inventory/health.go
@@ -10,13 +10,13 @@
 	// OutcomeNone indicates nothing about health: the caller disconnected, or the instance
 	// refused the request.
 	OutcomeNone Outcome = iota
-	OutcomeGood
+	OutcomeSuccess
 	// OutcomeFailed is an error answer or an incomplete one.
 	OutcomeFailed
 	// OutcomeUnreachable is a failure to connect.
 	OutcomeUnreachable
 	// OutcomeTimeout is a request that was not answered within its time limit.
-	OutcomeSilent
+	OutcomeTimeout
 )
 
 const (
@@ -45,7 +45,7 @@
 	switch o {
 	case OutcomeNone:
 		return
-	case OutcomeGood:
+	case OutcomeSuccess:
 		h.failureRate *= 1 - failureWeight
 		if h.failureRate < ejectFailureRate/2 {
 			h.ejections = 0
@@ -53,7 +53,7 @@
 		return
 	case OutcomeFailed:
 		h.failureRate += failureWeight * (1 - h.failureRate)
-	case OutcomeUnreachable, OutcomeSilent:
+	case OutcomeUnreachable, OutcomeTimeout:
 		// A connection failure or timeout costs a caller as much time as several errors, so
 		// that one is enough for an ejection.
 		h.failureRate = 1
--- a/internal/inventory/instance.go
+++ b/internal/inventory/instance.go
@@ -24,13 +24,13 @@
 }
 
 // Incarnation identifies one start of a server. A server that restarts may keep its ID.
-type Life struct {
+type Incarnation struct {
 	ID   string
 	Born int64
 }
 
 // Incarnation returns the ID and start time of the instance.
-func (i Instance) Life() Life { return Life{ID: i.ID, Born: i.Born} }
+func (i Instance) Incarnation() Incarnation { return Incarnation{ID: i.ID, Born: i.Born} }
 
 // Change is a change of one entry of the list.
 type Change struct {
--- a/internal/inventory/left.go
+++ b/internal/inventory/left.go
@@ -29,7 +29,7 @@
 // cannot update its row. The row expires and may return as "ready" after the outage, and
 // without this record the server would get requests until it can update the row. A new
 // incarnation is usable at once.
-func (t *Table) NoteLeaving(l Life) bool {
+func (t *Table) NoteLeaving(l Incarnation) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e, ok := t.entries[l.ID]; ok && e.instance.Born == l.Born {
@@ -44,7 +44,7 @@
 
 // IsLeaving reports whether an incarnation is known to be leaving, from the list or from
 // NoteLeaving.
-func (t *Table) Leaves(l Life) bool {
+func (t *Table) IsLeaving(l Incarnation) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if _, left := t.leavingAt[l]; left {
@@ -56,17 +56,17 @@
 
 // RecentlyLeaving returns the incarnations that were found to be leaving within
 // leavingGossipTime, newest first, and at most maxLeavingGossip of them.
-func (t *Table) LeftLately() []Life {
+func (t *Table) RecentlyLeaving() []Incarnation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
-	var out []Life
+	var out []Incarnation
 	for l, at := range t.leavingAt {
 		if now.Sub(at) <= leavingGossipTime {
 			out = append(out, l)
 		}
 	}
-	slices.SortFunc(out, func(a, b Life) int {
+	slices.SortFunc(out, func(a, b Incarnation) int {
 		return cmp.Or(t.leavingAt[b].Compare(t.leavingAt[a]), cmp.Compare(a.ID, b.ID))
 	})
 	return out[:min(len(out), maxLeavingGossip)]
--- a/internal/inventory/left_test.go
+++ b/internal/inventory/left_test.go
@@ -22,28 +22,28 @@
 	}
 	usable := func() int { return len(table.Usable("s")) }
 	list(1, first)
-	require.True(t, table.NoteLeaving(first.Life()))
-	require.False(t, table.NoteLeaving(first.Life()), "already known")
+	require.True(t, table.NoteLeaving(first.Incarnation()))
+	require.False(t, table.NoteLeaving(first.Incarnation()), "already known")
 	require.Zero(t, usable())
-	require.Equal(t, []Life{first.Life()}, table.LeftLately())
+	require.Equal(t, []Incarnation{first.Incarnation()}, table.RecentlyLeaving())
 	list(2, first)
 	require.Zero(t, usable(), "listed as ready")
 	list(3)
 	list(4, first)
 	require.Zero(t, usable(), "listed again")
-	require.True(t, table.Leaves(first.Life()))
+	require.True(t, table.IsLeaving(first.Incarnation()))
 
 	next := first
 	next.Born = 9
 	list(5, next)
 	require.Equal(t, 1, usable())
-	require.False(t, table.Leaves(next.Life()))
+	require.False(t, table.IsLeaving(next.Incarnation()))
 	other := Instance{ID: "j", Service: "s", Address: first.Address}
 	list(6, other)
 	require.Equal(t, 1, usable())
 
 	clock.Advance(leavingGossipTime + time.Second)
-	require.Empty(t, table.LeftLately())
+	require.Empty(t, table.RecentlyLeaving())
 	clock.Advance(leavingTime)
 	table.Expire()
 	require.Empty(t, table.leavingAt)
@@ -54,7 +54,7 @@
 func TestLeavingServerThatIsListedLater(t *testing.T) {
 	table := NewTable(clockwork.NewFakeClock())
 	i := Instance{ID: "i", Service: "s"}
-	require.True(t, table.NoteLeaving(i.Life()))
+	require.True(t, table.NoteLeaving(i.Incarnation()))
 	table.Replace(Snapshot{Revision: 1, Instances: []Instance{i}}, time.Time{})
 	require.Empty(t, table.Usable("s"))
 }
--- a/internal/inventory/limit.go
+++ b/internal/inventory/limit.go
@@ -26,7 +26,7 @@
 // Limit is the number of requests per second that one incarnation of an instance accepts from
 // all daemons together.
 type Limit struct {
-	Life Life
+	Life Incarnation
 	Rate float64
 	// Lifted is set when the answers of the instance contain no limit any more.
 	Lifted bool
@@ -67,11 +67,11 @@
 func (t *Table) NoteLimit(i Instance, rate float64) (Limit, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	old, known := t.limits[i.Life()]
+	old, known := t.limits[i.Incarnation()]
 	if known && !old.Lifted && old.Rate == rate {
 		return old.Limit, false
 	}
-	l := Limit{Life: i.Life(), Rate: rate, Version: old.Version + 1}
+	l := Limit{Life: i.Incarnation(), Rate: rate, Version: old.Version + 1}
 	return l, t.setLimit(l)
 }
 
@@ -83,16 +83,16 @@
 func (t *Table) NoteNoLimit(i Instance, sent time.Time) (Limit, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	old, known := t.limits[i.Life()]
+	old, known := t.limits[i.Incarnation()]
 	if !known || old.Lifted || !sent.After(old.learnedAt) {
 		return old.Limit, false
 	}
-	l := Limit{Life: i.Life(), Lifted: true, Version: old.Version + 1}
+	l := Limit{Life: i.Incarnation(), Lifted: true, Version: old.Version + 1}
 	return l, t.setLimit(l)
 }
 
 // MergeLimits merges limits from another daemon and returns those that changed something.
-func (t *Table) LearnLimits(limits []Limit) []Limit {
+func (t *Table) MergeLimits(limits []Limit) []Limit {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var changed []Limit
@@ -111,7 +111,7 @@
 	}
 	now := t.clock.Now()
 	t.limits[l.Life] = limitRecord{Limit: l, learnedAt: now}
-	if e, ok := t.entries[l.Life.ID]; ok && e.instance.Life() == l.Life {
+	if e, ok := t.entries[l.Life.ID]; ok && e.instance.Incarnation() == l.Life {
 		t.refreshShare(e, now)
 	}
 	return true
@@ -122,13 +122,13 @@
 	if len(t.limits) == 0 {
 		return 0, false
 	}
-	l, known := t.limits[e.instance.Life()]
+	l, known := t.limits[e.instance.Incarnation()]
 	return l.Rate, known && !l.Lifted
 }
 
 // RecentLimits returns the limits that changed within limitGossipTime, newest first, and at
 // most maxLimitGossip of them.
-func (t *Table) LimitsLately() []Limit {
+func (t *Table) RecentLimits() []Limit {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
@@ -165,7 +165,7 @@
 
 // LimitsInForce returns the number of limits in force and a checksum of them. Daemons that
 // know the same limits have the same checksum; it is 0 if there are none.
-func (t *Table) Limited() (count int, sum uint64) {
+func (t *Table) LimitsInForce() (count int, sum uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, l := range t.limits {
@@ -193,7 +193,7 @@
 func (t *Table) forgetLimits(now time.Time) {
 	for life, l := range t.limits {
 		e, listed := t.entries[life.ID]
-		inForce := !l.Lifted && listed && e.instance.Life() == life
+		inForce := !l.Lifted && listed && e.instance.Incarnation() == life
 		if !inForce && now.Sub(l.learnedAt) > limitTime {
 			delete(t.limits, life)
 		}
--- a/internal/inventory/limit_test.go
+++ b/internal/inventory/limit_test.go
@@ -15,7 +15,7 @@
 func newLimitTable() (*Table, *clockwork.FakeClock) {
 	clock := clockwork.NewFakeClock()
 	table := NewTable(clock)
-	table.SetWarmUps(nil, func(_ string, rate float64) pacing.Part { return pacing.PartOf(rate, 0, 3) })
+	table.SetWarmUps(nil, func(_ string, rate float64) pacing.Share { return pacing.ShareOf(rate, 0, 3) })
 	table.Replace(Snapshot{Revision: 1, Instances: []Instance{warmInstance("a"), warmInstance("b")}}, time.Time{})
 	return table, clock
 }
@@ -35,7 +35,7 @@
 // Guards against daemons that exchange an outdated limit forever or never agree on one,
 // depending on the sequence in which messages arrive.
 func TestLimitsConvergeInAnySequence(t *testing.T) {
-	life := warmInstance("a").Life()
+	life := warmInstance("a").Incarnation()
 	limits := []Limit{
 		{Life: life, Rate: 2, Version: 1}, {Life: life, Rate: 1, Version: 1}, {Life: life, Lifted: true, Version: 2},
 		{Life: life, Rate: 3, Version: 3}, {Life: life, Lifted: true, Version: 3},
@@ -43,10 +43,10 @@
 	for i := range limits {
 		table, _ := newLimitTable()
 		for j := range limits {
-			table.LearnLimits([]Limit{limits[(i+j)%len(limits)]})
+			table.MergeLimits([]Limit{limits[(i+j)%len(limits)]})
 		}
 		require.Equal(t, []Limit{limits[3]}, table.Limits())
-		require.Empty(t, table.LearnLimits(limits), "known limits reported as changed")
+		require.Empty(t, table.MergeLimits(limits), "known limits reported as changed")
 	}
 }
 
@@ -128,7 +128,7 @@
 // against a missing wait time for its callers.
 func TestNoTurnWithoutAShareOfTheLimit(t *testing.T) {
 	table, _ := newLimitTable()
-	table.SetWarmUps(nil, func(string, float64) pacing.Part { return pacing.Part{} })
+	table.SetWarmUps(nil, func(string, float64) pacing.Share { return pacing.Share{} })
 	a := warmInstance("a")
 	table.NoteLimit(a, 2)
 	v := viewOf(t, table, "a")
@@ -152,7 +152,7 @@
 	a.Born = 7
 	table.Apply([]Change{{ID: a.ID, Instance: &a}}, 4, time.Time{})
 	require.False(t, viewOf(t, table, "a").Limited)
-	count, _ := table.Limited()
+	count, _ := table.LimitsInForce()
 	require.Equal(t, 1, count)
 	clock.Advance(limitTime + time.Second)
 	table.Expire()
--- a/internal/inventory/list.go
+++ b/internal/inventory/list.go
@@ -48,7 +48,7 @@
 
 // Loaded reports whether the list was ever read. A list that was read may be empty and have
 // revision 0.
-func (t *Table) Known() bool {
+func (t *Table) Loaded() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return !t.confirmedAt.IsZero()
@@ -169,7 +169,7 @@
 	t.noteVersion(i)
 	i.Leaving = i.Leaving || e.instance.Leaving
 	e.instance, e.removed, e.removeAt = i, false, time.Time{}
-	if _, left := t.leavingAt[i.Life()]; left {
+	if _, left := t.leavingAt[i.Incarnation()]; left {
 		e.leaving = true
 	}
 	return e
--- a/internal/inventory/number.go
+++ b/internal/inventory/number.go
@@ -10,14 +10,14 @@
 // hash of ID and Born, so that all daemons compute the same value without a shared list. In a
 // large fleet two instances may rarely have the same hash; they are then counted as equally
 // busy.
-type Number uint32
+type InstanceHash uint32
 
 // Hash returns the hash of the instance's ID and Born.
-func (i Instance) Number() Number {
+func (i Instance) Hash() InstanceHash {
 	h := xxhash.New()
 	_, _ = h.WriteString(i.ID)
 	var born [8]byte
 	binary.LittleEndian.PutUint64(born[:], uint64(i.Born))
 	_, _ = h.Write(born[:])
-	return Number(h.Sum64())
+	return InstanceHash(h.Sum64())
 }
--- a/internal/inventory/prompts.go
+++ b/internal/inventory/prompts.go
@@ -11,19 +11,19 @@
 // model. Engines cache prefixes per model. They can use the cached state of a part only if all
 // parts before it are cached, so that a cached prefix implies that its shorter prefixes are
 // cached, too.
-type PromptKey uint32
+type PrefixHash uint32
 
 // Prefix is a prefix of a prompt.
-type Beginning struct {
-	Key PromptKey
+type Prefix struct {
+	Key PrefixHash
 	// Work is the cost of reading the prefix, in prompt tokens of the largest model.
 	Work float64
 }
 
 // CachedPrefix states that an instance has read a prefix or is about to read it.
-type Reading struct {
-	Key      PromptKey
-	Instance Number
+type CachedPrefix struct {
+	Key      PrefixHash
+	Instance InstanceHash
 }
 
 const (
@@ -50,30 +50,30 @@
 // the current half, and those last used in the previous one.
 //
 // Lock order: no other lock is taken while mu is held.
-type Prompts struct {
+type PrefixIndex struct {
 	clock clockwork.Clock
 
 	mu                sync.Mutex
-	current, previous map[Reading]struct{}
+	current, previous map[CachedPrefix]struct{}
 	rotatedAt         time.Time
-	pending           []Reading
+	pending           []CachedPrefix
 }
 
 // NewPrefixIndex returns an empty index.
-func NewPrompts(clock clockwork.Clock) *Prompts {
-	return &Prompts{clock: clock, current: map[Reading]struct{}{}, rotatedAt: clock.Now()}
+func NewPrefixIndex(clock clockwork.Clock) *PrefixIndex {
+	return &PrefixIndex{clock: clock, current: map[CachedPrefix]struct{}{}, rotatedAt: clock.Now()}
 }
 
 // NoteSent records that this daemon sends a prompt with the given prefixes to an instance.
 // Prefixes that are new to the current generation and large enough to affect the placement are
 // queued for the peers.
-func (p *Prompts) Sent(i Instance, prefixes []Beginning) {
-	hash := i.Number()
+func (p *PrefixIndex) NoteSent(i Instance, prefixes []Prefix) {
+	hash := i.Hash()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.rotate()
 	for _, b := range prefixes {
-		r := Reading{Key: b.Key, Instance: hash}
+		r := CachedPrefix{Key: b.Key, Instance: hash}
 		if p.add(r) && b.Work >= minGossipWork && len(p.pending) < maxPending {
 			p.pending = append(p.pending, r)
 		}
@@ -81,7 +81,7 @@
 }
 
 // Merge adds prefixes that other daemons reported.
-func (p *Prompts) Learn(reported []Reading) {
+func (p *PrefixIndex) Merge(reported []CachedPrefix) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.rotate()
@@ -91,7 +91,7 @@
 }
 
 // add adds a prefix to the current generation and reports whether it was missing there.
-func (p *Prompts) add(r Reading) bool {
+func (p *PrefixIndex) add(r CachedPrefix) bool {
 	if _, known := p.current[r]; known {
 		return false
 	}
@@ -100,7 +100,7 @@
 }
 
 // rotate starts a new generation if the current one is too old or full.
-func (p *Prompts) rotate() {
+func (p *PrefixIndex) rotate() {
 	now := p.clock.Now()
 	age := now.Sub(p.rotatedAt)
 	if age < cacheTime/2 && len(p.current) < maxPrefixes {
@@ -110,11 +110,11 @@
 	if age >= cacheTime {
 		p.previous = nil
 	}
-	p.current, p.rotatedAt = map[Reading]struct{}{}, now
+	p.current, p.rotatedAt = map[CachedPrefix]struct{}{}, now
 }
 
 // TakePending returns the prefixes queued for the peers since the last call.
-func (p *Prompts) Untold() []Reading {
+func (p *PrefixIndex) TakePending() []CachedPrefix {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := p.pending
@@ -124,19 +124,19 @@
 
 // CachedCount returns how many of a prompt's prefixes, ordered from shortest to longest, an
 // instance probably has cached.
-func (p *Prompts) Kept(instance Number, prefixes []Beginning) int {
+func (p *PrefixIndex) CachedCount(instance InstanceHash, prefixes []Prefix) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.rotate()
 	for n := len(prefixes); n > 0; n-- {
-		if p.contains(Reading{Key: prefixes[n-1].Key, Instance: instance}) {
+		if p.contains(CachedPrefix{Key: prefixes[n-1].Key, Instance: instance}) {
 			return n
 		}
 	}
 	return 0
 }
 
-func (p *Prompts) contains(r Reading) bool {
+func (p *PrefixIndex) contains(r CachedPrefix) bool {
 	if _, ok := p.current[r]; ok {
 		return true
 	}
--- a/internal/inventory/stale.go
+++ b/internal/inventory/stale.go
@@ -11,7 +11,7 @@
 
 // SetStaleUntil declares that lists read before the given time may come from an outdated copy.
 // Such lists do not restore incarnations that were removed.
-func (t *Table) Settle(until time.Time) {
+func (t *Table) SetStaleUntil(until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.staleUntil = until
@@ -20,7 +20,7 @@
 // isStale reports whether a list that contains the instance may be older than the instance's
 // removal. The lock is held.
 func (t *Table) isStale(i Instance) bool {
-	_, gone := t.removedAt[i.Life()]
+	_, gone := t.removedAt[i.Incarnation()]
 	return gone && t.clock.Now().Before(t.staleUntil)
 }
 
@@ -28,7 +28,7 @@
 func (t *Table) remove(e *entry) {
 	e.removed, e.removeAt = true, time.Time{}
 	if len(t.removedAt) < maxRemoved {
-		t.removedAt[e.instance.Life()] = t.clock.Now()
+		t.removedAt[e.instance.Incarnation()] = t.clock.Now()
 	}
 }
 
--- a/internal/inventory/stale_test.go
+++ b/internal/inventory/stale_test.go
@@ -14,7 +14,7 @@
 	a, b := warmInstance("a"), warmInstance("b")
 	table.Apply([]Change{{ID: a.ID}}, 2, time.Time{})
 	table.Expire()
-	table.Settle(clock.Now().Add(time.Minute))
+	table.SetStaleUntil(clock.Now().Add(time.Minute))
 	whole := Snapshot{Revision: 1000, Instances: []Instance{a, b}, Doubted: map[string]time.Duration{a.ID: time.Minute}}
 	require.True(t, table.Replace(whole, time.Time{}))
 	require.Len(t, table.Usable("s"), 1)
--- a/internal/inventory/table.go
+++ b/internal/inventory/table.go
@@ -99,26 +99,26 @@
 	// that were listed when this daemon started, or that were the first of their service.
 	firstListed map[string]map[string]time.Time
 	// leavingAt is when each incarnation was found to be leaving.
-	leavingAt map[Life]time.Time
+	leavingAt map[Incarnation]time.Time
 	// removedAt is when each incarnation was removed from the list. Lists read before
 	// staleUntil may be outdated copies that still contain them.
-	removedAt  map[Life]time.Time
+	removedAt  map[Incarnation]time.Time
 	staleUntil time.Time
 	// evacuated contains the failure domains whose instances get no new requests.
 	evacuated map[string]bool
 	// limits contains the limits reported by instances.
-	limits map[Life]limitRecord
+	limits map[Incarnation]limitRecord
 	// warmUps contains the warm-up settings by service. shareOf computes this daemon's share
 	// of a budget.
 	warmUps map[string]catalog.WarmUp
-	shareOf Share
+	shareOf ShareFunc
 }
 
 // NewTable returns an empty table.
 func NewTable(clock clockwork.Clock) *Table {
 	return &Table{
-		clock: clock, entries: map[string]*entry{}, firstListed: map[string]map[string]time.Time{}, leavingAt: map[Life]time.Time{}, removedAt: map[Life]time.Time{},
-		evacuated: map[string]bool{}, limits: map[Life]limitRecord{}, shareOf: func(string, float64) pacing.Part { return pacing.Part{} },
+		clock: clock, entries: map[string]*entry{}, firstListed: map[string]map[string]time.Time{}, leavingAt: map[Incarnation]time.Time{}, removedAt: map[Incarnation]time.Time{},
+		evacuated: map[string]bool{}, limits: map[Incarnation]limitRecord{}, shareOf: func(string, float64) pacing.Share { return pacing.Share{} },
 	}
 }
 
@@ -173,7 +173,7 @@
 
 // AllBackingOff reports whether all instances of a service are excluded by BackOff, and the
 // shortest remaining back-off.
-func (t *Table) AllRest(service string) (shortest time.Duration, all bool) {
+func (t *Table) AllBackingOff(service string) (shortest time.Duration, all bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
@@ -210,12 +210,12 @@
 }
 
 // RemoveWaiting subtracts work that an instance has done, or whose request was cancelled.
-func (t *Table) Started(i Instance, work float64) {
+func (t *Table) RemoveWaiting(i Instance, work float64) {
 	t.withEntry(i, func(e *entry) { e.waiting = max(e.waiting-work, 0) })
 }
 
 // ReportLoad records the load that an instance reported.
-func (t *Table) Report(i Instance, l Load) {
+func (t *Table) ReportLoad(i Instance, l Load) {
 	t.withEntry(i, func(e *entry) {
 		e.othersLoad = max(float64(l.Running+l.Waiting-e.inFlight), 0)
 		e.reportedAt = t.clock.Now()
--- a/internal/inventory/table_test.go
+++ b/internal/inventory/table_test.go
@@ -91,7 +91,7 @@
 	require.True(t, ejected(), "the second time is longer")
 	clock.Advance(baseEjectTime)
 	for range 10 {
-		fail(OutcomeGood)
+		fail(OutcomeSuccess)
 	}
 	require.False(t, ejected())
 }
@@ -103,7 +103,7 @@
 	table := NewTable(clock)
 	table.Replace(Snapshot{Revision: 1, Instances: []Instance{instance("a")}}, time.Time{})
 	for i := range 700 {
-		outcome := OutcomeGood
+		outcome := OutcomeSuccess
 		if i%7 == 0 {
 			outcome = OutcomeFailed
 		}
@@ -119,7 +119,7 @@
 	table := NewTable(clock)
 	table.Replace(Snapshot{Revision: 1, Instances: []Instance{instance("a")}}, time.Time{})
 	table.Begin(instance("a"), 100)
-	table.Report(instance("a"), Load{Running: 8, Waiting: 1, Slots: 4})
+	table.ReportLoad(instance("a"), Load{Running: 8, Waiting: 1, Slots: 4})
 	view := table.Usable("catalogue")[0]
 	require.InDelta(t, 9, view.Load, 0.01)
 	clock.Advance(reportHalfLife)
@@ -192,7 +192,7 @@
 // left out, since it may have ended.
 func TestWorkSum(t *testing.T) {
 	now := time.Now()
-	s := NewSum()
+	s := NewWorkSum()
 	s.Add("one", Work{1: {Waiting: 5000, Open: 2}}, now)
 	s.Add("one", Work{1: {Waiting: 6000, Open: 3}, 2: {Waiting: 70, Open: 1}}, now)
 	s.Add("two", Work{1: {Waiting: 1000, Open: 1}}, now.Add(fleetWorkTTL))
@@ -208,12 +208,12 @@
 	table := NewTable(clock)
 	table.Replace(Snapshot{Revision: 1, Instances: []Instance{instance("a")}}, time.Time{})
 	table.Begin(instance("a"), 100)
-	table.SetFleet(Work{instance("a").Number(): {Waiting: 1100, Open: 7}})
+	table.SetFleetWork(Work{instance("a").Hash(): {Waiting: 1100, Open: 7}})
 	table.Begin(instance("a"), 50)
 	view := table.Usable("catalogue")[0]
 	require.InDelta(t, 1150, view.Waiting, 0.01)
 	require.Equal(t, 8, view.Open)
-	table.Started(instance("a"), 100)
+	table.RemoveWaiting(instance("a"), 100)
 	require.InDelta(t, 1050, table.Usable("catalogue")[0].Waiting, 0.01)
 	clock.Advance(fleetHalfLife)
 	require.InDelta(t, 550, table.Usable("catalogue")[0].Waiting, 0.01)
@@ -229,7 +229,7 @@
 	table := NewTable(clockwork.NewFakeClock())
 	i := Instance{ID: "i", Service: "s"}
 	table.Replace(Snapshot{Revision: 1, Instances: []Instance{i}}, time.Time{})
-	table.NoteLeaving(instance("i").Life())
+	table.NoteLeaving(instance("i").Incarnation())
 	require.Empty(t, table.Usable("s"))
 	i.Leaving = true
 	changed, _, ok := table.Apply([]Change{{ID: "i", Instance: &i}}, 2, time.Time{})
@@ -247,10 +247,10 @@
 	before.Born, after.Born = 1000, 5000
 	table.Replace(Snapshot{Revision: 5, Instances: []Instance{before}}, time.Time{})
 	table.Begin(before, 700)
-	table.Report(before, Load{Running: 4, Slots: 4})
+	table.ReportLoad(before, Load{Running: 4, Slots: 4})
 	table.Begin(before, 0)
 	table.End(before, OutcomeUnreachable)
-	table.NoteLeaving(before.Life())
+	table.NoteLeaving(before.Incarnation())
 	require.Empty(t, table.Usable("catalogue"))
 
 	table.Apply([]Change{{ID: "a", Instance: &after}}, 6, time.Time{})
--- a/internal/inventory/warmup_test.go
+++ b/internal/inventory/warmup_test.go
@@ -18,7 +18,7 @@
 func newWarmTable() (*Table, *clockwork.FakeClock) {
 	clock := clockwork.NewFakeClock()
 	table := NewTable(clock)
-	share := func(string, float64) pacing.Part { return pacing.Part{Interval: time.Second} }
+	share := func(string, float64) pacing.Share { return pacing.Share{Interval: time.Second} }
 	table.SetWarmUps(map[string]catalog.WarmUp{"s": {Time: coldTime, Rate: 9}}, share)
 	table.Replace(Snapshot{Revision: 1, Instances: []Instance{warmInstance("a"), warmInstance("b")}}, time.Time{})
 	return table, clock
--- a/internal/inventory/work.go
+++ b/internal/inventory/work.go
@@ -12,10 +12,10 @@
 }
 
 // Work contains amounts by instance.
-type Work map[Number]Amount
+type Work map[InstanceHash]Amount
 
 // Add adds an amount to that of an instance.
-func (w Work) Add(instance Number, a Amount) {
+func (w Work) Add(instance InstanceHash, a Amount) {
 	sum := w[instance]
 	sum.Waiting += a.Waiting
 	sum.Open += a.Open
@@ -55,30 +55,30 @@
 }
 
 // OwnWork returns the open work of this daemon by instance.
-func (t *Table) Own() Work {
+func (t *Table) OwnWork() Work {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := Work{}
 	for _, e := range t.entries {
 		if e.inFlight > 0 {
-			out[e.instance.Number()] = Amount{Waiting: e.waiting, Open: e.inFlight}
+			out[e.instance.Hash()] = Amount{Waiting: e.waiting, Open: e.inFlight}
 		}
 	}
 	return out
 }
 
 // SetFleetWork sets the open work of all daemons, including this one.
-func (t *Table) SetFleet(w Work) {
+func (t *Table) SetFleetWork(w Work) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.fleetAt = t.clock.Now()
 	for _, e := range t.entries {
-		e.fleet, e.fleetOwnOpen, e.fleetOwnWaiting = w[e.instance.Number()], e.inFlight, e.waiting
+		e.fleet, e.fleetOwnOpen, e.fleetOwnWaiting = w[e.instance.Hash()], e.inFlight, e.waiting
 	}
 }
 
 // WorkSum adds up the work that daemons report of themselves.
-type Sum struct{ reports map[string]workReport }
+type WorkSum struct{ reports map[string]workReport }
 
 type workReport struct {
 	work Work
@@ -86,15 +86,15 @@
 }
 
 // NewWorkSum returns an empty sum.
-func NewSum() *Sum { return &Sum{reports: map[string]workReport{}} }
+func NewWorkSum() *WorkSum { return &WorkSum{reports: map[string]workReport{}} }
 
 // Add replaces the last report of a daemon.
-func (s *Sum) Add(daemon string, w Work, now time.Time) {
+func (s *WorkSum) Add(daemon string, w Work, now time.Time) {
 	s.reports[daemon] = workReport{work: w, at: now}
 }
 
 // Total returns the sum of the reports that are not older than fleetWorkTTL.
-func (s *Sum) Total(now time.Time) Work {
+func (s *WorkSum) Total(now time.Time) Work {
 	out := Work{}
 	for daemon, r := range s.reports {
 		if now.Sub(r.at) > fleetWorkTTL {
--- a/internal/pacing/pacing.go
+++ b/internal/pacing/pacing.go
@@ -18,12 +18,12 @@
 
 // OwnerCount returns how many of the given number of daemons may send to an instance that
 // accepts rate requests per second from all daemons together.
-func Owners(rate float64, daemons int) int {
+func OwnerCount(rate float64, daemons int) int {
 	return max(min(max(int(rate), minOwners), daemons), 1)
 }
 
 // Share is one daemon's share of the rate of an instance. Its zero value is no share.
-type Part struct {
+type Share struct {
 	// Interval is the time between two requests of this daemon.
 	Interval time.Duration
 	// Phase is the offset of the daemon's turns within an interval, from 0 to 1. The phases of
@@ -33,11 +33,11 @@
 
 // ShareOf returns the share of the owner with the given rank, counted from 0, of an instance
 // that accepts rate requests per second.
-func PartOf(rate float64, rank, owners int) Part {
+func ShareOf(rate float64, rank, owners int) Share {
 	if rate <= 0 {
-		return Part{}
+		return Share{}
 	}
-	return Part{
+	return Share{
 		Interval: time.Duration(float64(owners) / rate * float64(time.Second)),
 		Phase:    (float64(rank) + rand.Float64()) / float64(owners),
 	}
@@ -49,7 +49,7 @@
 
 // Start sets the first turn according to the share's phase, so that owners that learn of an
 // instance at the same time do not send to it at the same time.
-func (p *Pacer) Start(now time.Time, share Part) {
+func (p *Pacer) Start(now time.Time, share Share) {
 	p.next = now.Add(time.Duration(share.Phase * float64(share.Interval)))
 }
 
--- a/internal/pacing/pacing_test.go
+++ b/internal/pacing/pacing_test.go
@@ -53,12 +53,12 @@
 		hashes := rankHashes(i, daemons)
 		for d := range daemons {
 			fleet := known(d)
-			owners := Owners(simRate, len(fleet))
+			owners := OwnerCount(simRate, len(fleet))
 			if rankOf(hashes, d, fleet) >= owners {
 				continue
 			}
 			start := time.Unix(0, 0).Add(time.Duration(random.Int64N(int64(simSkew))))
-			share := PartOf(simRate, rankOf(hashes, d, fleet), owners)
+			share := ShareOf(simRate, rankOf(hashes, d, fleet), owners)
 			var p Pacer
 			p.Start(start, share)
 			end := time.Unix(0, 0).Add(simTime)
@@ -154,12 +154,12 @@
 	hashes := rankHashes(random.Int(), len(views))
 	var all []time.Duration
 	for d, fleet := range views {
-		owners := Owners(rate, len(fleet))
+		owners := OwnerCount(rate, len(fleet))
 		at := rankOf(hashes, d, fleet)
 		if at >= owners {
 			continue
 		}
-		share := PartOf(rate, at, owners)
+		share := ShareOf(rate, at, owners)
 		var p Pacer
 		now := time.Unix(0, 0).Add(time.Duration(random.Int64N(int64(simSkew))))
 		p.Start(now, share)
--- a/internal/peer/routes.go
+++ b/internal/peer/routes.go
@@ -34,7 +34,7 @@
 	// Evacuated is a digest of the evacuations in force; 0 if they are not known.
 	Evacuated uint64
 	// Left are upstream instances that were found to be leaving within the last seconds.
-	Left []inventory.Life
+	Left []inventory.Incarnation
 	// Limits are rate limits of upstream instances that changed within the last seconds.
 	// Limited is a digest of all limits in force; 0 if there are none.
 	Limits  []inventory.Limit
--- a/internal/peer/work.go
+++ b/internal/peer/work.go
@@ -56,7 +56,7 @@
 func UnpackWork(packed []byte) inventory.Work {
 	out := inventory.Work{}
 	for len(packed) > instanceBytes {
-		instance := inventory.Number(binary.BigEndian.Uint32(packed))
+		instance := inventory.InstanceHash(binary.BigEndian.Uint32(packed))
 		waiting, n := binary.Uvarint(packed[instanceBytes:])
 		if n <= 0 {
 			break
@@ -72,16 +72,16 @@
 }
 
 const (
-	// instanceBytes is the encoded length of an inventory.Number, keyBytes that of an
-	// inventory.PromptKey.
+	// instanceBytes is the encoded length of an inventory.InstanceHash, keyBytes that of an
+	// inventory.PrefixHash.
 	instanceBytes = 4
 	keyBytes      = 4
-	// ReadingBytes is the encoded length of an inventory.Reading.
+	// ReadingBytes is the encoded length of an inventory.CachedPrefix.
 	ReadingBytes = keyBytes + instanceBytes
 )
 
 // PackReadings returns the encoding of readings.
-func PackReadings(all []inventory.Reading) []byte {
+func PackReadings(all []inventory.CachedPrefix) []byte {
 	out := make([]byte, 0, ReadingBytes*len(all))
 	for _, r := range all {
 		out = binary.BigEndian.AppendUint32(out, uint32(r.Key))
@@ -91,12 +91,12 @@
 }
 
 // UnpackReadings decodes the output of PackReadings. It ignores an incomplete last record.
-func UnpackReadings(packed []byte) []inventory.Reading {
-	var out []inventory.Reading
+func UnpackReadings(packed []byte) []inventory.CachedPrefix {
+	var out []inventory.CachedPrefix
 	for ; len(packed) >= ReadingBytes; packed = packed[ReadingBytes:] {
-		out = append(out, inventory.Reading{
-			Key:      inventory.PromptKey(binary.BigEndian.Uint32(packed)),
-			Instance: inventory.Number(binary.BigEndian.Uint32(packed[keyBytes:])),
+		out = append(out, inventory.CachedPrefix{
+			Key:      inventory.PrefixHash(binary.BigEndian.Uint32(packed)),
+			Instance: inventory.InstanceHash(binary.BigEndian.Uint32(packed[keyBytes:])),
 		})
 	}
 	return out
--- a/internal/peer/work_test.go
+++ b/internal/peer/work_test.go
@@ -24,7 +24,7 @@
 
 // Readings must survive encoding, and an incomplete last record is ignored.
 func TestPackReadingsRoundTrip(t *testing.T) {
-	all := []inventory.Reading{{Key: 1, Instance: 2}, {Key: math.MaxUint32, Instance: math.MaxUint32}}
+	all := []inventory.CachedPrefix{{Key: 1, Instance: 2}, {Key: math.MaxUint32, Instance: math.MaxUint32}}
 	packed := PackReadings(all)
 	require.Equal(t, all, UnpackReadings(packed))
 	require.Len(t, packed, 2*ReadingBytes)
--- a/internal/place/load_test.go
+++ b/internal/place/load_test.go
@@ -46,12 +46,12 @@
 func chooseByCost(p *simulation, subject int, waiting []float64, hasCached func(int) bool) int {
 	all := make([]Candidate, simEngines)
 	for i := range all {
-		all[i] = Candidate{ID: fmt.Sprint("e-", i), Slots: 64, Waiting: waiting[i], Reads: simUniqueTokens + simSharedTokens}
+		all[i] = Candidate{ID: fmt.Sprint("e-", i), Slots: 64, Waiting: waiting[i], Prefill: simUniqueTokens + simSharedTokens}
 		if hasCached(i) {
-			all[i].Reads = simUniqueTokens
+			all[i].Prefill = simUniqueTokens
 		}
 	}
-	picked, _ := ByPrompt(all, fmt.Sprint(subject), p.random)
+	picked, _ := LowestCost(all, fmt.Sprint(subject), p.random)
 	return slices.IndexFunc(all, func(c Candidate) bool { return c.ID == picked.ID })
 }
 
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -16,7 +16,7 @@
 type Candidate struct {
 	ID string
 	// Local is set if the instance is in the daemon's own failure domain.
-	Near bool
+	Local bool
 	// Slots is the number of requests that the instance processes concurrently.
 	Slots int
 	// Load is the estimated number of requests there, from the last report of the instance.
@@ -28,7 +28,7 @@
 	// work of reading the part of the prompt that the instance does not have cached. Both are
 	// in prompt tokens of the largest model.
 	Waiting float64
-	Reads   float64
+	Prefill float64
 	// Ejected instances have failed recently.
 	Ejected bool
 	// Warming instances accept only part of their normal load.
@@ -43,7 +43,7 @@
 	ProbeDue bool
 	// Canary instances run a new version and serve part of the sessions before the other
 	// instances of that version get any.
-	Trial bool
+	Canary bool
 }
 
 const (
@@ -134,7 +134,7 @@
 	best, bestScore := -1, math.Inf(1)
 	for i, c := range all {
 		score := c.load() / float64(max(c.Slots, 1))
-		if !c.Near {
+		if !c.Local {
 			score += 0.02
 		}
 		// Without a random part, daemons with the same information would all choose the same
@@ -156,7 +156,7 @@
 // cause. If they were placed by load or by a common prompt, all would go to the same next
 // instance and fail with it again: with three attempts each, all of them would have failed
 // after the third crash.
-func Apart(all []Candidate, random *rand.Rand) (Candidate, bool) {
+func TwoChoices(all []Candidate, random *rand.Rand) (Candidate, bool) {
 	if len(all) == 0 {
 		return Candidate{}, false
 	}
@@ -173,7 +173,7 @@
 
 // Subset returns a fraction of the instances, the same ones at all daemons. A fraction of 0
 // means all.
-func Part(all []Candidate, fraction float64) []Candidate {
+func Subset(all []Candidate, fraction float64) []Candidate {
 	n := max(int(math.Round(fraction*float64(len(all)))), minSubset)
 	if fraction == 0 || n >= len(all) {
 		return all
@@ -187,11 +187,11 @@
 
 // cost returns the expected time until the first event at the instance, as work.
 func (c Candidate) cost(key string) float64 {
-	cost := c.Waiting + c.Reads
+	cost := c.Waiting + c.Prefill
 	if over := float64(c.Open+1) - fullFraction*float64(c.Slots); over > 0 {
 		cost += fullBatchWork * over / float64(max(c.Slots, 1))
 	}
-	if !c.Near {
+	if !c.Local {
 		cost += crossDomainWork
 	}
 	return cost + tieBreakWork*hashFraction(xxhash.Sum64String(c.ID+"\x00"+key))
@@ -203,7 +203,7 @@
 // LowestCost returns the instance that will probably answer a prompt first: the one with the
 // lowest sum of waiting work, prefill work and penalties. Without a key it returns the least
 // loaded instance.
-func ByPrompt(all []Candidate, key string, random *rand.Rand) (Candidate, bool) {
+func LowestCost(all []Candidate, key string, random *rand.Rand) (Candidate, bool) {
 	if key == "" || len(all) == 0 {
 		return LeastLoaded(all, random)
 	}
@@ -224,10 +224,10 @@
 // Local returns the instances of the daemon's own failure domain, or all if the domain has too
 // few. For the small model, which reads fast, this saves a third of the traffic between
 // domains.
-func Near(all []Candidate) []Candidate {
+func Local(all []Candidate) []Candidate {
 	var local []Candidate
 	for _, c := range all {
-		if c.Near {
+		if c.Local {
 			local = append(local, c)
 		}
 	}
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -31,11 +31,11 @@
 
 func TestSubset(t *testing.T) {
 	all := candidates(18)
-	require.Len(t, Part(all, 0), 18)
-	require.Len(t, Part(all, 0.3), 5)
-	require.Len(t, Part(all, 0.01), minSubset)
-	require.Len(t, Part(all[:1], 0.5), 1)
-	require.Equal(t, Part(all, 0.3), Part(all, 0.3))
+	require.Len(t, Subset(all, 0), 18)
+	require.Len(t, Subset(all, 0.3), 5)
+	require.Len(t, Subset(all, 0.01), minSubset)
+	require.Len(t, Subset(all[:1], 0.5), 1)
+	require.Equal(t, Subset(all, 0.3), Subset(all, 0.3))
 }
 
 // Prompts that no instance has cached must go to the same instance from every daemon, and
@@ -45,11 +45,11 @@
 	moved := 0
 	for k := range 200 {
 		key := fmt.Sprint(k)
-		first, ok := ByPrompt(all, key, random())
+		first, ok := LowestCost(all, key, random())
 		require.True(t, ok)
-		again, _ := ByPrompt(all, key, rand.New(rand.NewPCG(9, 9)))
+		again, _ := LowestCost(all, key, rand.New(rand.NewPCG(9, 9)))
 		require.Equal(t, first.ID, again.ID)
-		rest, _ := ByPrompt(all[1:], key, random())
+		rest, _ := LowestCost(all[1:], key, random())
 		if rest.ID != first.ID {
 			require.Equal(t, all[0].ID, first.ID)
 			moved++
@@ -67,19 +67,19 @@
 		another Candidate
 		want    string
 	}{
-		{"both idle", Candidate{Reads: 1000}, Candidate{Reads: 9000}, "holder"},
-		{"less work waits than the cache saves", Candidate{Reads: 1000, Waiting: 6000}, Candidate{Reads: 9000}, "holder"},
-		{"more work waits than the cache saves", Candidate{Reads: 1000, Waiting: 12000}, Candidate{Reads: 9000}, "another"},
-		{"no slot is free", Candidate{Reads: 1000, Open: 100}, Candidate{Reads: 9000}, "another"},
-		{"nearly equal work, one in the own domain", Candidate{Reads: 9000}, Candidate{Reads: 9000 - tieBreakWork, Near: true}, "another"},
+		{"both idle", Candidate{Prefill: 1000}, Candidate{Prefill: 9000}, "holder"},
+		{"less work waits than the cache saves", Candidate{Prefill: 1000, Waiting: 6000}, Candidate{Prefill: 9000}, "holder"},
+		{"more work waits than the cache saves", Candidate{Prefill: 1000, Waiting: 12000}, Candidate{Prefill: 9000}, "another"},
+		{"no slot is free", Candidate{Prefill: 1000, Open: 100}, Candidate{Prefill: 9000}, "another"},
+		{"nearly equal work, one in the own domain", Candidate{Prefill: 9000}, Candidate{Prefill: 9000 - tieBreakWork, Local: true}, "another"},
 	} {
 		c.holder.ID, c.another.ID = "holder", "another"
 		c.holder.Slots, c.another.Slots = 100, 100
-		picked, ok := ByPrompt([]Candidate{c.holder, c.another}, "key", random())
+		picked, ok := LowestCost([]Candidate{c.holder, c.another}, "key", random())
 		require.True(t, ok)
 		require.Equal(t, c.want, picked.ID, c.name)
 	}
-	_, ok := ByPrompt(nil, "key", random())
+	_, ok := LowestCost(nil, "key", random())
 	require.False(t, ok)
 }
 
@@ -89,7 +89,7 @@
 	picked, _ := LeastLoaded(all, random())
 	require.Equal(t, "i-1", picked.ID)
 	all = candidates(2)
-	all[1].Near = true
+	all[1].Local = true
 	near := 0
 	for range 100 {
 		if picked, _ := LeastLoaded(all, random()); picked.ID == "i-1" {
@@ -106,11 +106,11 @@
 func TestLocalNeedsEnoughInstances(t *testing.T) {
 	all := candidates(4 * minLocal)
 	for i := range all {
-		all[i].Near = i < minLocal
+		all[i].Local = i < minLocal
 	}
-	require.Len(t, Near(all), minLocal)
-	all[0].Near = false
-	require.Len(t, Near(all), len(all))
+	require.Len(t, Local(all), minLocal)
+	all[0].Local = false
+	require.Len(t, Local(all), len(all))
 }
 
 // Guards against a request that crashes one instance after the other together with all
@@ -125,7 +125,7 @@
 	got := map[string]int{}
 	const requests = 800
 	for range requests {
-		picked, ok := Apart(all, random)
+		picked, ok := TwoChoices(all, random)
 		require.True(t, ok)
 		got[picked.ID]++
 	}
@@ -134,6 +134,6 @@
 		require.Less(t, n, requests/4, id)
 	}
 	require.Greater(t, got["i-0"], got["i-1"])
-	_, ok := Apart(nil, random)
+	_, ok := TwoChoices(nil, random)
 	require.False(t, ok)
 }
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -56,7 +56,7 @@
 // Crash is one daemon's report that an instance ended while requests were running on it.
 type Crash struct {
 	// Instance identifies one run of the server that ended; ID is its name in logs.
-	Instance inventory.Number
+	Instance inventory.InstanceHash
 	ID       string
 	// Age is the time from the end of the instance to this report.
 	Age time.Duration
@@ -87,16 +87,16 @@
 	clock clockwork.Clock
 
 	mu      sync.Mutex
-	crashes map[inventory.Number]*crash
+	crashes map[inventory.InstanceHash]*crash
 	// order holds the keys of crashes, oldest crash first.
-	order []inventory.Number
+	order []inventory.InstanceHash
 	// cleared holds when each request is last known to have completed.
 	cleared map[Digest]time.Time
 }
 
 // NewEvidence returns an Evidence without crashes.
 func NewEvidence(clock clockwork.Clock) *Evidence {
-	return &Evidence{clock: clock, crashes: map[inventory.Number]*crash{}, cleared: map[Digest]time.Time{}}
+	return &Evidence{clock: clock, crashes: map[inventory.InstanceHash]*crash{}, cleared: map[Digest]time.Time{}}
 }
 
 // Add records a daemon's report. Reports of several daemons on the same instance are merged.
@@ -121,7 +121,7 @@
 // insertOrdered inserts n into order at the position of its time. Reports may arrive out of
 // order: daemons send them at different times, and a daemon that has just started to judge
 // receives all at once.
-func (e *Evidence) insertOrdered(n inventory.Number, at time.Time) {
+func (e *Evidence) insertOrdered(n inventory.InstanceHash, at time.Time) {
 	i := len(e.order)
 	for i > 0 && e.crashes[e.order[i-1]].at.After(at) {
 		i--
@@ -178,7 +178,7 @@
 	Since time.Duration
 	// first and last are the times of the first and last of these crashes.
 	first, last time.Time
-	crashes     []inventory.Number
+	crashes     []inventory.InstanceHash
 	// unrelated is the number of instances that ended in the same period without the request.
 	unrelated int
 }
@@ -223,8 +223,8 @@
 }
 
 // unexplained returns the crashes of instances that had no quarantined request, oldest first.
-func (e *Evidence) unexplained(quarantined func(Digest) bool) []inventory.Number {
-	var unexplained []inventory.Number
+func (e *Evidence) unexplained(quarantined func(Digest) bool) []inventory.InstanceHash {
+	var unexplained []inventory.InstanceHash
 	for _, n := range e.order {
 		explained := false
 		for d := range e.crashes[n].suspects {
@@ -239,7 +239,7 @@
 
 // suspects returns the requests that were on the given crashed instances and have not
 // completed since, by digest.
-func (e *Evidence) suspects(unexplained []inventory.Number) map[Digest]*SuspectCrashes {
+func (e *Evidence) suspects(unexplained []inventory.InstanceHash) map[Digest]*SuspectCrashes {
 	all := map[Digest]*SuspectCrashes{}
 	for _, n := range unexplained {
 		c := e.crashes[n]
@@ -261,7 +261,7 @@
 }
 
 // isCulprit reports whether the evidence suffices to quarantine c. It also counts c.unrelated.
-func (e *Evidence) isCulprit(c *SuspectCrashes, unexplained []inventory.Number, complete time.Duration) bool {
+func (e *Evidence) isCulprit(c *SuspectCrashes, unexplained []inventory.InstanceHash, complete time.Duration) bool {
 	if len(c.crashes) < minCrashes {
 		return false
 	}
@@ -283,7 +283,7 @@
 // explain: if k instances end simultaneously and only one of them has the request, that one
 // counts 1/k. This tells repeated power losses of a rack from several crashing requests, whose
 // crashes are not simultaneous.
-func (e *Evidence) weightedCrashes(c *SuspectCrashes, unexplained []inventory.Number) float64 {
+func (e *Evidence) weightedCrashes(c *SuspectCrashes, unexplained []inventory.InstanceHash) float64 {
 	sum := 0.0
 	for _, n := range c.crashes {
 		at := e.crashes[n].at
--- a/internal/quarantine/evidence_test.go
+++ b/internal/quarantine/evidence_test.go
@@ -33,7 +33,7 @@
 // crash reports the end of an instance that was running the named requests.
 func (h *harness) crash(names ...string) {
 	h.next++
-	report := Crash{Instance: inventory.Number(h.next), ID: fmt.Sprint("i-", h.next)}
+	report := Crash{Instance: inventory.InstanceHash(h.next), ID: fmt.Sprint("i-", h.next)}
 	for _, name := range names {
 		report.Suspects = append(report.Suspects, suspectNamed(name))
 	}
