--- a/internal/daemon/answers.go
+++ b/internal/daemon/answers.go
@@ -47,7 +47,7 @@
 		return claim.Result{}, unreachable(incarnation)
 	}
 	request := peer.TakeRequest{Key: key, Home: home, Digest: digest, Asker: a.self}
-	result, err := a.client.Take(ctx, d.PeerAddress, request)
+	result, err := a.client.TakeKey(ctx, d.PeerAddress, request)
 	if err != nil {
 		return claim.Result{}, unreachable(incarnation)
 	}
--- a/internal/daemon/duties.go
+++ b/internal/daemon/duties.go
@@ -80,7 +80,7 @@
 	if !ok {
 		return 0, trace.NotFound("no daemon has the duty for %v", r.Version)
 	}
-	return n.peers.Credit(ctx, d.PeerAddress, r)
+	return n.peers.RequestCredits(ctx, d.PeerAddress, r)
 }
 
 // reportDemand reports the demand of each organisation to the daemon that
@@ -122,7 +122,7 @@
 		return nil, nil
 	}
 	asked := n.clock.Now()
-	shares, err := n.peers.Demand(ctx, d.PeerAddress, peer.DemandRequest{From: n.incarnation, Demands: demands})
+	shares, err := n.peers.ReportDemand(ctx, d.PeerAddress, peer.DemandRequest{From: n.incarnation, Demands: demands})
 	for organisation, share := range shares {
 		// Clocks differ; the share lapses here no later than there.
 		share.Until = asked.Add(limit.ShareTTL)
@@ -153,7 +153,7 @@
 // sealAbandoned closes the bills of dead daemons that only the table knows, as
 // a duty of one daemon.
 func (n *Node) sealAbandoned(ctx context.Context) {
-	if !n.registry.Duty("ledger-sweep") {
+	if !n.registry.RanksFirst("ledger-sweep") {
 		return
 	}
 	dead := n.dead()
@@ -180,7 +180,7 @@
 // as a duty of one daemon. Two daemons that both believe to have the duty do
 // no harm: every step is conditional on the rows it saw.
 func (n *Node) tidy(ctx context.Context) {
-	if !n.registry.Duty("tidy") {
+	if !n.registry.RanksFirst("tidy") {
 		return
 	}
 	moved, err := ledger.ArchiveDue(ctx, n.platform)
--- a/internal/daemon/entries_test.go
+++ b/internal/daemon/entries_test.go
@@ -25,7 +25,7 @@
 	other := NewNode(settings.Defaults(), memory, clockwork.NewFakeClock())
 	tell := func() []caller.Entry {
 		n.offer()
-		other.registry.Learn([]member.Daemon{n.registry.Self()})
+		other.registry.Merge([]member.Daemon{n.registry.Self()})
 		entries, _ := other.Entries()
 		return entries
 	}
@@ -54,7 +54,7 @@
 		}
 		news = append(news, d)
 	}
-	n.registry.Learn(news)
+	n.registry.Merge(news)
 	seen := map[string]bool{}
 	for range 200 {
 		entries, _ := n.Entries()
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -27,7 +27,7 @@
 // daemon is not known yet.
 func (n *Node) heartbeatRound(ctx context.Context) {
 	n.offer()
-	targets := n.registry.Targets()
+	targets := n.registry.HeartbeatTargets()
 	n.contact.setTargets(member.Incarnations(targets))
 	var round sync.WaitGroup
 	for _, d := range targets {
@@ -138,6 +138,6 @@
 // syncMembers takes the whole table of a peer that knows something else.
 func (n *Node) syncMembers(ctx context.Context, address string) {
 	if all, err := n.peers.Members(ctx, address); err == nil {
-		n.registry.Learn(all)
+		n.registry.Merge(all)
 	}
 }
--- a/internal/daemon/handlers.go
+++ b/internal/daemon/handlers.go
@@ -25,7 +25,7 @@
 	}
 	return peer.Heartbeat{
 		From:        n.registry.Self(),
-		News:        n.registry.News(),
+		News:        n.registry.NextUpdates(),
 		Digest:      n.registry.Digest(),
 		Generation:  n.follower.Generation(),
 		ConfirmedMS: confirmed,
@@ -46,7 +46,7 @@
 
 // learn takes in what a peer said, whichever way it came.
 func (n *Node) learn(h peer.Heartbeat) {
-	n.registry.Learn(append(h.News, h.From))
+	n.registry.Merge(append(h.News, h.From))
 	for _, id := range h.Leaving {
 		n.upstreams.MarkLeaving(id)
 	}
--- a/internal/daemon/loops.go
+++ b/internal/daemon/loops.go
@@ -272,5 +272,5 @@
 func (n *Node) housekeeping(context.Context) {
 	n.answers.Sweep()
 	n.claims.Expire()
-	n.registry.Forget()
+	n.registry.RemoveExpired()
 }
--- a/internal/daemon/node.go
+++ b/internal/daemon/node.go
@@ -146,7 +146,7 @@
 		FailureDomain: s.FailureDomain,
 		Site:          s.Site,
 	}, n.clock, member.Options{
-		Watched: 2, Random: 2, EventsPerMessage: 16, Repeats: 3, ForgetAfter: 2 * claim.Lifetime,
+		RingTargets: 2, RandomTargets: 2, MaxUpdates: 16, RetransmitFactor: 3, ForgetAfter: 2 * claim.Lifetime,
 	}, rand.New(rand.NewPCG(n.seed(), 1)))
 	n.config = config.NewStore(n.platform, n.clock.Now)
 	n.follower = config.NewFollower(s.Site, n.config, n.clock)
@@ -235,7 +235,7 @@
 		NewLease: func(name string) rollout.Lease {
 			return lease.New(name, n.incarnation, settings.MS(t.LeaseMS), n.platform, n.clock)
 		},
-		Duty:  n.registry.Duty,
+		Duty:  n.registry.RanksFirst,
 		Table: n.platform,
 	})
 }
--- a/internal/daemon/replicate.go
+++ b/internal/daemon/replicate.go
@@ -89,7 +89,7 @@
 	answers := make(chan error, len(holders))
 	ask := func(d member.Daemon) {
 		r.notePast(d.PeerAddress)
-		answers <- r.client.Hold(ctx, d.PeerAddress, request)
+		answers <- r.client.HoldBills(ctx, d.PeerAddress, request)
 	}
 	for _, d := range holders[:wanted] {
 		go ask(d)
@@ -140,7 +140,7 @@
 			continue
 		}
 		go func() {
-			_ = r.client.Release(context.WithoutCancel(ctx), address, peer.ReleaseRequest{Owner: owner, IDs: ids})
+			_ = r.client.ReleaseBills(context.WithoutCancel(ctx), address, peer.ReleaseRequest{Owner: owner, IDs: ids})
 		}()
 	}
 }
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -65,7 +65,7 @@
 func (n *Node) returnShares(ctx context.Context) {
 	for _, d := range n.registry.Live() {
 		if d.Site == n.settings.Site {
-			_, _ = n.peers.Demand(ctx, d.PeerAddress, peer.DemandRequest{From: n.incarnation, Leaving: true})
+			_, _ = n.peers.ReportDemand(ctx, d.PeerAddress, peer.DemandRequest{From: n.incarnation, Leaving: true})
 		}
 	}
 }
--- a/internal/entry/budget.go
+++ b/internal/entry/budget.go
@@ -16,7 +16,7 @@
 	rate *= float64(len(live)) / float64(len(live)+unreachable(n.registry.All()))
 	owners := pacing.OwnerCount(rate, len(live))
 	own := n.registry.Self().Incarnation
-	first := n.registry.Firsts("budget/"+instance, owners, func(member.Daemon) bool { return true })
+	first := n.registry.TopRanked("budget/"+instance, owners, func(member.Daemon) bool { return true })
 	rank := slices.IndexFunc(first, func(d member.Daemon) bool { return d.Incarnation == own })
 	if rank < 0 {
 		return pacing.Share{}
--- a/internal/entry/budget_test.go
+++ b/internal/entry/budget_test.go
@@ -25,7 +25,7 @@
 			if (i < daemons/2) != (j < daemons/2) {
 				d.State = member.Suspect
 			}
-			n.registry.Learn([]member.Daemon{d})
+			n.registry.Merge([]member.Daemon{d})
 		}
 	}
 	for i := range 20 {
@@ -48,7 +48,7 @@
 		{Incarnation: "old", PeerAddress: "10.0.0.1:1", State: member.Suspect},
 		{Incarnation: "new", PeerAddress: "10.0.0.1:1"},
 	} {
-		n.registry.Learn([]member.Daemon{d})
+		n.registry.Merge([]member.Daemon{d})
 	}
 	part := n.budgetShare("i-1", rate)
 	require.InDelta(t, rate/2, 1/part.Interval.Seconds(), 0.01)
--- a/internal/entry/crashes.go
+++ b/internal/entry/crashes.go
@@ -237,7 +237,7 @@
 
 // judges are the daemons that weigh the crashes of all.
 func (n *Node) judges() []member.Daemon {
-	return n.registry.Firsts(judgeDuty, judgeCount, func(member.Daemon) bool { return true })
+	return n.registry.TopRanked(judgeDuty, judgeCount, func(member.Daemon) bool { return true })
 }
 
 // tellJudge tells a judge what it does not know. Requests that were on no other ended
@@ -256,7 +256,7 @@
 		call, cancel := context.WithTimeout(ctx, beatTimeout)
 		defer cancel()
 		var err error
-		if reply, err = c.peers.Crashes(call, judge.PeerAddress, report); err != nil {
+		if reply, err = c.peers.ReportCrashes(call, judge.PeerAddress, report); err != nil {
 			slog.Debug("crashes.not_told", "peer", judge.PeerAddress, "error", err)
 			return false
 		}
--- a/internal/entry/duty.go
+++ b/internal/entry/duty.go
@@ -185,7 +185,7 @@
 // its turn.
 func (d *duties) mine(ctx context.Context, service string, one *duty) bool {
 	now := d.clock.Now()
-	inLine := d.registry.Duty("shift/"+service) || d.vacant(service, one)
+	inLine := d.registry.RanksFirst("shift/"+service) || d.vacant(service, one)
 	if !one.lease.Held() && !inLine {
 		return false
 	}
@@ -209,7 +209,7 @@
 // tries for it.
 func (d *duties) takeOverAfter(service string) time.Duration {
 	own := d.registry.Self().Incarnation
-	next := d.registry.Firsts("duty/shift/"+service, takers, func(member.Daemon) bool { return true })
+	next := d.registry.TopRanked("duty/shift/"+service, takers, func(member.Daemon) bool { return true })
 	if slices.ContainsFunc(next, func(m member.Daemon) bool { return m.Incarnation == own }) {
 		return holderSilence
 	}
@@ -376,7 +376,7 @@
 func (d *duties) spread(ctx context.Context, s shift.State) {
 	d.learnState(s, "own")
 	d.eachPeer(ctx, func(call context.Context, address string) {
-		if err := d.peers.State(call, address, s); err != nil {
+		if err := d.peers.SendRolloutState(call, address, s); err != nil {
 			slog.Debug("rollout.state_not_told", "peer", address, "error", err)
 		}
 	})
--- a/internal/entry/guard.go
+++ b/internal/entry/guard.go
@@ -78,6 +78,6 @@
 	}
 	call, cancel := context.WithTimeout(ctx, beatTimeout)
 	defer cancel()
-	reply, err := d.peers.Beat(call, address, d.beliefs())
+	reply, err := d.peers.RoutesHeartbeat(call, address, d.beliefs())
 	return err == nil && reply.From.Incarnation != incarnation
 }
--- a/internal/entry/link_test.go
+++ b/internal/entry/link_test.go
@@ -60,10 +60,10 @@
 	now := reader.clock.Now()
 	reader.work.add(reader.ownWork(), now)
 	work, read := reader.work.tellGroup(now, readingsIn(linkPause))
-	told := peer.GroupWork{Amounts: peer.PackWork(work), Readings: peer.PackReadings(read)}
+	told := peer.FleetWork{Amounts: peer.PackWork(work), Readings: peer.PackReadings(read)}
 	for _, n := range d.nodes[1:] {
 		d.sent += frame(t, told)
-		reader.work.add(n.OnGroupWork(told), now)
+		reader.work.add(n.OnFleetWork(told), now)
 	}
 	work, read = reader.work.tellDomains(now, readingsIn(linkPause))
 	return peer.DomainWork{Amounts: peer.PackWork(work), Readings: peer.PackReadings(read)}
--- a/internal/entry/list.go
+++ b/internal/entry/list.go
@@ -97,9 +97,9 @@
 
 // takeChanges takes in what changed in the list, and returns what is to be told
 // of it; ok is false when this daemon knows a newer list already.
-func (n *Node) takeChanges(news platform.InstanceNews, doubted time.Time) (told peer.News, ok bool) {
+func (n *Node) takeChanges(news platform.InstanceNews, doubted time.Time) (told peer.StoreUpdate, ok bool) {
 	changes, from, ok := n.table.Apply(news.Changes, news.Revision, doubted)
-	return peer.News{Changes: changes, Base: from, List: news.Revision}, ok
+	return peer.StoreUpdate{Changes: changes, Base: from, List: news.Revision}, ok
 }
 
 func snapshot(news platform.InstanceNews) inventory.Snapshot {
--- a/internal/entry/node.go
+++ b/internal/entry/node.go
@@ -131,7 +131,7 @@
 		Incarnation: incarnation, PeerAddress: s.PeerListen, FailureDomain: s.FailureDomain, Site: s.Site,
 		LinkMbps: s.LinkMbps,
 	}, clock, member.Options{
-		Watched: watchedPeers, Random: randomPeers, EventsPerMessage: newsPerBeat, Repeats: newsRepeats, ForgetAfter: forgetDaemons,
+		RingTargets: watchedPeers, RandomTargets: randomPeers, MaxUpdates: newsPerBeat, RetransmitFactor: newsRepeats, ForgetAfter: forgetDaemons,
 	}, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	n.book = shift.NewBook(clock, settings.Seconds(s.SessionS), shift.Exposure(s.ExposureShare), n.table.InFlight)
 	n.seeds.Store(&s.Seeds)
@@ -279,7 +279,7 @@
 	for n.pause(ctx, tidyInterval) {
 		n.table.Expire()
 		n.book.Expire()
-		n.registry.Forget()
+		n.registry.RemoveExpired()
 		n.quarantine.list.Expire()
 		addresses := n.table.Addresses()
 		n.pool.Sweep(func(address string) bool { return addresses[address] })
--- a/internal/entry/node_test.go
+++ b/internal/entry/node_test.go
@@ -38,7 +38,7 @@
 				Incarnation: fmt.Sprint("other-", i), PeerAddress: fmt.Sprint("127.0.1.", i, ":1"), FailureDomain: "a", Site: "s",
 			})
 		}
-		n.registry.Learn(others)
+		n.registry.Merge(others)
 		if !n.reader() {
 			return n
 		}
@@ -64,15 +64,15 @@
 	n.know()
 	n.ordered(shift.Order{ID: 4, Service: "s", To: "v2", Allowed: time.Minute}, "test")
 
-	require.Equal(t, peer.Beliefs{}, n.OnBeliefs(peer.BeliefsRequest{Config: 3}))
-	b := n.OnBeliefs(peer.BeliefsRequest{Config: 2})
+	require.Equal(t, peer.SyncReply{}, n.OnSync(peer.SyncRequest{Config: 3}))
+	b := n.OnSync(peer.SyncRequest{Config: 2})
 	require.NotEmpty(t, b.Manifest)
 	require.Empty(t, b.Members)
 	require.Nil(t, b.Instances)
-	require.Len(t, n.OnBeliefs(peer.BeliefsRequest{Config: 3, Members: true}).Members, daemons+1)
-	require.Len(t, n.OnBeliefs(peer.BeliefsRequest{Config: 3, Shifts: true}).Orders, 1)
-	require.NotNil(t, n.OnBeliefs(peer.BeliefsRequest{Config: 3, Instances: true}).Instances)
-	require.Nil(t, n.OnBeliefs(peer.BeliefsRequest{Config: 3, Instances: true, List: 5}).Instances)
+	require.Len(t, n.OnSync(peer.SyncRequest{Config: 3, Members: true}).Members, daemons+1)
+	require.Len(t, n.OnSync(peer.SyncRequest{Config: 3, Shifts: true}).Orders, 1)
+	require.NotNil(t, n.OnSync(peer.SyncRequest{Config: 3, Instances: true}).Instances)
+	require.Nil(t, n.OnSync(peer.SyncRequest{Config: 3, Instances: true, List: 5}).Instances)
 }
 
 // A peer knows of other daemons and of a newer list. While news of daemons still
@@ -144,7 +144,7 @@
 	n.table.Replace(inventory.Snapshot{}, time.Time{})
 	require.False(t, n.mustReadList())
 	one := inventory.Instance{ID: "i", Service: "s"}
-	n.OnNews(peer.News{From: "127.0.1.1:1", List: 2, Changes: []inventory.Change{{ID: "i", Instance: &one}}})
+	n.OnStoreUpdate(peer.StoreUpdate{From: "127.0.1.1:1", List: 2, Changes: []inventory.Change{{ID: "i", Instance: &one}}})
 	require.Equal(t, int64(2), n.table.Revision())
 }
 
@@ -217,7 +217,7 @@
 	n := newFleetNode(t, clock)
 	n.know()
 	gone := func(list int64, id string, doubted time.Duration) {
-		n.OnNews(peer.News{From: "127.0.1.1:1", Base: 5, List: list, Changes: []inventory.Change{{ID: id}}, Doubted: doubted})
+		n.OnStoreUpdate(peer.StoreUpdate{From: "127.0.1.1:1", Base: 5, List: list, Changes: []inventory.Change{{ID: id}}, Doubted: doubted})
 	}
 	gone(6, "i", 2*time.Second)
 	require.Empty(t, n.table.Usable("s"))
@@ -249,13 +249,13 @@
 	third.know()
 	leaving := inventory.Instance{ID: "i", Service: "s", Leaving: true}
 	change := inventory.Change{ID: "i", Instance: &leaving}
-	reader.OnNews(peer.News{From: "127.0.1.1:1", Base: 5, List: 6, Changes: []inventory.Change{change}})
+	reader.OnStoreUpdate(peer.StoreUpdate{From: "127.0.1.1:1", Base: 5, List: 6, Changes: []inventory.Change{change}})
 	require.Empty(t, reader.table.Usable("s"))
 
 	told, ok := reader.takeChanges(platform.InstanceNews{Revision: 7, Changes: []inventory.Change{change}}, time.Time{})
 	require.True(t, ok)
 	clock.Advance(lateAge(third))
-	third.OnNews(told)
+	third.OnStoreUpdate(told)
 	require.Equal(t, int64(5), third.table.Revision())
 	require.True(t, third.mustReadList(), "it reads the list itself")
 }
@@ -299,7 +299,7 @@
 	n.know()
 	n.contact.note(clock.Now(), clock.Now(), errors.New("no answer"))
 	clock.Advance(3 * time.Second)
-	n.OnNews(peer.News{From: "127.0.1.1:1", Base: 5, List: 5, Doubted: 2 * time.Second})
+	n.OnStoreUpdate(peer.StoreUpdate{From: "127.0.1.1:1", Base: 5, List: 5, Doubted: 2 * time.Second})
 	end := clock.Now().Add(2 * time.Second)
 	clock.Advance(1900 * time.Millisecond)
 	require.Equal(t, end, n.doubtedUntil(clock.Now()), "the store has not answered here yet")
--- a/internal/entry/operator_test.go
+++ b/internal/entry/operator_test.go
@@ -130,7 +130,7 @@
 	r := newStoreReader(t, 2000)
 	other := newTestNode(r.clock, func(s *settings.Routes) { s.PeerListen = "127.0.0.1:0" })
 	heard := make(chan bool, 1)
-	server, err := peer.ListenRoutes("127.0.0.1:0", &listener{Node: other, news: func(n peer.News) {
+	server, err := peer.ListenRoutes("127.0.0.1:0", &listener{Node: other, news: func(n peer.StoreUpdate) {
 		if len(n.Changes) > 0 {
 			heard <- r.contact.away()
 		}
@@ -138,7 +138,7 @@
 	require.NoError(t, err)
 	t.Cleanup(server.Close)
 	other.registry.SetSelf(func(d *member.Daemon) { d.PeerAddress = server.Address() })
-	r.registry.Learn([]member.Daemon{other.registry.Self()})
+	r.registry.Merge([]member.Daemon{other.registry.Self()})
 	r.until("the store holds the question", func() bool { return r.store.Held() == 1 })
 	r.listRead()
 	r.store.Silence(wire.TableOperator)
@@ -150,11 +150,11 @@
 // listener is a daemon whose news is looked at.
 type listener struct {
 	*Node
-	news func(peer.News)
+	news func(peer.StoreUpdate)
 }
 
 // OnNews implements peer.RoutesHandler.
-func (l *listener) OnNews(n peer.News) { l.news(n) }
+func (l *listener) OnStoreUpdate(n peer.StoreUpdate) { l.news(n) }
 
 // The same question, seen by a daemon that reads nothing as long as its reader tells it that
 // nothing is new. It must not be told anything younger than the store's last answer: only
@@ -165,7 +165,7 @@
 	other := newFleetNode(t, r.clock)
 	other.know()
 	r.clock.Advance(lateAge(other))
-	other.OnNews(r.dated(peer.News{From: "127.0.1.1:1", List: noList}))
+	other.OnStoreUpdate(r.dated(peer.StoreUpdate{From: "127.0.1.1:1", List: noList}))
 	require.True(t, other.mustReadOperator())
 }
 
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -137,7 +137,7 @@
 
 func (n *Node) heartbeatRound(ctx context.Context) {
 	var round sync.WaitGroup
-	for _, d := range n.registry.Targets() {
+	for _, d := range n.registry.HeartbeatTargets() {
 		round.Go(func() { n.beat(ctx, d.PeerAddress, d.Incarnation) })
 	}
 	for _, address := range n.findPeers(ctx) {
@@ -158,9 +158,9 @@
 }
 
 // beliefs is what a heartbeat says of this daemon.
-func (n *Node) beliefs() peer.Beat {
-	b := peer.Beat{
-		From: n.registry.Self(), News: n.registry.News(), Digest: n.registry.Digest(),
+func (n *Node) beliefs() peer.RoutesHeartbeat {
+	b := peer.RoutesHeartbeat{
+		From: n.registry.Self(), News: n.registry.NextUpdates(), Digest: n.registry.Digest(),
 		Config: n.configVersion(), List: n.table.Revision(), Quarantine: n.quarantine.list.Sum(), Left: n.table.RecentlyLeaving(),
 		Evacuated: n.evacuations.Checksum(), Limits: n.table.RecentLimits(),
 	}
@@ -179,7 +179,7 @@
 	call, cancel := context.WithTimeout(ctx, beatTimeout)
 	defer cancel()
 	mine := n.beliefs()
-	reply, err := n.peers.Beat(call, address, mine)
+	reply, err := n.peers.RoutesHeartbeat(call, address, mine)
 	if err != nil || (incarnation != "" && reply.From.Incarnation != incarnation) {
 		if incarnation != "" && ctx.Err() == nil {
 			n.missed(incarnation, err)
@@ -195,7 +195,7 @@
 }
 
 // heard takes in a heartbeat.
-func (n *Node) heard(b peer.Beat) {
+func (n *Node) heard(b peer.RoutesHeartbeat) {
 	n.missesMu.Lock()
 	delete(n.misses, b.From.Incarnation)
 	n.missesMu.Unlock()
@@ -203,7 +203,7 @@
 	n.heardLeaving(b)
 	n.heardLimits(b.Limits, b.From.PeerAddress)
 	before := n.registry.Epoch()
-	n.registry.Learn(append(b.News, b.From))
+	n.registry.Merge(append(b.News, b.From))
 	if n.registry.Epoch() != before {
 		slog.Info("daemons.changed", "live", len(n.registry.Live()), "from", b.From.PeerAddress)
 		n.kickBeat()
@@ -211,7 +211,7 @@
 }
 
 // heardLeaving takes in which instances a peer found to be leaving, and passes it on.
-func (n *Node) heardLeaving(b peer.Beat) {
+func (n *Node) heardLeaving(b peer.RoutesHeartbeat) {
 	news := false
 	for _, life := range b.Left {
 		if n.table.NoteLeaving(life) {
@@ -236,8 +236,8 @@
 }
 
 // lacks tells what the sender of a heartbeat knows that this daemon does not.
-func (n *Node) lacks(b, mine peer.Beat) (ask peer.BeliefsRequest, lacking bool) {
-	ask = peer.BeliefsRequest{
+func (n *Node) lacks(b, mine peer.RoutesHeartbeat) (ask peer.SyncRequest, lacking bool) {
+	ask = peer.SyncRequest{
 		Config: mine.Config, List: mine.List,
 		Instances: b.List > mine.List && n.listFromPeers(),
 		Shifts:    b.Shifts > mine.Shifts,
@@ -268,15 +268,15 @@
 }
 
 // fetchBeliefs takes over what a peer knows better.
-func (n *Node) fetchBeliefs(ctx context.Context, address string, ask peer.BeliefsRequest) {
+func (n *Node) fetchBeliefs(ctx context.Context, address string, ask peer.SyncRequest) {
 	call, cancel := context.WithTimeout(ctx, beatTimeout)
 	defer cancel()
-	b, err := n.peers.Beliefs(call, address, ask)
+	b, err := n.peers.Sync(call, address, ask)
 	if err != nil {
 		slog.Debug("peer.no_beliefs", "peer", address, "error", err)
 		return
 	}
-	n.registry.Learn(b.Members)
+	n.registry.Merge(b.Members)
 	if b.EvacuationsKnown {
 		n.learnEvacuations(b.Evacuations, address)
 	}
@@ -348,14 +348,14 @@
 const stoppedSteps = 1 << 20
 
 // OnBeat implements peer.RoutesHandler.
-func (n *Node) OnBeat(b peer.Beat) peer.Beat {
+func (n *Node) OnHeartbeat(b peer.RoutesHeartbeat) peer.RoutesHeartbeat {
 	n.heard(b)
 	return n.beliefs()
 }
 
 // OnBeliefs implements peer.RoutesHandler.
-func (n *Node) OnBeliefs(r peer.BeliefsRequest) peer.Beliefs {
-	var b peer.Beliefs
+func (n *Node) OnSync(r peer.SyncRequest) peer.SyncReply {
+	var b peer.SyncReply
 	if r.Members {
 		b.Members = n.registry.All()
 	}
@@ -393,4 +393,4 @@
 }
 
 // OnState implements peer.RoutesHandler.
-func (n *Node) OnState(s shift.State) { n.learnState(s, "holder") }
+func (n *Node) OnRolloutState(s shift.State) { n.learnState(s, "holder") }
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -160,8 +160,8 @@
 // A request that was beside the one at fault is saved by the first of these, or by
 // knowing of the other one. A daemon that does not answer may have either.
 func (q *quarantined) inquire(ctx context.Context, suspected []quarantine.Digest) (complete time.Duration) {
-	ask := peer.InquiryRequest{Within: inquiryWithin, Digests: suspected}
-	own := q.OnInquiry(ask)
+	ask := peer.QuarantineEvidenceRequest{Within: inquiryWithin, Digests: suspected}
+	own := q.OnQuarantineEvidence(ask)
 	q.weigh(own)
 	var mu sync.Mutex
 	complete = own.Up
@@ -171,7 +171,7 @@
 		complete = min(complete, d)
 	}
 	q.callEach(ctx, inquiryTime, q.everyOther(), func(call context.Context, address string) {
-		answer, err := q.peers.Inquire(call, address, ask)
+		answer, err := q.peers.QuarantineEvidence(call, address, ask)
 		if err != nil {
 			atMost(0)
 			slog.Info("quarantine.no_answer", "peer", address, "error", err)
@@ -183,7 +183,7 @@
 	return complete
 }
 
-func (q *quarantined) weigh(answer peer.Inquiry) {
+func (q *quarantined) weigh(answer peer.QuarantineEvidence) {
 	for d, age := range answer.Finished {
 		q.evidence.Clear(d, age)
 	}
@@ -212,14 +212,14 @@
 	if len(decided) == 0 {
 		return
 	}
-	news := peer.QuarantineNews{From: q.registry.Self().PeerAddress, Entries: decided}
+	news := peer.QuarantineUpdate{From: q.registry.Self().PeerAddress, Entries: decided}
 	select {
 	case q.unsaved <- decided:
 	default:
 		slog.Warn("quarantine.not_stored", "count", len(decided))
 	}
 	q.callEach(ctx, beatTimeout, q.everyOther(), func(call context.Context, address string) {
-		if err := q.peers.Quarantine(call, address, news); err != nil {
+		if err := q.peers.SendQuarantineUpdate(call, address, news); err != nil {
 			slog.Debug("quarantine.not_told", "peer", address, "error", err)
 		}
 	})
@@ -262,8 +262,8 @@
 }
 
 // OnInquiry implements peer.RoutesHandler.
-func (n *Node) OnInquiry(r peer.InquiryRequest) peer.Inquiry {
-	answer := peer.Inquiry{Up: n.clock.Since(n.startedAt), Finished: map[quarantine.Digest]time.Duration{}, Crashes: n.quarantine.recent(r.Within)}
+func (n *Node) OnQuarantineEvidence(r peer.QuarantineEvidenceRequest) peer.QuarantineEvidence {
+	answer := peer.QuarantineEvidence{Up: n.clock.Since(n.startedAt), Finished: map[quarantine.Digest]time.Duration{}, Crashes: n.quarantine.recent(r.Within)}
 	for _, d := range r.Digests {
 		if age, ok := n.quarantine.ran.Age(d); ok {
 			answer.Finished[d] = age
@@ -273,6 +273,6 @@
 }
 
 // OnQuarantine implements peer.RoutesHandler.
-func (n *Node) OnQuarantine(news peer.QuarantineNews) {
+func (n *Node) OnQuarantineUpdate(news peer.QuarantineUpdate) {
 	n.quarantine.learnQuarantine(news.Entries, news.From)
 }
--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -22,7 +22,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go n.quarantine.judgeLoop(ctx)
-	n.OnQuarantine(peer.QuarantineNews{Entries: []quarantine.Entry{{Suspect: suspect, Stamp: 1, Left: time.Minute}}})
+	n.OnQuarantineUpdate(peer.QuarantineUpdate{Entries: []quarantine.Entry{{Suspect: suspect, Stamp: 1, Left: time.Minute}}})
 	_, refused := n.quarantine.Refused(suspect.Digest)
 	require.True(t, refused)
 	n.quarantine.Finished(suspect.Digest)
--- a/internal/entry/readers.go
+++ b/internal/entry/readers.go
@@ -79,8 +79,8 @@
 		}
 	}
 	wide := func(d member.Daemon) bool { return d.LinkMbps >= wideLink*widest }
-	first := n.registry.Firsts(readerDuty, count, func(d member.Daemon) bool { return inGroup(d) && wide(d) })
-	rest := n.registry.Firsts(readerDuty, count-len(first), func(d member.Daemon) bool { return inGroup(d) && !wide(d) })
+	first := n.registry.TopRanked(readerDuty, count, func(d member.Daemon) bool { return inGroup(d) && wide(d) })
+	rest := n.registry.TopRanked(readerDuty, count-len(first), func(d member.Daemon) bool { return inGroup(d) && !wide(d) })
 	return append(first, rest...)
 }
 
@@ -123,7 +123,7 @@
 
 // tellList passes on what a read of the list brought; without changes it tells
 // that the list is as it was.
-func (n *Node) tellList(ctx context.Context, told peer.News) {
+func (n *Node) tellList(ctx context.Context, told peer.StoreUpdate) {
 	if !n.reader() {
 		return
 	}
@@ -141,7 +141,7 @@
 	if !n.reader() || len(whole.Instances) > toldInstances {
 		return
 	}
-	n.tell(ctx, peer.News{Whole: &whole, List: whole.Revision, ListAge: n.table.Age(), Doubted: n.doubt()})
+	n.tell(ctx, peer.StoreUpdate{Whole: &whole, List: whole.Revision, ListAge: n.table.Age(), Doubted: n.doubt()})
 }
 
 // tellOperator passes on what the operator wrote.
@@ -152,7 +152,7 @@
 	if !n.reader() {
 		return
 	}
-	told := peer.News{Manifest: news.Manifest, Orders: news.Orders, List: noList, OperatorBase: base, OperatorWhole: true}
+	told := peer.StoreUpdate{Manifest: news.Manifest, Orders: news.Orders, List: noList, OperatorBase: base, OperatorWhole: true}
 	if len(told.Manifest) > toldManifest {
 		told.Manifest, told.OperatorWhole = nil, false
 	}
@@ -166,7 +166,7 @@
 const noList = -1
 
 // dated adds to news who tells it and how new the operator's rows are here.
-func (n *Node) dated(news peer.News) peer.News {
+func (n *Node) dated(news peer.StoreUpdate) peer.StoreUpdate {
 	news.From, news.Evacuated = n.registry.Self().PeerAddress, n.evacuations.Checksum()
 	view := n.fresh.view()
 	news.OperatorRead, news.OperatorChanged, news.OperatorAge = view.read, view.changed, n.clock.Since(view.at)
@@ -174,10 +174,10 @@
 }
 
 // tell sends news to the daemons of the group.
-func (n *Node) tell(ctx context.Context, news peer.News) {
+func (n *Node) tell(ctx context.Context, news peer.StoreUpdate) {
 	news = n.dated(news)
 	n.callEach(ctx, beatTimeout, n.others(n.group()), func(call context.Context, address string) {
-		if err := n.peers.News(call, address, news); err != nil {
+		if err := n.peers.SendStoreUpdate(call, address, news); err != nil {
 			slog.Debug("news.not_told", "peer", address, "error", err)
 		}
 	})
@@ -193,7 +193,7 @@
 
 // takeFreshness takes in how new the operator's rows are at a reader, if this daemon knows
 // them as well.
-func (n *Node) takeFreshness(news peer.News) {
+func (n *Node) takeFreshness(news peer.StoreUpdate) {
 	view := n.fresh.view()
 	if view.at.IsZero() {
 		return
@@ -219,7 +219,7 @@
 }
 
 // OnNews implements peer.RoutesHandler.
-func (n *Node) OnNews(news peer.News) {
+func (n *Node) OnStoreUpdate(news peer.StoreUpdate) {
 	n.store.NoteRevision(max(news.List, news.OperatorRead))
 	if len(news.Evacuations) > 0 {
 		n.evacuated(n.evacuations.MergeAll(news.Evacuations), news.From)
--- a/internal/entry/readers_test.go
+++ b/internal/entry/readers_test.go
@@ -26,7 +26,7 @@
 		}
 		all = append(all, d)
 	}
-	n.registry.Learn(all)
+	n.registry.Merge(all)
 	readers := n.readers(readersPerGroup, inDomain("b"))
 	require.Len(t, readers, readersPerGroup)
 	for _, r := range readers {
@@ -37,7 +37,7 @@
 			all[i].State = member.Suspect
 		}
 	}
-	n.registry.Learn(all)
+	n.registry.Merge(all)
 	readers = n.readers(readersPerGroup, inDomain("b"))
 	require.Len(t, readers, readersPerGroup)
 	for _, r := range readers {
@@ -60,7 +60,7 @@
 	}
 	readers := 0
 	for _, n := range nodes {
-		n.registry.Learn(all)
+		n.registry.Merge(all)
 		if n.reader() {
 			readers++
 		}
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -66,7 +66,7 @@
 
 // publish tells the operator how a roll-out stands.
 func (r *relayedTable) publish(ctx context.Context, service, to string, phase shift.Phase, guard backing.Check) error {
-	return replyError(r.do(ctx, peer.StoreCall{Publish: &peer.Publication{Service: service, To: to, Phase: phase, Guard: guard}}))
+	return replyError(r.do(ctx, peer.StoreCall{Publish: &peer.RolloutStatusWrite{Service: service, To: to, Phase: phase, Guard: guard}}))
 }
 
 // do makes a call, by itself or through a peer.
--- a/internal/entry/restore_test.go
+++ b/internal/entry/restore_test.go
@@ -40,7 +40,7 @@
 func TestWholeListOfAReaderIsDoubted(t *testing.T) {
 	n, clock := newRestoredNode(t)
 	whole := inventory.Snapshot{Revision: thirdEra, Instances: []inventory.Instance{{ID: "i-1", Service: "s", Version: "v1"}}}
-	n.OnNews(peer.News{Whole: &whole, List: thirdEra, Doubted: doubtTime})
+	n.OnStoreUpdate(peer.StoreUpdate{Whole: &whole, List: thirdEra, Doubted: doubtTime})
 	require.Equal(t, int64(2), n.store.Era())
 	require.Len(t, n.table.Usable("s"), 2)
 	clock.Advance(doubtTime + time.Millisecond)
--- a/internal/entry/spread_test.go
+++ b/internal/entry/spread_test.go
@@ -38,7 +38,7 @@
 func (f *fleet) round() {
 	for _, n := range f.nodes {
 		var addresses []string
-		for _, d := range n.registry.Targets() {
+		for _, d := range n.registry.HeartbeatTargets() {
 			addresses = append(addresses, d.PeerAddress)
 		}
 		for _, address := range append(addresses, n.unknown(*n.seeds.Load())...) {
@@ -50,7 +50,7 @@
 
 func (f *fleet) beat(from, to *Node) {
 	mine := from.beliefs()
-	reply := to.OnBeat(mine)
+	reply := to.OnHeartbeat(mine)
 	from.heard(reply)
 	ask, lacking := from.lacks(reply, mine)
 	if !lacking {
@@ -59,8 +59,8 @@
 	if ask.Members {
 		f.lists++
 	}
-	b := to.OnBeliefs(peer.BeliefsRequest{Config: ask.Config, Members: ask.Members, Instances: ask.Instances, List: ask.List})
-	from.registry.Learn(b.Members)
+	b := to.OnSync(peer.SyncRequest{Config: ask.Config, Members: ask.Members, Instances: ask.Instances, List: ask.List})
+	from.registry.Merge(b.Members)
 }
 
 // until runs rounds until all daemons see something, and returns how many.
--- a/internal/entry/work.go
+++ b/internal/entry/work.go
@@ -55,7 +55,7 @@
 }
 
 // add takes in the work of a daemon of the group.
-func (w *workSums) add(own peer.OwnWork, now time.Time) {
+func (w *workSums) add(own peer.DaemonWork, now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.group.Add(own.Incarnation, peer.UnpackWork(own.Amounts), now)
@@ -141,9 +141,9 @@
 	work, read := n.work.tellGroup(n.clock.Now(), readings)
 	n.table.SetFleetWork(work)
 	n.prompts.Merge(read)
-	told := peer.GroupWork{Amounts: peer.PackWork(work), Readings: peer.PackReadings(read)}
+	told := peer.FleetWork{Amounts: peer.PackWork(work), Readings: peer.PackReadings(read)}
 	n.callEach(ctx, beatTimeout, n.others(n.workGroup()), func(call context.Context, address string) {
-		own, err := n.peers.GroupWork(call, address, told)
+		own, err := n.peers.SendFleetWork(call, address, told)
 		if err != nil {
 			slog.Debug("work.not_told", "peer", address, "error", err)
 			return
@@ -167,7 +167,7 @@
 		}
 	}
 	n.callEach(ctx, beatTimeout, readers, func(call context.Context, address string) {
-		if err := n.peers.DomainWork(call, address, mine); err != nil {
+		if err := n.peers.SendDomainWork(call, address, mine); err != nil {
 			slog.Debug("work.not_told", "peer", address, "error", err)
 		}
 	})
@@ -177,15 +177,15 @@
 	return func(d member.Daemon) bool { return d.FailureDomain == domain }
 }
 
-func (n *Node) ownWork() peer.OwnWork {
-	return peer.OwnWork{
+func (n *Node) ownWork() peer.DaemonWork {
+	return peer.DaemonWork{
 		Incarnation: n.registry.Self().Incarnation,
 		Amounts:     peer.PackWork(n.table.OwnWork()), Readings: peer.PackReadings(n.prompts.TakePending()),
 	}
 }
 
 // OnGroupWork implements peer.RoutesHandler.
-func (n *Node) OnGroupWork(w peer.GroupWork) peer.OwnWork {
+func (n *Node) OnFleetWork(w peer.FleetWork) peer.DaemonWork {
 	n.table.SetFleetWork(peer.UnpackWork(w.Amounts))
 	n.prompts.Merge(peer.UnpackReadings(w.Readings))
 	return n.ownWork()
--- a/internal/entry/work_test.go
+++ b/internal/entry/work_test.go
@@ -18,7 +18,7 @@
 	now := time.Now()
 	w := newWorkSums()
 	one, two := inventory.CachedPrefix{Key: 1, Instance: 5}, inventory.CachedPrefix{Key: 2, Instance: 5}
-	own := peer.OwnWork{
+	own := peer.DaemonWork{
 		Incarnation: "a", Amounts: peer.PackWork(inventory.Work{5: {Waiting: 1000, Open: 1}}),
 		Readings: peer.PackReadings([]inventory.CachedPrefix{one}),
 	}
@@ -50,7 +50,7 @@
 	for key := range inventory.PrefixHash(maxUntold + 100) {
 		all = append(all, inventory.CachedPrefix{Key: key, Instance: 5})
 	}
-	w.add(peer.OwnWork{Incarnation: "a", Readings: peer.PackReadings(all)}, time.Now())
+	w.add(peer.DaemonWork{Incarnation: "a", Readings: peer.PackReadings(all)}, time.Now())
 	_, read := w.tellGroup(time.Now(), 40)
 	require.Equal(t, all[len(all)-40:], read)
 	_, read = w.tellGroup(time.Now(), maxUntold)
@@ -74,14 +74,14 @@
 	i := inventory.Instance{ID: "i", Service: "s"}
 	n.table.Begin(i, 500)
 	n.prompts.NoteSent(i, []inventory.Prefix{{Key: 7, Work: 1000}})
-	told := peer.GroupWork{
+	told := peer.FleetWork{
 		Amounts:  peer.PackWork(inventory.Work{i.Hash(): {Waiting: 2000, Open: 3}}),
 		Readings: peer.PackReadings([]inventory.CachedPrefix{{Key: 9, Instance: i.Hash()}}),
 	}
-	own := n.OnGroupWork(told)
+	own := n.OnFleetWork(told)
 	require.Equal(t, inventory.Work{i.Hash(): {Waiting: 500, Open: 1}}, peer.UnpackWork(own.Amounts))
 	require.Equal(t, []inventory.CachedPrefix{{Key: 7, Instance: i.Hash()}}, peer.UnpackReadings(own.Readings))
-	require.Empty(t, n.OnGroupWork(told).Readings)
+	require.Empty(t, n.OnFleetWork(told).Readings)
 	require.Equal(t, 1, n.prompts.CachedCount(i.Hash(), []inventory.Prefix{{Key: 9}}))
 	require.InDelta(t, 2000, n.table.Usable("s")[0].Waiting, 0.01)
 }
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -75,15 +75,15 @@
 type Options struct {
 	// RingTargets is the number of daemons, next on the ring, to which each daemon sends a
 	// heartbeat in every round. It is responsible for detecting their failure.
-	Watched int
+	RingTargets int
 	// RandomTargets is the number of further daemons, drawn at random, that get a heartbeat in
 	// every round, so that updates spread quickly.
-	Random int
+	RandomTargets int
 	// MaxUpdates is the maximum number of membership updates in one heartbeat.
-	EventsPerMessage int
+	MaxUpdates int
 	// RetransmitFactor times the binary logarithm of the number of daemons is how often a
 	// daemon sends each update.
-	Repeats int
+	RetransmitFactor int
 	// ForgetAfter is how long an incarnation that left or is suspect stays in the table.
 	ForgetAfter time.Duration
 }
@@ -137,7 +137,7 @@
 // Merge merges received updates into the table. A suspicion of this daemon itself is refuted;
 // without that, other daemons would exclude it permanently after a pause of the process or a
 // network partition.
-func (r *Registry) Learn(updates []Daemon) {
+func (r *Registry) Merge(updates []Daemon) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	changed := false
@@ -299,7 +299,7 @@
 // RanksFirst reports whether this daemon ranks first among the live daemons for a duty.
 // Daemons with different tables may get different results, so this does not exclude two
 // holders.
-func (r *Registry) Duty(name string) bool {
+func (r *Registry) RanksFirst(name string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	best, bestWeight := "", uint64(0)
@@ -318,7 +318,7 @@
 // All daemons with the same table get the same order, and a daemon that comes or goes does not
 // change the order of the others. keep is called with the registry locked and must not call
 // its methods.
-func (r *Registry) Firsts(name string, n int, keep func(Daemon) bool) []Daemon {
+func (r *Registry) TopRanked(name string, n int, keep func(Daemon) bool) []Daemon {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	live := r.list(func(d Daemon) bool { return d.State == Alive && keep(d) })
@@ -331,17 +331,17 @@
 // HeartbeatTargets returns the daemons to send the next heartbeat to: the next ones on the
 // ring of daemons sorted by incarnation, whose failure this daemon detects, and some drawn at
 // random. In a small installation these are all other daemons.
-func (r *Registry) Targets() []Daemon {
+func (r *Registry) HeartbeatTargets() []Daemon {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	self, _ := slices.BinarySearchFunc(r.sorted, r.self.Incarnation, func(d Daemon, id string) int {
 		return cmp.Compare(d.Incarnation, id)
 	})
 	n := len(r.sorted)
-	wanted := r.options.Watched + r.options.Random
+	wanted := r.options.RingTargets + r.options.RandomTargets
 	var out []Daemon
 	for i := 1; i < n && len(out) < wanted; i++ {
-		if len(out) == r.options.Watched && n-i > wanted {
+		if len(out) == r.options.RingTargets && n-i > wanted {
 			break
 		}
 		if d := r.sorted[(self+i)%n]; d.State != Left {
@@ -371,10 +371,10 @@
 // NextUpdates returns the updates to send in the next heartbeat, least often sent first, and
 // counts them as sent. An update that each daemon sends three times the binary logarithm of
 // the number of daemons reaches all of them with high probability.
-func (r *Registry) News() []Daemon {
+func (r *Registry) NextUpdates() []Daemon {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	limit := r.options.Repeats * bits.Len(uint(len(r.records)))
+	limit := r.options.RetransmitFactor * bits.Len(uint(len(r.records)))
 	var pending []*record
 	for _, rec := range r.records {
 		if rec.transmissions < limit {
@@ -383,7 +383,7 @@
 	}
 	slices.SortFunc(pending, func(a, b *record) int { return cmp.Compare(a.transmissions, b.transmissions) })
 	var out []Daemon
-	for _, rec := range pending[:min(len(pending), r.options.EventsPerMessage)] {
+	for _, rec := range pending[:min(len(pending), r.options.MaxUpdates)] {
 		rec.transmissions++
 		out = append(out, rec.daemon)
 	}
@@ -391,7 +391,7 @@
 }
 
 // RemoveExpired removes incarnations that left, or became suspect, more than ForgetAfter ago.
-func (r *Registry) Forget() {
+func (r *Registry) RemoveExpired() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock.Now()
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -19,7 +19,7 @@
 }
 
 func registry(n int, clock clockwork.Clock) *Registry {
-	return NewRegistry(daemon(n), clock, Options{Watched: 2, Random: 2, EventsPerMessage: 16, Repeats: 3, ForgetAfter: time.Hour}, rand.New(rand.NewPCG(uint64(n), 1)))
+	return NewRegistry(daemon(n), clock, Options{RingTargets: 2, RandomTargets: 2, MaxUpdates: 16, RetransmitFactor: 3, ForgetAfter: time.Hour}, rand.New(rand.NewPCG(uint64(n), 1)))
 }
 
 // A suspected daemon must become alive again when it refutes the suspicion, for example after
@@ -28,20 +28,20 @@
 func TestSuspicionIsRefutedAndLeavingIsFinal(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	a, b := registry(1, clock), registry(2, clock)
-	a.Learn([]Daemon{daemon(2)})
+	a.Merge([]Daemon{daemon(2)})
 	old := a.All()
 	a.Suspect("d0002")
 	require.Len(t, a.Live(), 1)
 	require.Empty(t, a.Dead(time.Second))
 	clock.Advance(time.Second)
 	require.Equal(t, []string{"d0002"}, a.Dead(time.Second))
-	b.Learn(a.All())
+	b.Merge(a.All())
 	require.Equal(t, Alive, b.Self().State)
-	a.Learn([]Daemon{b.Self()})
+	a.Merge([]Daemon{b.Self()})
 	require.Len(t, a.Live(), 2)
 	b.SetSelf(func(d *Daemon) { d.State = Leaving })
-	a.Learn([]Daemon{b.Self()})
-	a.Learn(old)
+	a.Merge([]Daemon{b.Self()})
+	a.Merge(old)
 	a.Suspect("d0002")
 	got, _ := a.Get("d0002")
 	require.Equal(t, Leaving, got.State)
@@ -59,20 +59,20 @@
 	byAddress := map[string]*Registry{}
 	for i := range n {
 		r := registry(i, clock)
-		r.Learn(everyone)
+		r.Merge(everyone)
 		all = append(all, r)
 		byAddress[daemon(i).PeerAddress] = r
 	}
 	for _, r := range all {
 		for range 64 {
-			r.News() // use up the transmissions of the initial entries
+			r.NextUpdates() // use up the transmissions of the initial entries
 		}
 	}
 	all[0].SetSelf(func(d *Daemon) { d.State = Leaving })
 	for round := 1; round < 100; round++ {
 		for _, r := range all {
-			for _, target := range r.Targets() {
-				byAddress[target.PeerAddress].Learn(r.News())
+			for _, target := range r.HeartbeatTargets() {
+				byAddress[target.PeerAddress].Merge(r.NextUpdates())
 			}
 		}
 		informed := 0
@@ -108,8 +108,8 @@
 	watched := map[string]int{}
 	for i := range n {
 		r := registry(i, clock)
-		r.Learn(everyone)
-		for _, target := range r.Targets()[:2] {
+		r.Merge(everyone)
+		for _, target := range r.HeartbeatTargets()[:2] {
 			watched[target.Incarnation]++
 		}
 	}
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -174,19 +174,19 @@
 }
 
 // HoldBills sends copies of bills for the peer to hold.
-func (c *Client) Hold(ctx context.Context, address string, r HoldRequest) error {
+func (c *Client) HoldBills(ctx context.Context, address string, r HoldRequest) error {
 	_, err := callPeer[Empty](ctx, c, address, "Hold", r)
 	return err
 }
 
 // ReleaseBills asks the peer to drop copies of bills.
-func (c *Client) Release(ctx context.Context, address string, r ReleaseRequest) error {
+func (c *Client) ReleaseBills(ctx context.Context, address string, r ReleaseRequest) error {
 	_, err := callPeer[Empty](ctx, c, address, "Release", r)
 	return err
 }
 
 // TakeKey asks the peer for the ownership of an idempotency key.
-func (c *Client) Take(ctx context.Context, address string, r TakeRequest) (claim.Result, error) {
+func (c *Client) TakeKey(ctx context.Context, address string, r TakeRequest) (claim.Result, error) {
 	return callPeer[claim.Result](ctx, c, address, "Take", r)
 }
 
@@ -197,13 +197,13 @@
 
 // RequestCredits asks the daemon that holds the lease of a roll-out for exposure credits and
 // returns the number granted.
-func (c *Client) Credit(ctx context.Context, address string, r CreditRequest) (int, error) {
+func (c *Client) RequestCredits(ctx context.Context, address string, r CreditRequest) (int, error) {
 	return callPeer[int](ctx, c, address, "Credit", r)
 }
 
 // ReportDemand reports the demand of organisations and returns the shares of their limits that
 // this daemon may use.
-func (c *Client) Demand(ctx context.Context, address string, r DemandRequest) (map[string]limit.Share, error) {
+func (c *Client) ReportDemand(ctx context.Context, address string, r DemandRequest) (map[string]limit.Share, error) {
 	return callPeer[map[string]limit.Share](ctx, c, address, "Demand", r)
 }
 
--- a/internal/peer/codec_test.go
+++ b/internal/peer/codec_test.go
@@ -16,10 +16,10 @@
 type echoHandler struct{ RoutesHandler }
 
 // OnHeartbeat implements RoutesHandler.
-func (echoHandler) OnBeat(b Beat) Beat { return b }
+func (echoHandler) OnHeartbeat(b RoutesHeartbeat) RoutesHeartbeat { return b }
 
 // OnRolloutState implements RoutesHandler.
-func (echoHandler) OnState(shift.State) {}
+func (echoHandler) OnRolloutState(shift.State) {}
 
 // Client and server must count each frame under its method, with the same number of bytes.
 // Operators use these counters to find out which calls fill the link of a daemon.
@@ -30,10 +30,10 @@
 	client := NewClient(nil)
 	defer client.Close()
 	for range 3 {
-		_, err = client.Beat(context.Background(), server.Address(), Beat{Digest: 7})
+		_, err = client.RoutesHeartbeat(context.Background(), server.Address(), RoutesHeartbeat{Digest: 7})
 		require.NoError(t, err)
 	}
-	require.NoError(t, client.State(context.Background(), server.Address(), shift.State{Service: "s"}))
+	require.NoError(t, client.SendRolloutState(context.Background(), server.Address(), shift.State{Service: "s"}))
 
 	called := client.Traffic().ByMethod()
 	require.Equal(t, int64(3), called["Routes.Beat"].Calls)
@@ -62,6 +62,6 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	const frameBytes = 64 << 20
-	err = client.News(ctx, listener.Addr().String(), News{Manifest: make([]byte, frameBytes)})
+	err = client.SendStoreUpdate(ctx, listener.Addr().String(), StoreUpdate{Manifest: make([]byte, frameBytes)})
 	require.Error(t, err)
 }
--- a/internal/peer/quarantine.go
+++ b/internal/peer/quarantine.go
@@ -22,14 +22,14 @@
 
 // QuarantineEvidenceRequest asks a daemon for its evidence about requests before they are
 // quarantined.
-type InquiryRequest struct {
+type QuarantineEvidenceRequest struct {
 	Digests []quarantine.Digest
 	// Within is the maximum age of the crashes to return.
 	Within time.Duration
 }
 
 // QuarantineEvidence is what a daemon knows about requests that may be quarantined.
-type Inquiry struct {
+type QuarantineEvidence struct {
 	// Up is how long the daemon has been running. It has no evidence from before its start.
 	Up time.Duration
 	// Finished has, for those of the requests that recently ran to completion at this daemon,
@@ -41,7 +41,7 @@
 }
 
 // QuarantineUpdate has requests that were quarantined or released.
-type QuarantineNews struct {
+type QuarantineUpdate struct {
 	From    string
 	Entries []quarantine.Entry
 }
@@ -53,29 +53,29 @@
 }
 
 // Inquire returns the evidence of this daemon about some requests.
-func (s *routesService) Inquire(in InquiryRequest, out *Inquiry) error {
-	*out = s.handler.OnInquiry(in)
+func (s *routesService) Inquire(in QuarantineEvidenceRequest, out *QuarantineEvidence) error {
+	*out = s.handler.OnQuarantineEvidence(in)
 	return nil
 }
 
 // Quarantine receives requests that were quarantined or released.
-func (s *routesService) Quarantine(in QuarantineNews, _ *Empty) error {
-	s.handler.OnQuarantine(in)
+func (s *routesService) Quarantine(in QuarantineUpdate, _ *Empty) error {
+	s.handler.OnQuarantineUpdate(in)
 	return nil
 }
 
 // ReportCrashes sends a crash report to a peer that decides about quarantine.
-func (c *Client) Crashes(ctx context.Context, address string, r CrashReport) (CrashReply, error) {
+func (c *Client) ReportCrashes(ctx context.Context, address string, r CrashReport) (CrashReply, error) {
 	return callService[CrashReply](ctx, c, address, routesName, "Crashes", r)
 }
 
 // QuarantineEvidence asks a peer for its evidence about some requests.
-func (c *Client) Inquire(ctx context.Context, address string, r InquiryRequest) (Inquiry, error) {
-	return callService[Inquiry](ctx, c, address, routesName, "Inquire", r)
+func (c *Client) QuarantineEvidence(ctx context.Context, address string, r QuarantineEvidenceRequest) (QuarantineEvidence, error) {
+	return callService[QuarantineEvidence](ctx, c, address, routesName, "Inquire", r)
 }
 
 // SendQuarantineUpdate sends requests that were quarantined or released to a peer.
-func (c *Client) Quarantine(ctx context.Context, address string, n QuarantineNews) error {
+func (c *Client) SendQuarantineUpdate(ctx context.Context, address string, n QuarantineUpdate) error {
 	_, err := callService[Empty](ctx, c, address, routesName, "Quarantine", n)
 	return err
 }
--- a/internal/peer/relay.go
+++ b/internal/peer/relay.go
@@ -16,12 +16,12 @@
 	// second time has no effect.
 	Commit *backing.Txn
 	// Publish writes the status of a roll-out for the operator.
-	Publish *Publication
+	Publish *RolloutStatusWrite
 }
 
 // RolloutStatusWrite writes the status of a roll-out for the operator, provided that the row
 // named by Guard still has the revision given there.
-type Publication struct {
+type RolloutStatusWrite struct {
 	Service string
 	To      string
 	Phase   shift.Phase
--- a/internal/peer/routes.go
+++ b/internal/peer/routes.go
@@ -17,7 +17,7 @@
 // RoutesHeartbeat is the heartbeat between these daemons, used as request and as reply. Its
 // versions, revisions and digests let the receiver find out what it lacks; it then asks with a
 // SyncRequest.
-type Beat struct {
+type RoutesHeartbeat struct {
 	From member.Daemon
 	// News are recent membership changes.
 	News []member.Daemon
@@ -45,7 +45,7 @@
 // list of upstream instances and that of daemons are some tens of kilobytes each in a large
 // fleet, so each kind is sent only when asked for. If every difference caused both lists to be
 // sent, they would make up a third of the traffic between failure domains.
-type BeliefsRequest struct {
+type SyncRequest struct {
 	// Config is the version of the sender's configuration; a newer one is returned.
 	Config int64
 	// Instances asks for the list of upstream instances if its revision is newer than List.
@@ -64,7 +64,7 @@
 
 // SyncReply is the requested part of what a daemon knows about the installation. A daemon that
 // starts while the platform's store is unreachable takes its initial state from it.
-type Beliefs struct {
+type SyncReply struct {
 	// Manifest is the encoded configuration; empty if it is not newer than SyncRequest.Config.
 	Manifest []byte
 	// Instances is the list of upstream instances; nil if it was not requested or is not newer
@@ -86,7 +86,7 @@
 
 // StoreUpdate is what a daemon that reads the store sends to the daemons of its group that do
 // not.
-type News struct {
+type StoreUpdate struct {
 	From string
 	// Manifest is the encoded configuration; empty if it has not changed or is too large to be
 	// passed on.
@@ -132,31 +132,31 @@
 
 // RoutesHandler handles the calls of the Routes service.
 type RoutesHandler interface {
-	OnBeat(b Beat) Beat
-	OnBeliefs(r BeliefsRequest) Beliefs
+	OnHeartbeat(b RoutesHeartbeat) RoutesHeartbeat
+	OnSync(r SyncRequest) SyncReply
 	OnEvidence(r EvidenceRequest) shift.Evidence
-	OnState(s shift.State)
-	OnNews(n News)
-	OnGroupWork(w GroupWork) OwnWork
+	OnRolloutState(s shift.State)
+	OnStoreUpdate(n StoreUpdate)
+	OnFleetWork(w FleetWork) DaemonWork
 	OnDomainWork(w DomainWork)
 	OnStoreCall(c StoreCall) StoreReply
 	OnCrashes(r CrashReport) CrashReply
-	OnInquiry(r InquiryRequest) Inquiry
-	OnQuarantine(n QuarantineNews)
+	OnQuarantineEvidence(r QuarantineEvidenceRequest) QuarantineEvidence
+	OnQuarantineUpdate(n QuarantineUpdate)
 }
 
 // routesService exposes a RoutesHandler with the method signatures that net/rpc requires.
 type routesService struct{ handler RoutesHandler }
 
 // Beat receives a heartbeat and returns that of this daemon.
-func (s *routesService) Beat(in Beat, out *Beat) error {
-	*out = s.handler.OnBeat(in)
+func (s *routesService) Beat(in RoutesHeartbeat, out *RoutesHeartbeat) error {
+	*out = s.handler.OnHeartbeat(in)
 	return nil
 }
 
 // Beliefs returns the requested parts of this daemon's state.
-func (s *routesService) Beliefs(in BeliefsRequest, out *Beliefs) error {
-	*out = s.handler.OnBeliefs(in)
+func (s *routesService) Beliefs(in SyncRequest, out *SyncReply) error {
+	*out = s.handler.OnSync(in)
 	return nil
 }
 
@@ -168,19 +168,19 @@
 
 // State receives the state of a roll-out.
 func (s *routesService) State(in shift.State, _ *Empty) error {
-	s.handler.OnState(in)
+	s.handler.OnRolloutState(in)
 	return nil
 }
 
 // News receives an update from a daemon that reads the store.
-func (s *routesService) News(in News, _ *Empty) error {
-	s.handler.OnNews(in)
+func (s *routesService) News(in StoreUpdate, _ *Empty) error {
+	s.handler.OnStoreUpdate(in)
 	return nil
 }
 
 // GroupWork receives the work of all daemons and returns that of this daemon.
-func (s *routesService) GroupWork(in GroupWork, out *OwnWork) error {
-	*out = s.handler.OnGroupWork(in)
+func (s *routesService) GroupWork(in FleetWork, out *DaemonWork) error {
+	*out = s.handler.OnFleetWork(in)
 	return nil
 }
 
@@ -191,30 +191,30 @@
 }
 
 // SendStoreUpdate sends an update read from the store to a peer.
-func (c *Client) News(ctx context.Context, address string, n News) error {
+func (c *Client) SendStoreUpdate(ctx context.Context, address string, n StoreUpdate) error {
 	_, err := callService[Empty](ctx, c, address, routesName, "News", n)
 	return err
 }
 
 // SendFleetWork sends the work of all daemons to a peer and returns that of the peer.
-func (c *Client) GroupWork(ctx context.Context, address string, w GroupWork) (OwnWork, error) {
-	return callService[OwnWork](ctx, c, address, routesName, "GroupWork", w)
+func (c *Client) SendFleetWork(ctx context.Context, address string, w FleetWork) (DaemonWork, error) {
+	return callService[DaemonWork](ctx, c, address, routesName, "GroupWork", w)
 }
 
 // SendDomainWork sends the work of this failure domain to a peer in another one.
-func (c *Client) DomainWork(ctx context.Context, address string, w DomainWork) error {
+func (c *Client) SendDomainWork(ctx context.Context, address string, w DomainWork) error {
 	_, err := callService[Empty](ctx, c, address, routesName, "DomainWork", w)
 	return err
 }
 
 // RoutesHeartbeat sends a heartbeat and returns the heartbeat of the peer.
-func (c *Client) Beat(ctx context.Context, address string, b Beat) (Beat, error) {
-	return callService[Beat](ctx, c, address, routesName, "Beat", b)
+func (c *Client) RoutesHeartbeat(ctx context.Context, address string, b RoutesHeartbeat) (RoutesHeartbeat, error) {
+	return callService[RoutesHeartbeat](ctx, c, address, routesName, "Beat", b)
 }
 
 // Sync fetches the requested parts of a peer's state.
-func (c *Client) Beliefs(ctx context.Context, address string, r BeliefsRequest) (Beliefs, error) {
-	return callService[Beliefs](ctx, c, address, routesName, "Beliefs", r)
+func (c *Client) Sync(ctx context.Context, address string, r SyncRequest) (SyncReply, error) {
+	return callService[SyncReply](ctx, c, address, routesName, "Beliefs", r)
 }
 
 // Evidence fetches a peer's measurements of a roll-out.
@@ -223,7 +223,7 @@
 }
 
 // SendRolloutState sends the state of a roll-out to a peer.
-func (c *Client) State(ctx context.Context, address string, s shift.State) error {
+func (c *Client) SendRolloutState(ctx context.Context, address string, s shift.State) error {
 	_, err := callService[Empty](ctx, c, address, routesName, "State", s)
 	return err
 }
--- a/internal/peer/work.go
+++ b/internal/peer/work.go
@@ -8,7 +8,7 @@
 
 // FleetWork is the outstanding work of all daemons at upstream instances. A daemon that reads
 // the store sends it to the daemons of its group.
-type GroupWork struct {
+type FleetWork struct {
 	// Amounts is the work per instance, encoded by PackWork.
 	Amounts []byte
 	// Readings are the prompt prefixes that daemons sent to instances since the last message,
@@ -18,7 +18,7 @@
 
 // DaemonWork is the reply to FleetWork: the outstanding work of one daemon, and the prompt
 // prefixes that it sent to instances.
-type OwnWork struct {
+type DaemonWork struct {
 	Incarnation string
 	Amounts     []byte
 	Readings    []byte
--- a/test/capacity/bytes.go
+++ b/test/capacity/bytes.go
@@ -141,7 +141,7 @@
 		}},
 		{"whole table of daemons", "daemon", []int{100, 400, 1300}, func(p *peerPair, n int) func() error {
 			for i := range n {
-				p.node.Registry().Learn([]member.Daemon{daemonEntry(i)})
+				p.node.Registry().Merge([]member.Daemon{daemonEntry(i)})
 			}
 			return func() error { _, err := p.client.Members(ctx, p.address()); return err }
 		}},
@@ -151,7 +151,7 @@
 				bills = append(bills, billOf(incarnation, i, ledger.Open))
 			}
 			return func() error {
-				return p.client.Hold(ctx, p.address(), peer.HoldRequest{Owner: incarnation, Bills: bills})
+				return p.client.HoldBills(ctx, p.address(), peer.HoldRequest{Owner: incarnation, Bills: bills})
 			}
 		}},
 		{"demand of organisations", "organisation", []int{1, 10, 100}, func(p *peerPair, n int) func() error {
@@ -160,7 +160,7 @@
 				d = append(d, limit.Demand{Organisation: fmt.Sprintf("org-%d", i), Used: 0.123456789})
 			}
 			return func() error {
-				_, err := p.client.Demand(ctx, p.address(), peer.DemandRequest{From: incarnation, Demands: d})
+				_, err := p.client.ReportDemand(ctx, p.address(), peer.DemandRequest{From: incarnation, Demands: d})
 				return err
 			}
 		}},
--- a/test/capacity/memory.go
+++ b/test/capacity/memory.go
@@ -54,10 +54,10 @@
 
 func registryOf(n int) *member.Registry {
 	r := member.NewRegistry(daemonEntry(0), clock, member.Options{
-		Watched: 2, Random: 2, EventsPerMessage: 16, Repeats: 3, ForgetAfter: time.Hour,
+		RingTargets: 2, RandomTargets: 2, MaxUpdates: 16, RetransmitFactor: 3, ForgetAfter: time.Hour,
 	}, rand.New(rand.NewPCG(1, 1)))
 	for i := range n {
-		r.Learn([]member.Daemon{daemonEntry(i + 1)})
+		r.Merge([]member.Daemon{daemonEntry(i + 1)})
 	}
 	return r
 }
@@ -148,11 +148,11 @@
 		}),
 		measure("daemons known: choosing heartbeat targets", "us", "daemon", []int{100, 400, 1300}, func(n int) float64 {
 			r := registryOf(n)
-			return took(200, func() { r.Targets() })
+			return took(200, func() { r.HeartbeatTargets() })
 		}),
 		measure("daemons known: duty check", "us", "daemon", []int{100, 400, 1300}, func(n int) float64 {
 			r := registryOf(n)
-			return took(200, func() { r.Duty("x") })
+			return took(200, func() { r.RanksFirst("x") })
 		}),
 		measure("upstreams seen: memory", "B", "upstream", []int{16, 64, 256}, func(n int) float64 {
 			return heap(func() any { return upstreamsOf(n) })
