--- a/internal/daemon/node.go
+++ b/internal/daemon/node.go
@@ -72,8 +72,8 @@
 	holdings   *ledger.Holdings
 	limits     *limit.Organisations
 	allocator  *limit.Allocator
-	ratings    *rating.Table
-	exposure   *rollout.Exposure
+	ratings    *rating.Counter
+	exposure   *rollout.DaemonCredits
 	controller *rollout.Controller
 	dispatcher *dispatch.Dispatcher
 	engines    *upstream.Client
@@ -161,8 +161,8 @@
 	n.claims = claim.NewTable(n.incarnation, n.clock)
 	n.limits = limit.NewOrganisations(n.clock, n.sharers)
 	n.allocator = limit.NewAllocator(n.clock, n.sharers)
-	n.ratings = rating.NewTable()
-	n.exposure = rollout.NewExposure(n.clock)
+	n.ratings = rating.NewCounter()
+	n.exposure = rollout.NewDaemonCredits(n.clock)
 	n.requests = ident.NewRequests(n.incarnation)
 }
 
@@ -235,8 +235,8 @@
 		NewLease: func(name string) rollout.Lease {
 			return lease.New(name, n.incarnation, settings.MS(t.LeaseMS), n.platform, n.clock)
 		},
-		Duty:  n.registry.RanksFirst,
-		Table: n.platform,
+		Eligible: n.registry.RanksFirst,
+		Table:    n.platform,
 	})
 }
 
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -92,8 +92,8 @@
 	Billing       Billing
 	Judge         Judge
 	Signer        *session.Signer
-	Ratings       *rating.Table
-	Exposure      *rollout.Exposure
+	Ratings       *rating.Counter
+	Exposure      *rollout.DaemonCredits
 	// Policy returns the policy in force for upstreams.
 	Policy func() config.UpstreamPolicy
 	Seed   uint64
--- a/internal/entry/duty.go
+++ b/internal/entry/duty.go
@@ -61,7 +61,7 @@
 	// the sum that the last holder stored, resumed is set once it is in the
 	// tally, and seenAt is when this daemon last stored it.
 	tally   *shift.Tally
-	stored  shift.Seen
+	stored  shift.Totals
 	resumed bool
 	seenAt  time.Time
 	// guarded is when this daemon last looked at the evidence without holding
@@ -106,7 +106,7 @@
 			continue
 		}
 		running := map[string]bool{}
-		for _, active := range d.book.Running() {
+		for _, active := range d.book.Unfinished() {
 			running[active.Order.Service] = true
 			d.look(ctx, active)
 		}
@@ -135,7 +135,7 @@
 }
 
 // look does what is due for one roll-out.
-func (d *duties) look(ctx context.Context, active shift.Active) {
+func (d *duties) look(ctx context.Context, active shift.UnfinishedRollout) {
 	service := active.Order.Service
 	one, ok := d.byService[service]
 	if !ok || one.order != active.Order.ID {
@@ -154,8 +154,8 @@
 		return
 	}
 	// What was read may have brought a newer state and the time of the order.
-	running := d.book.Running()
-	now := slices.IndexFunc(running, func(a shift.Active) bool { return a.Order.Service == service })
+	running := d.book.Unfinished()
+	now := slices.IndexFunc(running, func(a shift.UnfinishedRollout) bool { return a.Order.Service == service })
 	if now >= 0 {
 		d.decide(ctx, one, running[now])
 	}
@@ -167,7 +167,7 @@
 		lease: lease.New("shift/"+order.Service, holderName(self.Incarnation, self.PeerAddress), leaseTime, d.table, d.clock),
 		order: order.ID, era: d.store.Era(), began: d.clock.Now(), tally: shift.NewTally(order.ID),
 	}
-	one.lease.Gone = d.holderGone
+	one.lease.HolderEnded = d.holderGone
 	return one
 }
 
@@ -217,7 +217,7 @@
 }
 
 // load reads the stored state, from which a new holder goes on.
-func (d *duties) load(ctx context.Context, one *duty, active shift.Active) bool {
+func (d *duties) load(ctx context.Context, one *duty, active shift.UnfinishedRollout) bool {
 	row, err := d.table.Get(ctx, statePrefix+active.Order.Service)
 	switch {
 	case trace.IsNotFound(err):
@@ -244,13 +244,13 @@
 
 // decide looks at the evidence of all daemons, and writes and spreads what
 // follows from it.
-func (d *duties) decide(ctx context.Context, one *duty, active shift.Active) {
+func (d *duties) decide(ctx context.Context, one *duty, active shift.UnfinishedRollout) {
 	order, state, began := active.Order, active.State, d.clock.Now()
 	known, missing := d.evidence(ctx, one, order)
 	if !one.resumed {
-		one.tally.Resume(one.stored)
+		one.tally.Restore(one.stored)
 		one.resumed = true
-		seen := one.tally.Seen()
+		seen := one.tally.Totals()
 		known.Fresh, known.Old = seen.Fresh, seen.Old
 	}
 	// A live daemon that does not answer may still have requests at old
@@ -260,7 +260,7 @@
 		// Near the end of its time two steps may be due from one look: the next
 		// look, which waits for daemons that do not answer, would come late.
 		known.Elapsed = active.Elapsed + d.clock.Since(began)
-		next := shift.Next(state, order, known, shift.Exposure(d.settings.ExposureShare))
+		next := shift.NextState(state, order, known, shift.ExposureLimit(d.settings.ExposureShare))
 		if next.Step == state.Step {
 			break
 		}
@@ -299,13 +299,13 @@
 	if one.told != state.Phase && !d.tell(ctx, one, order, state.Phase) {
 		return
 	}
-	state = state.AfterTelling()
+	state = state.MarkTold()
 	if d.write(ctx, one, &state, elapsed) {
 		d.spread(ctx, state)
 	}
 }
 
-func (d *duties) logDecision(one *duty, order shift.Order, next shift.State, known shift.Known, missing int) {
+func (d *duties) logDecision(one *duty, order shift.Order, next shift.State, known shift.DecisionInput, missing int) {
 	fresh, old := known.Fresh.Total(), known.Old.Total()
 	slog.Info("rollout.decided", "service", order.Service, "to", order.To, "order", order.ID, "phase", string(next.Phase),
 		"share", next.Share, "held", len(next.Held), "elapsed_ms", known.Elapsed.Milliseconds(), "fresh", fresh.Requests, "fresh_bad", fresh.Bad,
@@ -320,7 +320,7 @@
 	key := statePrefix + next.Service
 	revision, err := d.table.Commit(ctx, backing.Txn{
 		Checks: []backing.Check{one.lease.Check(), {Key: key, Revision: one.revision}},
-		Puts:   []backing.Put{backing.PutJSON(key, storedState{State: *next, Seen: one.tally.Seen()})},
+		Puts:   []backing.Put{backing.PutJSON(key, storedState{State: *next, Seen: one.tally.Totals()})},
 	})
 	if err != nil {
 		slog.Warn("rollout.not_written", "service", next.Service, "step", next.Step, "error", err)
@@ -345,7 +345,7 @@
 
 // evidence asks every live daemon what it has seen. missing is how many did not
 // answer.
-func (d *duties) evidence(ctx context.Context, one *duty, order shift.Order) (known shift.Known, missing int) {
+func (d *duties) evidence(ctx context.Context, one *duty, order shift.Order) (known shift.DecisionInput, missing int) {
 	all := []shift.Evidence{d.ownEvidence(order.Service)}
 	var mu sync.Mutex
 	// Only its holder says that the duty has one.
@@ -361,9 +361,9 @@
 		all = append(all, e)
 	})
 	for _, e := range all {
-		one.tally.Take(e)
+		one.tally.Update(e)
 	}
-	return one.tally.Known(all), missing
+	return one.tally.Input(all), missing
 }
 
 func (n *Node) ownEvidence(service string) shift.Evidence {
--- a/internal/entry/duty_test.go
+++ b/internal/entry/duty_test.go
@@ -70,7 +70,7 @@
 		clock.Advance(time.Millisecond)
 		// Other calls are answered, so that the store is asked again at once.
 		n.contact.note(clock.Now(), clock.Now(), nil)
-		for _, active := range n.book.Running() {
+		for _, active := range n.book.Unfinished() {
 			n.duties.look(context.Background(), active)
 		}
 	}
--- a/internal/entry/guard.go
+++ b/internal/entry/guard.go
@@ -21,13 +21,13 @@
 // it was written.
 type storedState struct {
 	shift.State
-	Seen shift.Seen `json:"seen"`
+	Seen shift.Totals `json:"seen"`
 }
 
 // seen is what was seen of an order; nothing of another one.
-func (s storedState) seen(order int64) shift.Seen {
+func (s storedState) seen(order int64) shift.Totals {
 	if s.Order != order {
-		return shift.Seen{}
+		return shift.Totals{}
 	}
 	return s.Seen
 }
@@ -39,7 +39,7 @@
 // went on meanwhile: each daemon's own evidence was too thin to stop it. Stopping
 // needs no lease, since it can only lessen the damage; the daemons next in line
 // therefore add up the evidence of all, and tell all when it condemns the version.
-func (d *duties) guard(ctx context.Context, one *duty, active shift.Active) {
+func (d *duties) guard(ctx context.Context, one *duty, active shift.UnfinishedRollout) {
 	state := active.State
 	if state.Phase != shift.Running || state.Stopped || !d.vacant(active.Order.Service, one) ||
 		d.clock.Since(one.guarded) < guardInterval {
@@ -47,7 +47,7 @@
 	}
 	one.guarded = d.clock.Now()
 	known, missing := d.evidence(ctx, one, active.Order)
-	if !shift.Bad(known.Fresh, known.Old) {
+	if !shift.Regressed(known.Fresh, known.Old) {
 		return
 	}
 	fresh, old := known.Fresh.Total(), known.Old.Total()
--- a/internal/entry/node.go
+++ b/internal/entry/node.go
@@ -58,7 +58,7 @@
 
 	registry *member.Registry
 	table    *inventory.Table
-	book     *shift.Book
+	book     *shift.Tracker
 	pool     *upconn.Pool
 	retries  *limit.FleetBudget
 	metrics  *forward.Metrics
@@ -133,7 +133,7 @@
 	}, clock, member.Options{
 		RingTargets: watchedPeers, RandomTargets: randomPeers, MaxUpdates: newsPerBeat, RetransmitFactor: newsRepeats, ForgetAfter: forgetDaemons,
 	}, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
-	n.book = shift.NewBook(clock, settings.Seconds(s.SessionS), shift.Exposure(s.ExposureShare), n.table.InFlight)
+	n.book = shift.NewTracker(clock, settings.Seconds(s.SessionS), shift.ExposureLimit(s.ExposureShare), n.table.InFlight)
 	n.seeds.Store(&s.Seeds)
 	n.retries = limit.NewFleetBudget(retryPolicy(s), clock, n.sharers)
 	n.quarantine = newQuarantined(n)
@@ -278,7 +278,7 @@
 func (n *Node) tidyLoop(ctx context.Context) {
 	for n.pause(ctx, tidyInterval) {
 		n.table.Expire()
-		n.book.Expire()
+		n.book.ExpireSessions()
 		n.registry.RemoveExpired()
 		n.quarantine.list.Expire()
 		addresses := n.table.Addresses()
--- a/internal/entry/operator.go
+++ b/internal/entry/operator.go
@@ -212,7 +212,7 @@
 }
 
 func (n *Node) ordered(o shift.Order, source string) {
-	if n.book.Ordered(o) {
+	if n.book.AddOrder(o) {
 		slog.Info("rollout.ordered", "service", o.Service, "to", o.To, "order", o.ID, "allowed_ms", o.Allowed.Milliseconds(), "source", source)
 	}
 }
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -315,11 +315,11 @@
 func (n *Node) learnState(s shift.State, source string) {
 	if now, ok := n.store.Clock(); ok && s.OrderedMS > 0 {
 		age := time.Duration(now-s.OrderedMS) * time.Millisecond
-		if n.book.Aged(s.Service, s.Order, age) {
+		if n.book.UpdateAge(s.Service, s.Order, age) {
 			slog.Info("rollout.aged", "service", s.Service, "order", s.Order, "age_ms", age.Milliseconds(), "source", source)
 		}
 	}
-	if n.book.Learn(s) {
+	if n.book.ApplyState(s) {
 		slog.Info("rollout.state", "service", s.Service, "to", s.To, "phase", string(s.Phase), "share", s.Share,
 			"stopped", s.Stopped, "step", s.Step, "held", len(s.Held), "source", source)
 	}
--- a/internal/entry/restore.go
+++ b/internal/entry/restore.go
@@ -67,7 +67,7 @@
 	n.contact.restored(now)
 	n.settling.begin(until)
 	n.table.SetStaleUntil(until)
-	n.book.Retell()
+	n.book.ResetTold()
 	n.quarantine.saveAgain()
 	n.question.abandon()
 	n.clock.AfterFunc(restoreTime, n.question.abandon)
@@ -80,7 +80,7 @@
 	}
 	var orders []shift.Order
 	for _, o := range news.Orders {
-		if !n.book.Contradicts(o) {
+		if !n.book.Conflicts(o) {
 			orders = append(orders, o)
 		}
 	}
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -60,7 +60,7 @@
 	rule := q.Versions.Rule(q.service.Name, q.session())
 	usable := q.Table.Usable(q.service.Name)
 	announced := slices.DeleteFunc(slices.Clone(usable), func(v inventory.View) bool {
-		return v.Unannounced && !rule.Ordered(v.Instance.Version)
+		return v.Unannounced && !rule.IsTarget(v.Instance.Version)
 	})
 	if left := q.allowed(rule, announced); len(left) > 0 {
 		return left
@@ -71,16 +71,16 @@
 // allowed returns those of some instances that the rule for versions prefers.
 func (q *request) allowed(rule shift.Rule, views []inventory.View) []place.Candidate {
 	prompt := q.prompt()
-	for _, side := range rule.Sides() {
+	for _, side := range rule.Groups() {
 		var group []place.Candidate
 		for _, v := range views {
 			if side.Accept(v.Instance.Version) {
 				c := q.candidate(v, prompt)
-				c.Canary = side.Part > 0
+				c.Canary = side.InstanceFraction > 0
 				group = append(group, c)
 			}
 		}
-		if left := q.untried(group, side.Part); len(left) > 0 {
+		if left := q.untried(group, side.InstanceFraction); len(left) > 0 {
 			return left
 		}
 	}
--- a/internal/forward/evidence.go
+++ b/internal/forward/evidence.go
@@ -21,7 +21,7 @@
 	events  int
 	eventAt time.Time
 	// told is what was told of the attempt while it is under way.
-	told shift.Told
+	told shift.Reported
 	// paced is set once the pace of its events has been told for good.
 	paced bool
 	// look is the timer of the next look at an attempt that may be overdue; nil once the
@@ -97,8 +97,8 @@
 	o = a.identity()
 	switch {
 	case a.headAt.IsZero() && now.Sub(a.sentAt) > a.overdueAfter():
-		o.Took = now.Sub(a.sentAt)
-		a.told.Took = o.Took
+		o.Latency = now.Sub(a.sentAt)
+		a.told.Latency = o.Latency
 	case !a.headAt.IsZero() && a.route.Kind == catalog.Stream && !a.paced && now.Sub(a.headAt) > slowStream:
 		o.Pace = now.Sub(a.headAt) / time.Duration(a.events+1)
 		a.told.Pace = o.Pace
@@ -125,12 +125,12 @@
 		o.Unfinished = true
 		return o, o.Pace > 0
 	case inventory.OutcomeTimeout:
-		o.Took = time.Since(a.sentAt)
+		o.Latency = time.Since(a.sentAt)
 		return o, true
 	}
 	o.Bad = outcome == inventory.OutcomeFailed
 	if !a.headAt.IsZero() && !a.warming {
-		o.Took = a.headAt.Sub(a.sentAt)
+		o.Latency = a.headAt.Sub(a.sentAt)
 	}
 	return o, true
 }
@@ -170,7 +170,7 @@
 // identity is what an attempt tells beside times. The lock is held.
 func (a *attempt) identity() shift.Observation {
 	return shift.Observation{
-		Version: a.instance.Version, Route: a.route.Name, Model: a.model, Expected: a.expected, Unfinished: true, Told: a.told,
+		Version: a.instance.Version, Route: a.route.Name, Model: a.model, Expected: a.expected, Unfinished: true, Reported: a.told,
 	}
 }
 
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -84,16 +84,16 @@
 	list.Revision++
 	list.Instances = append(list.Instances, inventory.Instance{ID: "new", Service: "engines", Version: "v2"})
 	table.Replace(list, time.Time{})
-	book := shift.NewBook(clock, time.Second, 1, func(string, func(string) bool) int { return 0 })
+	book := shift.NewTracker(clock, time.Second, 1, func(string, func(string) bool) int { return 0 })
 	h := New(Deps{Table: table, Versions: book})
 	first := func() string {
 		q := &request{Handler: h, service: &catalog.Service{Name: "engines"}, facts: Facts{Session: "thread"}}
 		return q.candidates()[0].ID
 	}
 	require.Equal(t, "old", first(), "not announced")
-	book.Ordered(shift.Order{ID: 1, Service: "engines", To: "v2", Allowed: time.Minute})
+	book.AddOrder(shift.Order{ID: 1, Service: "engines", To: "v2", Allowed: time.Minute})
 	require.Equal(t, "old", first(), "announced, but without a share")
-	book.Learn(shift.State{Order: 1, Service: "engines", To: "v2", Phase: shift.Running, Share: 1, Step: 1})
+	book.ApplyState(shift.State{Order: 1, Service: "engines", To: "v2", Phase: shift.Running, Share: 1, Step: 1})
 	require.Equal(t, "new", first())
 }
 
@@ -110,8 +110,8 @@
 		list.Instances = append(list.Instances, inventory.Instance{ID: fmt.Sprint("new-", i), Service: "engines", Version: "v2"})
 	}
 	table.Replace(list, time.Time{})
-	book := shift.NewBook(clock, time.Second, 1, func(string, func(string) bool) int { return 0 })
-	book.Ordered(shift.Order{ID: 1, Service: "engines", To: "v2", Allowed: time.Minute})
+	book := shift.NewTracker(clock, time.Second, 1, func(string, func(string) bool) int { return 0 })
+	book.AddOrder(shift.Order{ID: 1, Service: "engines", To: "v2", Allowed: time.Minute})
 	prompts := inventory.NewPrefixIndex(clock)
 	h := New(Deps{Table: table, Versions: book, Prompts: prompts})
 	send := func(session int) {
@@ -124,12 +124,12 @@
 		a, _ := q.attempt(context.Background(), instance, picked)
 		a.end(inventory.OutcomeNone)
 	}
-	book.Learn(shift.State{Order: 1, Service: "engines", To: "v2", Phase: shift.Running, Share: 0.1, Step: 1})
+	book.ApplyState(shift.State{Order: 1, Service: "engines", To: "v2", Phase: shift.Running, Share: 0.1, Step: 1})
 	for session := range 50 {
 		send(session)
 	}
 	require.Empty(t, prompts.TakePending())
-	book.Learn(shift.State{Order: 1, Service: "engines", To: "v2", Phase: shift.Running, Share: 1, Step: 2})
+	book.ApplyState(shift.State{Order: 1, Service: "engines", To: "v2", Phase: shift.Running, Share: 1, Step: 2})
 	send(0)
 	require.Len(t, prompts.TakePending(), 1)
 }
@@ -150,7 +150,7 @@
 func TestNobodyLeftToAskTakesNoRepeat(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	retries := limit.NewFleetBudget(limit.FleetPolicy{Slack: 6, Window: time.Minute}, clock, func() int { return 1 })
-	book := shift.NewBook(clock, time.Second, 1, func(string, func(string) bool) int { return 0 })
+	book := shift.NewTracker(clock, time.Second, 1, func(string, func(string) bool) int { return 0 })
 	h := New(Deps{Table: inventory.NewTable(clock), Versions: book, Retries: retries, Quarantine: refusesNone{}})
 	q := &request{
 		Handler: h, route: &catalog.Route{Kind: catalog.Safe, MaxAttempts: 3}, service: &catalog.Service{Name: "plain"},
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -28,12 +28,12 @@
 var tracer = otel.Tracer("github.com/hornbeamsill/hornbeamsill/internal/forward")
 
 // Versions tells which versions of a service a request may use, and takes in
-// how they did; *shift.Book is one.
+// how they did; *shift.Tracker is one.
 type Versions interface {
 	Rule(service, session string) shift.Rule
 	// Began and Ended are called once for each request.
-	Began(service, session string)
-	Ended(service, session string)
+	BeginRequest(service, session string)
+	EndRequest(service, session string)
 	Observe(service string, o shift.Observation)
 }
 
@@ -159,8 +159,8 @@
 	if err := q.checkQuarantine(); err != nil {
 		return err
 	}
-	q.Versions.Began(q.service.Name, q.session())
-	defer q.Versions.Ended(q.service.Name, q.session())
+	q.Versions.BeginRequest(q.service.Name, q.session())
+	defer q.Versions.EndRequest(q.service.Name, q.session())
 	ctx, cancel := context.WithDeadline(ctx, q.deadline)
 	defer cancel()
 	q.Retries.First(q.service.Name)
--- a/internal/forward/pace_test.go
+++ b/internal/forward/pace_test.go
@@ -76,16 +76,16 @@
 	first, ok := a.overdue(later)
 	require.True(t, ok)
 	require.True(t, first.Unfinished)
-	require.Equal(t, 1500*time.Millisecond, first.Took)
-	require.Zero(t, first.Told)
+	require.Equal(t, 1500*time.Millisecond, first.Latency)
+	require.Zero(t, first.Reported)
 	second, ok := a.overdue(later.Add(time.Second))
 	require.True(t, ok)
-	require.Equal(t, first.Took, second.Told.Took)
+	require.Equal(t, first.Latency, second.Reported.Latency)
 	a.headAt = later.Add(2 * time.Second)
 	last, ok := a.observation(inventory.OutcomeSuccess)
 	require.True(t, ok)
-	require.Equal(t, 3500*time.Millisecond, last.Took)
-	require.Equal(t, second.Took, last.Told.Took)
+	require.Equal(t, 3500*time.Millisecond, last.Latency)
+	require.Equal(t, second.Latency, last.Reported.Latency)
 }
 
 // Guards against a sound version that is held for slow by instances that have just started.
@@ -99,7 +99,7 @@
 	}
 	o, ok := a.observation(inventory.OutcomeSuccess)
 	require.True(t, ok)
-	require.Zero(t, o.Took)
+	require.Zero(t, o.Latency)
 	require.Zero(t, o.Pace)
 	require.False(t, o.Bad)
 }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -51,7 +51,7 @@
 	//
 	// It avoids the time without a holder, up to a whole duration, after all daemons were
 	// killed at once.
-	Gone func(ctx context.Context, holder string) bool
+	HolderEnded func(ctx context.Context, holder string) bool
 }
 
 // New returns the lease with the given name for the daemon self. The lease expires if it is
@@ -94,7 +94,7 @@
 	if revision == 0 || holder == "" || l.clock.Since(l.seenAt) >= l.duration {
 		return true
 	}
-	return l.Gone != nil && l.Gone(ctx, holder)
+	return l.HolderEnded != nil && l.HolderEnded(ctx, holder)
 }
 
 // write stores the next row if the current one still has the given revision, and reports
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -98,9 +98,9 @@
 	store := backing.NewMemory()
 	a, b := New("duty", "a", duration, store, clock), New("duty", "b", duration, store, clock)
 	require.True(t, renew(t, a))
-	b.Gone = func(_ context.Context, holder string) bool { return holder != "a" }
+	b.HolderEnded = func(_ context.Context, holder string) bool { return holder != "a" }
 	require.False(t, renew(t, b))
-	b.Gone = func(_ context.Context, holder string) bool { return holder == "a" }
+	b.HolderEnded = func(_ context.Context, holder string) bool { return holder == "a" }
 	require.True(t, renew(t, b))
 	require.Greater(t, b.Fence(), a.Fence())
 }
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -28,7 +28,7 @@
 	Config    *config.Store
 	Follower  *config.Follower
 	Ledger    ledger.Store
-	Ratings   *rating.Table
+	Ratings   *rating.Counter
 	Keys      *session.Keyring
 	Directory caller.Directory
 	// Status describes the daemon.
--- a/internal/rating/rating.go
+++ b/internal/rating/rating.go
@@ -56,7 +56,7 @@
 // Counter holds the counts of all ratings received so far.
 //
 // Lock order: no other lock is held when mu is taken, and none is taken under it.
-type Table struct {
+type Counter struct {
 	mu     sync.Mutex
 	seq    int64
 	counts map[Key]Count
@@ -65,17 +65,17 @@
 }
 
 // NewCounter returns a Counter without ratings.
-func NewTable() *Table { return &Table{counts: map[Key]Count{}} }
+func NewCounter() *Counter { return &Counter{counts: map[Key]Count{}} }
 
 // Seq returns the sequence number of the last rating counted.
-func (t *Table) Seq() int64 {
+func (t *Counter) Seq() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.seq
 }
 
 // Install replaces the counts by a summary if the summary is newer.
-func (t *Table) Install(s Summary) {
+func (t *Counter) Install(s Summary) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s.Seq <= t.seq {
@@ -89,7 +89,7 @@
 }
 
 // Summary returns the current counts.
-func (t *Table) Summary() Summary {
+func (t *Counter) Summary() Summary {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := Summary{Seq: t.seq, Lines: make([]Line, 0, len(t.counts))}
@@ -101,7 +101,7 @@
 
 // Add counts ratings, which must be in order of their sequence numbers, and skips those
 // already counted.
-func (t *Table) Add(ratings []backing.Rating) {
+func (t *Counter) Add(ratings []backing.Rating) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, r := range ratings {
@@ -130,14 +130,14 @@
 }
 
 // Count returns the count of a key; zero if it has no ratings.
-func (t *Table) Count(key Key) Count {
+func (t *Counter) Count(key Key) Count {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.counts[key]
 }
 
 // ByKind returns the counts of a version by kind of request.
-func (t *Table) ByKind(ref config.VersionRef) map[string]Count {
+func (t *Counter) ByKind(ref config.VersionRef) map[string]Count {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := map[string]Count{}
@@ -157,7 +157,7 @@
 
 // Quality returns the estimated quality of a version for the kind of key: the prior from its
 // documents, updated with the recent ratings.
-func (t *Table) Quality(version config.Version, key Key) route.Quality {
+func (t *Counter) Quality(version config.Version, key Key) route.Quality {
 	prior, ok := version.Prior[key.Kind]
 	if !ok {
 		prior, ok = version.Prior["default"]
@@ -170,7 +170,7 @@
 }
 
 // Restore loads the checkpoint if it is newer than the counts.
-func (t *Table) Restore(ctx context.Context, table backing.Table) error {
+func (t *Counter) Restore(ctx context.Context, table backing.Table) error {
 	var s Summary
 	if _, err := backing.GetJSON(ctx, table, checkpointKey, &s); err != nil {
 		return trace.Wrap(err)
@@ -183,7 +183,7 @@
 }
 
 // Read counts the new ratings of the feed and returns how many it read.
-func (t *Table) Read(ctx context.Context, feed backing.Ratings) (int, error) {
+func (t *Counter) Read(ctx context.Context, feed backing.Ratings) (int, error) {
 	total := 0
 	for {
 		ratings, err := feed.ReadRatings(ctx, t.Seq(), pageSize)
@@ -201,7 +201,7 @@
 // Checkpoint stores the summary if at least checkpointInterval ratings were counted since the
 // last checkpoint, so that a starting daemon need not read the feed from its beginning. It
 // does not overwrite a newer checkpoint of another daemon.
-func (t *Table) Checkpoint(ctx context.Context, table backing.Table) error {
+func (t *Counter) Checkpoint(ctx context.Context, table backing.Table) error {
 	t.mu.Lock()
 	due := t.seq-t.saved >= checkpointInterval
 	t.mu.Unlock()
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -69,7 +69,7 @@
 	NewLease func(name string) Lease
 	// Eligible reports whether this daemon should try to acquire the lease with the given
 	// name.
-	Duty func(name string) bool
+	Eligible func(name string) bool
 	// Table stores the credit rows.
 	Table backing.Table
 }
@@ -145,7 +145,7 @@
 // hold the lease afterwards.
 func (c *Controller) acquire(ctx context.Context, ref config.VersionRef, snapshot *config.Snapshot) (*leasedRollout, bool) {
 	l, ok := c.leased[ref]
-	if !c.deps.Duty(LeaseName(ref)) {
+	if !c.deps.Eligible(LeaseName(ref)) {
 		c.drop(ctx, ref)
 		return nil, false
 	}
@@ -177,7 +177,7 @@
 	}
 	now := c.deps.Clock.Now()
 	good, bad := SumRatings(c.deps.Evidence(snapshot, ref))
-	l.account = NewBank(snapshot.Doc.Rollouts, row.Reserved, good+bad, now)
+	l.account = NewCreditAccount(snapshot.Doc.Rollouts, row.Reserved, good+bad, now)
 	l.reserved, l.creditsRevision, l.ungranted = row.Reserved, revision, 0
 	l.tookOver = now
 	slog.Info("rollout.duty_taken", "version", ref, "fence", l.lease.Fence(), "reserved", row.Reserved)
--- a/internal/rollout/credit.go
+++ b/internal/rollout/credit.go
@@ -34,7 +34,7 @@
 // NewCreditAccount returns the account of a lease holder that takes over at now. reserved is
 // the number of credits reserved in the row, rated the number of rated answers. All credits
 // that are reserved and not rated count as granted at now.
-func NewBank(policy config.RolloutPolicy, reserved int, rated int64, now time.Time) *CreditAccount {
+func NewCreditAccount(policy config.RolloutPolicy, reserved int, rated int64, now time.Time) *CreditAccount {
 	a := &CreditAccount{policy: policy.WithDefaults(), rated: rated}
 	if outstanding := reserved - int(rated); outstanding > 0 {
 		a.grants = append(a.grants, grant{at: now, n: outstanding})
@@ -117,7 +117,7 @@
 // DaemonCredits holds a daemon's credits, each of which allows one use of an unproven version.
 //
 // Lock order: no other lock is held when mu is taken.
-type Exposure struct {
+type DaemonCredits struct {
 	clock clockwork.Clock
 
 	mu       sync.Mutex
@@ -126,8 +126,8 @@
 }
 
 // NewDaemonCredits returns a DaemonCredits without credits.
-func NewExposure(clock clockwork.Clock) *Exposure {
-	return &Exposure{clock: clock, balances: map[config.VersionRef]*creditBalance{}, stopped: map[config.VersionRef]bool{}}
+func NewDaemonCredits(clock clockwork.Clock) *DaemonCredits {
+	return &DaemonCredits{clock: clock, balances: map[config.VersionRef]*creditBalance{}, stopped: map[config.VersionRef]bool{}}
 }
 
 // Take uses one credit. It returns false if there is none, if the credits have expired, or if
@@ -136,7 +136,7 @@
 // Credits expire because the lease holder or the store may be unavailable. Then nobody watches
 // the ratings, and a daemon that continued by itself would expose callers to a version that
 // nobody can stop. Without credits, new sessions get the proven version.
-func (c *Exposure) Take(ref config.VersionRef) bool {
+func (c *DaemonCredits) Take(ref config.VersionRef) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	b := c.balance(ref)
@@ -149,7 +149,7 @@
 	return true
 }
 
-func (c *Exposure) balance(ref config.VersionRef) *creditBalance {
+func (c *DaemonCredits) balance(ref config.VersionRef) *creditBalance {
 	b, ok := c.balances[ref]
 	if !ok {
 		b = &creditBalance{}
@@ -160,7 +160,7 @@
 
 // Refill adds n granted credits, and records that the given number of expired credits was
 // returned. If n is above 0, all credits for the version expire CreditTTL after requestedAt.
-func (c *Exposure) Refill(ref config.VersionRef, n, returned int, requestedAt time.Time) {
+func (c *DaemonCredits) Refill(ref config.VersionRef, n, returned int, requestedAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	b := c.balance(ref)
@@ -186,7 +186,7 @@
 // Want returns how many credits to request: as many as were wanted since the last call, at
 // least one and at most maxWant, less those that are left. expired is how many credits to
 // return.
-func (c *Exposure) Want(ref config.VersionRef) (want, expired int) {
+func (c *DaemonCredits) Want(ref config.VersionRef) (want, expired int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	b := c.balance(ref)
@@ -198,7 +198,7 @@
 
 // Stop ends the exposure of new sessions to a version at this daemon. It reports whether the
 // version was not stopped before. It needs no lease, since stopping is always safe.
-func (c *Exposure) Stop(ref config.VersionRef) bool {
+func (c *DaemonCredits) Stop(ref config.VersionRef) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.stopped[ref] {
@@ -209,14 +209,14 @@
 }
 
 // Allow undoes Stop after an operator started the version again.
-func (c *Exposure) Allow(ref config.VersionRef) {
+func (c *DaemonCredits) Allow(ref config.VersionRef) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.stopped, ref)
 }
 
 // Stopped returns the versions stopped at this daemon.
-func (c *Exposure) Stopped() []config.VersionRef {
+func (c *DaemonCredits) Stopped() []config.VersionRef {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := make([]config.VersionRef, 0, len(c.stopped))
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -118,7 +118,7 @@
 			return []Engine{{ID: "e", Address: "e", Serves: map[config.VersionRef]bool{{Model: "m", Version: "1"}: true}}}
 		},
 		NewLease: func(name string) Lease { return lease.New(name, self, leaseFor, e.memory, e.clock) },
-		Duty:     func(string) bool { return e.eligible == self },
+		Eligible: func(string) bool { return e.eligible == self },
 		Table:    e.memory,
 	})
 }
@@ -213,7 +213,7 @@
 // holder or the store is unavailable: credits expire, and new sessions get the proven version.
 func TestCreditsExpire(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	e := NewExposure(clock)
+	e := NewDaemonCredits(clock)
 	require.False(t, e.Take(ref))
 	e.Refill(ref, 2, 0, clock.Now())
 	require.True(t, e.Take(ref))
@@ -234,7 +234,7 @@
 // Guards against granting more credits than the budget for unrated answers allows.
 func TestCreditAccountStaysUnderItsBudget(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
-	b := NewBank(policy, 0, 0, now)
+	b := NewCreditAccount(policy, 0, 0, now)
 	require.Equal(t, 10, b.Available(0, 0, now))
 	b.Grant(10, now)
 	require.Zero(t, b.Available(0, 0, now))
--- a/internal/shift/book.go
+++ b/internal/shift/book.go
@@ -52,12 +52,12 @@
 //
 // Lock order: no other lock is held when mu is taken, and none is taken under it except in
 // inFlight.
-type Book struct {
+type Tracker struct {
 	clock clockwork.Clock
 	// pause is the longest pause between the requests of a session.
 	pause time.Duration
 	// limit is the fraction of a service's requests that a new version may get.
-	limit    Exposure
+	limit    ExposureLimit
 	inFlight func(service string, keep func(version string) bool) int
 
 	mu       sync.Mutex
@@ -68,8 +68,8 @@
 
 // NewTracker returns a Tracker without roll-outs. inFlight counts this daemon's requests in
 // flight at the instances of a service whose version satisfies the predicate.
-func NewBook(clock clockwork.Clock, pause time.Duration, limit Exposure, inFlight func(string, func(string) bool) int) *Book {
-	return &Book{
+func NewTracker(clock clockwork.Clock, pause time.Duration, limit ExposureLimit, inFlight func(string, func(string) bool) int) *Tracker {
+	return &Tracker{
 		clock: clock, pause: pause, limit: limit, inFlight: inFlight,
 		services: map[string]*rollout{}, sessions: map[sessionKey]activeSession{},
 	}
@@ -77,7 +77,7 @@
 
 // AddOrder adds an order and reports whether it is new. It starts a roll-out for a new order,
 // and updates the IDs or the age of one that is already known.
-func (t *Book) Ordered(o Order) bool {
+func (t *Tracker) AddOrder(o Order) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	existing, ok := t.services[o.Service]
@@ -122,7 +122,7 @@
 }
 
 // Conflicts reports whether a different order is known for the same service.
-func (t *Book) Contradicts(o Order) bool {
+func (t *Tracker) Conflicts(o Order) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r, ok := t.services[o.Service]
@@ -132,7 +132,7 @@
 // ResetTold marks the operator as not notified of any roll-out, so that the lease holders
 // notify it again. It is for a restored store, which may have lost the record of the
 // notifications.
-func (t *Book) Retell() {
+func (t *Tracker) ResetTold() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, r := range t.services {
@@ -142,7 +142,7 @@
 
 // UpdateAge records how long ago an order was given, and keeps the longest age received. It
 // reports whether the time of the order changed.
-func (t *Book) Aged(service string, order int64, age time.Duration) bool {
+func (t *Tracker) UpdateAge(service string, order int64, age time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r, ok := t.services[service]
@@ -169,7 +169,7 @@
 // ApplyState replaces the known state by a newer one. A stop, and the versions that an earlier
 // order's state withdraws, apply whatever the step. It reports whether the state is newer, or
 // is the first that stops the version.
-func (t *Book) Learn(s State) bool {
+func (t *Tracker) ApplyState(s State) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r, ok := t.services[s.Service]
@@ -203,7 +203,7 @@
 }
 
 // Orders returns the orders and states of all services, in matching positions.
-func (t *Book) Orders() ([]Order, []State) {
+func (t *Tracker) Orders() ([]Order, []State) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var orders []Order
@@ -219,13 +219,13 @@
 
 // Unfinished returns the roll-outs that are running, or have ended without the operator being
 // notified.
-func (t *Book) Running() []Active {
+func (t *Tracker) Unfinished() []UnfinishedRollout {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var out []Active
+	var out []UnfinishedRollout
 	for _, r := range t.services {
 		if !r.state.Told {
-			out = append(out, Active{Order: r.order, State: r.state, Elapsed: t.clock.Since(r.orderedAt)})
+			out = append(out, UnfinishedRollout{Order: r.order, State: r.state, Elapsed: t.clock.Since(r.orderedAt)})
 		}
 	}
 	return out
@@ -233,14 +233,14 @@
 
 // UnfinishedRollout is a roll-out that still needs work by a lease holder. Elapsed is the time
 // since the order.
-type Active struct {
+type UnfinishedRollout struct {
 	Order   Order
 	State   State
 	Elapsed time.Duration
 }
 
 // Observe counts an observation of a request.
-func (t *Book) Observe(service string, o Observation) {
+func (t *Tracker) Observe(service string, o Observation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r, ok := t.services[service]
@@ -257,13 +257,13 @@
 	if o.Bad && o.Version == r.order.To && !r.stopped {
 		// A daemon stops a version without the lease: a stop only limits the damage while the
 		// lease holder is away.
-		r.stopped = Bad(r.fresh, r.old)
+		r.stopped = Regressed(r.fresh, r.old)
 	}
 }
 
 // Evidence returns what this daemon has observed of a service's roll-out; the zero Evidence if
 // it has none.
-func (t *Book) Evidence(service string) Evidence {
+func (t *Tracker) Evidence(service string) Evidence {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r, ok := t.services[service]
--- a/internal/shift/counts.go
+++ b/internal/shift/counts.go
@@ -15,7 +15,7 @@
 	Bad bool
 	// Latency is the time to the head of the answer, or the time waited so far; 0 without
 	// either.
-	Took time.Duration
+	Latency time.Duration
 	// Expected is the latency expected from the work of the instance; 0 if unknown.
 	Expected time.Duration
 	// Pace is the mean time per event of a stream; 0 if there were too few events.
@@ -25,13 +25,13 @@
 	Unfinished bool
 	// Reported is what earlier observations of the same request reported. This observation
 	// replaces it.
-	Told Told
+	Reported Reported
 }
 
 // Reported holds what was reported of a request in flight; 0 means not reported.
-type Told struct {
-	Took time.Duration
-	Pace time.Duration
+type Reported struct {
+	Latency time.Duration
+	Pace    time.Duration
 }
 
 // Count sums observations of one kind of request.
@@ -61,11 +61,11 @@
 func (c *Count) add(o Observation) {
 	if o.Pace > 0 {
 		c.addPace(o.Pace, 1)
-		c.addPace(o.Told.Pace, -1)
+		c.addPace(o.Reported.Pace, -1)
 	}
-	if o.Took > 0 && !o.Bad {
-		c.addLatency(o, o.Took, 1)
-		c.addLatency(o, o.Told.Took, -1)
+	if o.Latency > 0 && !o.Bad {
+		c.addLatency(o, o.Latency, 1)
+		c.addLatency(o, o.Reported.Latency, -1)
 	}
 	if o.Unfinished {
 		return
--- a/internal/shift/exposure.go
+++ b/internal/shift/exposure.go
@@ -10,7 +10,7 @@
 // far more requests than allowed before the fault shows. The share therefore stays small until
 // the remaining time, with all requests on the new version, fits into the limit. The limit
 // then holds whatever the version does.
-type Exposure float64
+type ExposureLimit float64
 
 const (
 	// firstShareFraction is the first share as a fraction of the limit. It brings enough
@@ -25,10 +25,10 @@
 )
 
 // FirstShare returns the fraction of the sessions that use a new version first.
-func (e Exposure) FirstShare() float64 { return firstShareFraction * float64(e) }
+func (e ExposureLimit) FirstShare() float64 { return firstShareFraction * float64(e) }
 
 // nextShare returns the fraction of the sessions that use the new version next.
-func (e Exposure) nextShare(current float64, o Order, in Known) float64 {
+func (e ExposureLimit) nextShare(current float64, o Order, in DecisionInput) float64 {
 	switch {
 	case current == 0 && in.Elapsed < settleTime:
 		return 0
@@ -45,7 +45,7 @@
 // version without exceeding the limit. It checks the time, assuming evenly spread requests,
 // and the counted requests, because one busy session can make the first share larger than
 // planned.
-func (e Exposure) canMoveAll(o Order, in Known) bool {
+func (e ExposureLimit) canMoveAll(o Order, in DecisionInput) bool {
 	left := o.Allowed - in.Elapsed
 	if left <= 0 {
 		return true
--- a/internal/shift/exposure_test.go
+++ b/internal/shift/exposure_test.go
@@ -16,7 +16,7 @@
 // stay within the limit, and complete in time unless its sessions are so busy that it moves
 // too late.
 func TestVersionStaysWithinExposureLimit(t *testing.T) {
-	for _, limit := range []Exposure{0.15, 0.0975} {
+	for _, limit := range []ExposureLimit{0.15, 0.0975} {
 		for _, allowed := range []time.Duration{16 * time.Second, 24 * time.Second, 60 * time.Second} {
 			// busy is how much more often the sessions on the new version send requests: the
 			// busiest session may be among them.
@@ -35,7 +35,7 @@
 // simulate runs a roll-out of a version that never fails at 60 requests a second. It returns
 // the fraction of the requests that the version got in the allowed time, and when it
 // completed; 0 means not in that time.
-func simulate(limit Exposure, allowed time.Duration, busy float64) (exposed float64, completed time.Duration) {
+func simulate(limit ExposureLimit, allowed time.Duration, busy float64) (exposed float64, completed time.Duration) {
 	random := rand.New(rand.NewPCG(1, uint64(allowed)))
 	order := Order{ID: 1, Service: "engines", To: "v2", Allowed: allowed}
 	s := State{Order: 1, Service: "engines", To: "v2", Phase: Running}
@@ -49,8 +49,8 @@
 			old.add(Observation{})
 		}
 		if i%18 == 0 {
-			k := Known{Elapsed: at, Fresh: Counts{"r": fresh}, Old: Counts{"r": old}, OldInFlight: 3}
-			s = Next(s, order, k, limit)
+			k := DecisionInput{Elapsed: at, Fresh: Counts{"r": fresh}, Old: Counts{"r": old}, OldInFlight: 3}
+			s = NextState(s, order, k, limit)
 		}
 		if s.Phase == Completed && completed == 0 {
 			completed = at
@@ -68,22 +68,22 @@
 	const couldMove = 22 * time.Second
 	old := Counts{"a": {Requests: 250, Bad: 2}, "b": {Requests: 700, Bad: 5}}
 	s := State{Order: 7, Service: "engines", To: "v2", Phase: Running, Share: limit.FirstShare(), Step: 1}
-	k := Known{Elapsed: allowed - time.Second, Fresh: Counts{"a": {Requests: 11, Bad: 5}, "b": {Requests: 31}}, Old: old}
-	require.False(t, Bad(k.Fresh, k.Old))
+	k := DecisionInput{Elapsed: allowed - time.Second, Fresh: Counts{"a": {Requests: 11, Bad: 5}, "b": {Requests: 31}}, Old: old}
+	require.False(t, Regressed(k.Fresh, k.Old))
 	k.Elapsed = couldMove
-	require.Equal(t, s, Next(s, order, k, limit))
+	require.Equal(t, s, NextState(s, order, k, limit))
 	for _, k.Elapsed = range []time.Duration{couldMove + suspectGrace, allowed - time.Second, allowed + time.Second} {
-		require.Equal(t, RolledBack, Next(s, order, k, limit).Phase, "its time on the first share is over")
+		require.Equal(t, RolledBack, NextState(s, order, k, limit).Phase, "its time on the first share is over")
 	}
 
-	k = Known{Elapsed: allowed - time.Second, Fresh: Counts{"a": {Requests: 11}, "b": {Requests: 31}}, Old: old}
-	moved := Next(s, order, k, limit)
+	k = DecisionInput{Elapsed: allowed - time.Second, Fresh: Counts{"a": {Requests: 11}, "b": {Requests: 31}}, Old: old}
+	moved := NextState(s, order, k, limit)
 	require.Equal(t, 1.0, moved.Share)
-	require.Equal(t, Running, Next(moved, order, k, limit).Phase, "nothing answered since")
+	require.Equal(t, Running, NextState(moved, order, k, limit).Phase, "nothing answered since")
 	k.Fresh = Counts{"a": {Requests: 20}, "b": {Requests: 60}}
-	require.Equal(t, Completed, Next(moved, order, k, limit).Phase)
+	require.Equal(t, Completed, NextState(moved, order, k, limit).Phase)
 	k.Fresh = Counts{"a": {Requests: 24, Bad: 10}, "b": {Requests: 60}}
-	require.Equal(t, RolledBack, Next(moved, order, k, limit).Phase)
+	require.Equal(t, RolledBack, NextState(moved, order, k, limit).Phase)
 }
 
 // Guards against a session changing versions when it begins after the lease holder asked the
@@ -93,31 +93,31 @@
 func TestSessionsThatBeginBeforeFirstShareArrivesKeepTheirVersion(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	one, two := newTracker(clock), newTracker(clock)
-	one.Ordered(order)
-	two.Ordered(order)
+	one.AddOrder(order)
+	two.AddOrder(order)
 	k := inputFrom(one, two)
 	k.Elapsed = settleTime
-	opened := Next(fresh(), order, k, limit)
+	opened := NextState(fresh(), order, k, limit)
 	require.Equal(t, limit.FirstShare(), opened.Share)
 	session := inFirstShare()
 	require.Equal(t, "v1", preferredVersion(one, session))
-	one.Ended("engines", session)
-	one.Learn(opened)
-	two.Learn(opened)
+	one.EndRequest("engines", session)
+	one.ApplyState(opened)
+	two.ApplyState(opened)
 	require.Equal(t, "v1", preferredVersion(one, session))
 
 	k = inputFrom(one, two)
 	require.Equal(t, []uint64{Hash(session)}, k.Held)
 	k.Elapsed = settleTime + 300*time.Millisecond
-	extended := Next(opened, order, k, limit)
+	extended := NextState(opened, order, k, limit)
 	require.Equal(t, opened.Step+1, extended.Step)
-	require.True(t, one.Learn(extended))
-	require.True(t, two.Learn(extended))
+	require.True(t, one.ApplyState(extended))
+	require.True(t, two.ApplyState(extended))
 	require.Equal(t, "v1", preferredVersion(two, session))
 
 	k = inputFrom(one, two)
 	k.Elapsed = settleTime + 600*time.Millisecond
-	require.Equal(t, extended, Next(extended, order, k, limit), "added only once")
+	require.Equal(t, extended, NextState(extended, order, k, limit), "added only once")
 }
 
 // Guards against a request in flight when a roll-out begins that keeps its first rule, which
@@ -126,11 +126,11 @@
 func TestRequestInFlightWhenRolloutBegins(t *testing.T) {
 	b := newTracker(clockwork.NewFakeClock())
 	session := inFirstShare()
-	b.Began("engines", session)
-	require.Len(t, b.Rule("engines", session).Sides(), 1, "any version")
-	b.Ordered(order)
-	b.Learn(State{Order: 7, Service: "engines", To: "v2", Phase: Running, Share: limit.FirstShare(), Step: 1})
-	sides := b.Rule("engines", session).Sides()
+	b.BeginRequest("engines", session)
+	require.Len(t, b.Rule("engines", session).Groups(), 1, "any version")
+	b.AddOrder(order)
+	b.ApplyState(State{Order: 7, Service: "engines", To: "v2", Phase: Running, Share: limit.FirstShare(), Step: 1})
+	sides := b.Rule("engines", session).Groups()
 	require.False(t, sides[0].Accept("v2"))
 	require.Equal(t, []uint64{Hash(session)}, b.Evidence("engines").Held)
 }
@@ -150,13 +150,13 @@
 func TestSessionsUnderWayAtTheNextOrder(t *testing.T) {
 	b := newTracker(clockwork.NewFakeClock())
 	session := inFirstShare()
-	b.Ordered(order)
-	b.Learn(State{Order: 7, Service: "engines", To: "v2", Phase: Completed, Share: 1, Told: true, Step: 4})
+	b.AddOrder(order)
+	b.ApplyState(State{Order: 7, Service: "engines", To: "v2", Phase: Completed, Share: 1, Told: true, Step: 4})
 	require.Equal(t, "v2", preferredVersion(b, session))
-	b.Ordered(Order{ID: 9, Service: "engines", To: "v3", Allowed: allowed})
+	b.AddOrder(Order{ID: 9, Service: "engines", To: "v3", Allowed: allowed})
 	require.Equal(t, []uint64{Hash(session)}, b.Evidence("engines").Held)
-	b.Learn(State{Order: 9, Service: "engines", To: "v3", Phase: Running, Share: limit.FirstShare(), Step: 1})
-	require.True(t, b.Rule("engines", session).Sides()[0].Accept("v2"))
+	b.ApplyState(State{Order: 9, Service: "engines", To: "v3", Phase: Running, Share: limit.FirstShare(), Step: 1})
+	require.True(t, b.Rule("engines", session).Groups()[0].Accept("v2"))
 }
 
 // Guards against a late roll-out by a daemon that starts 10 s into the allowed 24 s, takes the
@@ -165,17 +165,17 @@
 func TestAgeOfAnOrder(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	started := newTracker(clock)
-	started.Ordered(order)
-	require.Zero(t, started.Running()[0].Elapsed)
-	started.Aged("engines", order.ID, 10*time.Second)
-	require.Equal(t, 10*time.Second, started.Running()[0].Elapsed)
-	started.Aged("engines", order.ID, 4*time.Second)
-	started.Aged("engines", order.ID-1, time.Hour)
-	require.Equal(t, 10*time.Second, started.Running()[0].Elapsed)
+	started.AddOrder(order)
+	require.Zero(t, started.Unfinished()[0].Elapsed)
+	started.UpdateAge("engines", order.ID, 10*time.Second)
+	require.Equal(t, 10*time.Second, started.Unfinished()[0].Elapsed)
+	started.UpdateAge("engines", order.ID, 4*time.Second)
+	started.UpdateAge("engines", order.ID-1, time.Hour)
+	require.Equal(t, 10*time.Second, started.Unfinished()[0].Elapsed)
 
 	clock.Advance(time.Second)
 	orders, _ := started.Orders()
 	informed := newTracker(clock)
-	informed.Ordered(orders[0])
-	require.Equal(t, 11*time.Second, informed.Running()[0].Elapsed)
+	informed.AddOrder(orders[0])
+	require.Equal(t, 11*time.Second, informed.Unfinished()[0].Elapsed)
 }
--- a/internal/shift/restate_test.go
+++ b/internal/shift/restate_test.go
@@ -14,11 +14,11 @@
 	restated = Order{ID: 1029, Era: 1, Service: "s", To: "v2", Allowed: time.Minute}
 )
 
-func newRestateTracker() *Book {
-	return NewBook(clockwork.NewFakeClock(), time.Second, Exposure(0.1), func(string, func(string) bool) int { return 0 })
+func newRestateTracker() *Tracker {
+	return NewTracker(clockwork.NewFakeClock(), time.Second, ExposureLimit(0.1), func(string, func(string) bool) int { return 0 })
 }
 
-func known(t *testing.T, b *Book) (Order, State) {
+func known(t *testing.T, b *Tracker) (Order, State) {
 	t.Helper()
 	orders, states := b.Orders()
 	require.Len(t, orders, 1)
@@ -29,36 +29,36 @@
 // order under another ID.
 func TestRestatedOrderIsTheSame(t *testing.T) {
 	b := newRestateTracker()
-	require.True(t, b.Ordered(original))
-	require.True(t, b.Learn(State{Order: 30, Service: "s", To: "v2", Phase: Completed, Share: 1, Step: 4, Told: true}))
-	require.False(t, b.Ordered(restated))
-	require.False(t, b.Ordered(restated))
+	require.True(t, b.AddOrder(original))
+	require.True(t, b.ApplyState(State{Order: 30, Service: "s", To: "v2", Phase: Completed, Share: 1, Step: 4, Told: true}))
+	require.False(t, b.AddOrder(restated))
+	require.False(t, b.AddOrder(restated))
 	o, s := known(t, b)
 	require.Equal(t, int64(30), o.ID)
 	require.Equal(t, Completed, s.Phase)
 
 	again := restated
 	again.ID++
-	require.True(t, b.Ordered(again), "the operator has ordered it again")
+	require.True(t, b.AddOrder(again), "the operator has ordered it again")
 	other := Order{ID: 2040, Era: 2, Service: "s", To: "v3", Allowed: time.Minute}
-	require.True(t, b.Contradicts(other))
-	require.True(t, b.Ordered(other))
+	require.True(t, b.Conflicts(other))
+	require.True(t, b.AddOrder(other))
 }
 
 // Guards against a daemon that starts after the store was restored and does not recognise the
 // order that it reads as the one that the other daemons execute.
 func TestStartingDaemonRecognisesTheOrder(t *testing.T) {
 	old, fresh := newRestateTracker(), newRestateTracker()
-	old.Ordered(original)
-	old.Learn(State{Order: 30, Service: "s", To: "v2", Phase: Running, Share: 1, Step: 3})
-	old.Ordered(restated)
-	fresh.Ordered(restated)
+	old.AddOrder(original)
+	old.ApplyState(State{Order: 30, Service: "s", To: "v2", Phase: Running, Share: 1, Step: 3})
+	old.AddOrder(restated)
+	fresh.AddOrder(restated)
 	o, s := known(t, fresh)
-	require.False(t, old.Ordered(o))
-	require.False(t, old.Learn(s))
+	require.False(t, old.AddOrder(o))
+	require.False(t, old.ApplyState(s))
 	o, s = known(t, old)
-	require.False(t, fresh.Ordered(o))
-	require.True(t, fresh.Learn(s))
+	require.False(t, fresh.AddOrder(o))
+	require.True(t, fresh.ApplyState(s))
 	o, s = known(t, fresh)
 	require.Equal(t, int64(30), o.ID)
 	require.Equal(t, 1.0, s.Share)
@@ -69,11 +69,11 @@
 // was restored, and the stored state has the order's first ID.
 func TestStoredStateOfARestatedOrder(t *testing.T) {
 	b := newRestateTracker()
-	b.Ordered(restated)
-	require.True(t, b.Learn(State{Order: 30, Restated: 1029, Service: "s", To: "v2", Phase: Completed, Share: 1, Step: 4}))
+	b.AddOrder(restated)
+	require.True(t, b.ApplyState(State{Order: 30, Restated: 1029, Service: "s", To: "v2", Phase: Completed, Share: 1, Step: 4}))
 	_, s := known(t, b)
 	require.Equal(t, Completed, s.Phase)
-	require.False(t, b.Ordered(restated))
+	require.False(t, b.AddOrder(restated))
 }
 
 // Guards against completing a version that has no instances, after which no instance would
@@ -81,8 +81,8 @@
 func TestVersionWithoutInstancesIsNotCompleted(t *testing.T) {
 	o := Order{ID: 1, Service: "s", To: "v2", Allowed: time.Minute}
 	s := State{Order: 1, Service: "s", To: "v2", Phase: Running, Share: 1, MovedMS: 70_000, Step: 2}
-	k := Known{Elapsed: time.Hour, Fresh: Counts{}, Old: Counts{"": {Requests: 400}}, OldInFlight: 12}
-	require.Equal(t, Running, Next(s, o, k, Exposure(0.1)).Phase)
+	k := DecisionInput{Elapsed: time.Hour, Fresh: Counts{}, Old: Counts{"": {Requests: 400}}, OldInFlight: 12}
+	require.Equal(t, Running, NextState(s, o, k, ExposureLimit(0.1)).Phase)
 	k.OldInFlight = 0
-	require.Equal(t, Completed, Next(s, o, k, Exposure(0.1)).Phase)
+	require.Equal(t, Completed, NextState(s, o, k, ExposureLimit(0.1)).Phase)
 }
--- a/internal/shift/sessions.go
+++ b/internal/shift/sessions.go
@@ -14,7 +14,7 @@
 	// all find an idle instance, and an idle instance of a version that is many times slower
 	// answers about as fast as a busy one of the old version. With the same fraction of
 	// requests and instances, an instance has the load that it will have later.
-	Part float64
+	InstanceFraction float64
 }
 
 // Rule determines which versions a request may use.
@@ -26,10 +26,10 @@
 }
 
 // IsTarget reports whether version is the one that the service's order asks for.
-func (r Rule) Ordered(version string) bool { return r.to != "" && r.to == version }
+func (r Rule) IsTarget(version string) bool { return r.to != "" && r.to == version }
 
 // Groups returns the groups of versions to use, the preferred one first.
-func (r Rule) Sides() []VersionGroup {
+func (r Rule) Groups() []VersionGroup {
 	if r.groups == nil {
 		return []VersionGroup{{Accept: func(string) bool { return true }}}
 	}
@@ -52,7 +52,7 @@
 }
 
 // BeginRequest records a request in flight of a session. EndRequest must follow.
-func (t *Book) Began(service, session string) {
+func (t *Tracker) BeginRequest(service, session string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	key := sessionKey{service, Hash(session)}
@@ -69,7 +69,7 @@
 // Each attempt calls Rule anew. A request in flight when a roll-out is ordered could otherwise
 // keep its first rule, which accepts any version, and use the new version when it asks a
 // larger model or another instance. Its session would change versions.
-func (t *Book) Rule(service, session string) Rule {
+func (t *Tracker) Rule(service, session string) Rule {
 	hash := Hash(session)
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -109,7 +109,7 @@
 		return version != r.order.To && !slices.Contains(withdrawn, version)
 	}}
 	if r.state.Phase == Running && r.state.Share < 1 {
-		fresh.Part = r.state.Share
+		fresh.InstanceFraction = r.state.Share
 	}
 	rule := Rule{to: r.order.To}
 	switch {
@@ -129,7 +129,7 @@
 // EndRequest records the end of a session's request. The pause between two requests starts
 // here: otherwise a session whose last answer took longer than the longest pause would count
 // as a new one and change versions.
-func (t *Book) Ended(service, session string) {
+func (t *Tracker) EndRequest(service, session string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	key := sessionKey{service, Hash(session)}
@@ -140,7 +140,7 @@
 
 // sessionsToHold returns the sessions under way inside the first share that began on the old
 // version and are not held yet. It returns none once all sessions may move.
-func (t *Book) sessionsToHold(service string, r *rollout) []uint64 {
+func (t *Tracker) sessionsToHold(service string, r *rollout) []uint64 {
 	if r.state.Phase != Running || r.state.Share >= 1 {
 		return nil
 	}
@@ -155,7 +155,7 @@
 }
 
 // ExpireSessions removes the sessions without requests in flight whose pause has passed.
-func (t *Book) Expire() {
+func (t *Tracker) ExpireSessions() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -86,7 +86,7 @@
 }
 
 // MarkTold returns the state that follows once the operator has been notified.
-func (s State) AfterTelling() State {
+func (s State) MarkTold() State {
 	s.Told = true
 	s.Step++
 	return s
@@ -103,7 +103,7 @@
 )
 
 // DecisionInput is what the lease holder decides on.
-type Known struct {
+type DecisionInput struct {
 	// Elapsed is the time since the order.
 	Elapsed time.Duration
 	// Fresh and Old count the requests at the new version and at the old one.
@@ -117,13 +117,13 @@
 
 // NextState returns the state that follows s. While the roll-out runs, the new version may get
 // at most the fraction limit of the requests.
-func Next(s State, o Order, in Known, limit Exposure) State {
+func NextState(s State, o Order, in DecisionInput, limit ExposureLimit) State {
 	if s.Phase != Running {
 		return s
 	}
 	next := s
 	switch {
-	case s.Stopped || Bad(in.Fresh, in.Old) || suspectTooLong(s, o, in, limit):
+	case s.Stopped || Regressed(in.Fresh, in.Old) || suspectTooLong(s, o, in, limit):
 		next.Phase, next.Share, next.Held = RolledBack, 0, nil
 	case s.Share >= 1:
 		drained := in.OldInFlight == 0 || in.Elapsed >= o.Allowed-drainMargin
@@ -157,7 +157,7 @@
 // suspectTooLong reports whether a version on the first share is still suspect suspectGrace
 // after all sessions could have moved to it. Left on the first share, it would keep failing a
 // few callers; the operator can order it again.
-func suspectTooLong(s State, o Order, in Known, limit Exposure) bool {
+func suspectTooLong(s State, o Order, in DecisionInput, limit ExposureLimit) bool {
 	if s.Share >= 1 || s.Share == 0 || !SuspectRegression(in.Fresh, in.Old) {
 		return false
 	}
@@ -184,7 +184,7 @@
 // to show it, so the answers to all sessions count first, even if that makes the roll-out
 // late. A holder that takes the lease after the allowed time moves all sessions first, so
 // completionGrace starts no earlier than that move.
-func mayComplete(s State, o Order, in Known) bool {
+func mayComplete(s State, o Order, in DecisionInput) bool {
 	if SuspectRegression(in.Fresh, in.Old) {
 		return false
 	}
--- a/internal/shift/shift_test.go
+++ b/internal/shift/shift_test.go
@@ -18,7 +18,7 @@
 func fresh() State { return State{Order: 7, Service: "engines", To: "v2", Phase: Running} }
 
 // limit is the exposure limit of these tests.
-const limit = Exposure(0.15)
+const limit = ExposureLimit(0.15)
 
 func counts(requests, bad int) Counts { return Counts{"r": {Requests: requests, Bad: bad}} }
 
@@ -28,7 +28,7 @@
 	s := fresh()
 	var shares []float64
 	for at := time.Duration(0); at < allowed; at += 300 * time.Millisecond {
-		k := Known{Elapsed: at, Fresh: counts(40, 0), Old: counts(960, 9), OldInFlight: 5, Held: []uint64{3}}
+		k := DecisionInput{Elapsed: at, Fresh: counts(40, 0), Old: counts(960, 9), OldInFlight: 5, Held: []uint64{3}}
 		if at > 22500*time.Millisecond {
 			k.OldInFlight = 0
 		}
@@ -37,7 +37,7 @@
 			k.Fresh = counts(100, 1)
 		}
 		before := s
-		s = Next(s, order, k, limit)
+		s = NextState(s, order, k, limit)
 		require.GreaterOrEqual(t, s.Share, before.Share)
 		if at < allowed/2 {
 			require.LessOrEqual(t, s.Share, limit.FirstShare())
@@ -57,11 +57,11 @@
 func TestCompletedInTime(t *testing.T) {
 	s := fresh()
 	for at := time.Duration(0); at < allowed; at += 300 * time.Millisecond {
-		k := Known{Elapsed: at, Fresh: counts(40, 0), Old: counts(960, 0), OldInFlight: 1}
+		k := DecisionInput{Elapsed: at, Fresh: counts(40, 0), Old: counts(960, 0), OldInFlight: 1}
 		if s.Share >= 1 {
 			k.Fresh = counts(80, 0)
 		}
-		s = Next(s, order, k, limit)
+		s = NextState(s, order, k, limit)
 	}
 	require.Equal(t, Completed, s.Phase)
 }
@@ -71,7 +71,7 @@
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		c := Count{}
-		for !Bad(Counts{"r": c}, counts(200, 4)) {
+		for !Regressed(Counts{"r": c}, counts(200, 4)) {
 			c.add(Observation{Bad: random.Float64() < 0.32})
 			require.Less(t, c.Bad, 25)
 		}
@@ -91,7 +91,7 @@
 					old.add(Observation{Bad: random.Float64() < rate})
 				}
 				c.add(Observation{Bad: random.Float64() < rate})
-				if Bad(Counts{"r": c}, Counts{"r": old}) {
+				if Regressed(Counts{"r": c}, Counts{"r": old}) {
 					alarms++
 					break
 				}
@@ -109,7 +109,7 @@
 		var c Count
 		for range n {
 			seconds := factor * 0.3 * random.ExpFloat64()
-			c.add(Observation{Took: time.Duration((seconds + 0.05) * float64(time.Second))})
+			c.add(Observation{Latency: time.Duration((seconds + 0.05) * float64(time.Second))})
 		}
 		return c
 	}
@@ -117,13 +117,13 @@
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 3))
 		old := Counts{"a": sample(random, 1, 200), "b": sample(random, 1, 200), "c": sample(random, 1, 200)}
-		if Bad(Counts{"a": sample(random, 8, 8), "b": sample(random, 8, 8), "c": sample(random, 8, 8)}, old) {
+		if Regressed(Counts{"a": sample(random, 8, 8), "b": sample(random, 8, 8), "c": sample(random, 8, 8)}, old) {
 			all++
 		}
-		if Bad(Counts{"a": sample(random, 1, 30), "b": sample(random, 8, 30)}, old) {
+		if Regressed(Counts{"a": sample(random, 1, 30), "b": sample(random, 8, 30)}, old) {
 			one++
 		}
-		if Bad(Counts{"a": sample(random, 1, 30), "b": sample(random, 1, 30), "c": sample(random, 1, 10)}, old) {
+		if Regressed(Counts{"a": sample(random, 1, 30), "b": sample(random, 1, 30), "c": sample(random, 1, 10)}, old) {
 			alarms++
 		}
 	}
@@ -137,17 +137,17 @@
 // share of the sessions, so that each instance has the load that it will have later.
 func TestFirstRequestsGoToFewInstances(t *testing.T) {
 	b := newTracker(clockwork.NewFakeClock())
-	b.Ordered(order)
-	b.Learn(State{Order: 7, Service: "engines", To: "v2", Phase: Running, Share: 0.3, Step: 2})
+	b.AddOrder(order)
+	b.ApplyState(State{Order: 7, Service: "engines", To: "v2", Phase: Running, Share: 0.3, Step: 2})
 	found := false
 	for i := 0; !found; i++ {
-		side := b.Rule("engines", fmt.Sprint(i)).Sides()[0]
+		side := b.Rule("engines", fmt.Sprint(i)).Groups()[0]
 		if found = side.Accept("v2"); found {
-			require.InDelta(t, 0.3, side.Part, 0.001)
+			require.InDelta(t, 0.3, side.InstanceFraction, 0.001)
 		}
 	}
-	b.Learn(State{Order: 7, Service: "engines", To: "v2", Phase: Running, Share: 1, Step: 3})
-	require.Zero(t, b.Rule("engines", "x").Sides()[0].Part)
+	b.ApplyState(State{Order: 7, Service: "engines", To: "v2", Phase: Running, Share: 1, Step: 3})
+	require.Zero(t, b.Rule("engines", "x").Groups()[0].InstanceFraction)
 }
 
 // Whatever the evidence, steps increase, the share never falls while the roll-out runs, and a
@@ -158,11 +158,11 @@
 		at := time.Duration(0)
 		for range rapid.IntRange(1, 60).Draw(t, "looks") {
 			at += time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause")) * time.Millisecond
-			k := Known{
+			k := DecisionInput{
 				Elapsed: at, OldInFlight: rapid.IntRange(0, 2).Draw(t, "old"),
 				Fresh: counts(100, rapid.IntRange(0, 30).Draw(t, "bad")), Old: counts(100, 2),
 			}
-			next := Next(s, order, k, limit)
+			next := NextState(s, order, k, limit)
 			if next.Step < s.Step || next.Step > s.Step+1 {
 				t.Fatalf("step %d after %d", next.Step, s.Step)
 			}
@@ -180,27 +180,27 @@
 	})
 }
 
-func newTracker(clock clockwork.Clock) *Book {
-	return NewBook(clock, 5*time.Second, limit, func(string, func(string) bool) int { return 0 })
+func newTracker(clock clockwork.Clock) *Tracker {
+	return NewTracker(clock, 5*time.Second, limit, func(string, func(string) bool) int { return 0 })
 }
 
 // inputFrom returns the decision input that a lease holder has from some daemons.
-func inputFrom(books ...*Book) Known {
+func inputFrom(books ...*Tracker) DecisionInput {
 	tally := NewTally(order.ID)
 	var all []Evidence
 	for i, b := range books {
 		e := b.Evidence("engines")
 		e.From = fmt.Sprint("daemon-", i)
-		tally.Take(e)
+		tally.Update(e)
 		all = append(all, e)
 	}
-	return tally.Known(all)
+	return tally.Input(all)
 }
 
 // preferredVersion begins a request of a session and returns the version that it prefers.
-func preferredVersion(b *Book, session string) string {
-	b.Began("engines", session)
-	if b.Rule("engines", session).Sides()[0].Accept("v2") {
+func preferredVersion(b *Tracker, session string) string {
+	b.BeginRequest("engines", session)
+	if b.Rule("engines", session).Groups()[0].Accept("v2") {
 		return "v2"
 	}
 	return "v1"
@@ -217,17 +217,17 @@
 		sessions = append(sessions, fmt.Sprint("session-", i))
 	}
 	for _, s := range sessions[:200] {
-		one.Began("engines", s)
-		require.Len(t, one.Rule("engines", s).Sides(), 1)
+		one.BeginRequest("engines", s)
+		require.Len(t, one.Rule("engines", s).Groups(), 1)
 	}
-	one.Ordered(order)
-	two.Ordered(order)
+	one.AddOrder(order)
+	two.AddOrder(order)
 	k := inputFrom(one, two)
 	k.Elapsed = settleTime
-	s := Next(fresh(), order, k, limit)
+	s := NextState(fresh(), order, k, limit)
 	require.Equal(t, limit.FirstShare(), s.Share)
-	one.Learn(s)
-	two.Learn(s)
+	one.ApplyState(s)
+	two.ApplyState(s)
 	moved := 0
 	for i, session := range sessions {
 		version := preferredVersion(one, session)
@@ -254,16 +254,16 @@
 			session = s
 		}
 	}
-	b.Began("engines", session)
+	b.BeginRequest("engines", session)
 	clock.Advance(20 * time.Second)
-	b.Expire()
-	b.Ended("engines", session)
+	b.ExpireSessions()
+	b.EndRequest("engines", session)
 	clock.Advance(4 * time.Second)
-	b.Expire()
-	b.Ordered(order)
+	b.ExpireSessions()
+	b.AddOrder(order)
 	require.Equal(t, []uint64{Hash(session)}, b.Evidence("engines").Held)
 	clock.Advance(2 * time.Second)
-	b.Expire()
+	b.ExpireSessions()
 	require.Empty(t, b.Evidence("engines").Held)
 }
 
@@ -271,8 +271,8 @@
 // own evidence.
 func TestEachDaemonStopsABadVersion(t *testing.T) {
 	b := newTracker(clockwork.NewFakeClock())
-	b.Ordered(order)
-	b.Learn(State{Order: 7, Service: "engines", To: "v2", Phase: Running, Share: 1, Step: 3})
+	b.AddOrder(order)
+	b.ApplyState(State{Order: 7, Service: "engines", To: "v2", Phase: Running, Share: 1, Step: 3})
 	require.Equal(t, "v2", preferredVersion(b, "x"))
 	for range 100 {
 		b.Observe("engines", Observation{Version: "v1", Route: "r"})
@@ -287,8 +287,8 @@
 func TestRolledBackVersionStaysOutAfterTheNextOrder(t *testing.T) {
 	back := State{Order: 7, Service: "engines", To: "v2", Phase: RolledBack, Told: true, Step: 3}
 	next := Order{ID: 9, Service: "engines", To: "v3", Allowed: allowed}
-	uses := func(b *Book, version string) bool {
-		for _, side := range b.Rule("engines", "x").Sides() {
+	uses := func(b *Tracker, version string) bool {
+		for _, side := range b.Rule("engines", "x").Groups() {
 			if side.Accept(version) {
 				return true
 			}
@@ -296,33 +296,33 @@
 		return false
 	}
 	stayed := newTracker(clockwork.NewFakeClock())
-	stayed.Ordered(order)
-	stayed.Learn(back)
-	stayed.Ordered(next)
+	stayed.AddOrder(order)
+	stayed.ApplyState(back)
+	stayed.AddOrder(next)
 	require.False(t, uses(stayed, "v2"))
 	require.True(t, uses(stayed, "v1"))
 
 	started := newTracker(clockwork.NewFakeClock())
-	started.Ordered(next)
-	started.Learn(back)
+	started.AddOrder(next)
+	started.ApplyState(back)
 	require.False(t, uses(started, "v2"))
 
 	informed := newTracker(clockwork.NewFakeClock())
-	informed.Ordered(next)
+	informed.AddOrder(next)
 	_, states := stayed.Orders()
-	informed.Learn(Next(states[0], next, Known{Elapsed: settleTime}, limit))
+	informed.ApplyState(NextState(states[0], next, DecisionInput{Elapsed: settleTime}, limit))
 	require.False(t, uses(informed, "v2"))
 
-	stayed.Ordered(Order{ID: 11, Service: "engines", To: "v2", Allowed: allowed})
+	stayed.AddOrder(Order{ID: 11, Service: "engines", To: "v2", Allowed: allowed})
 	require.True(t, uses(stayed, "v2"), "ordered again, it is tried again")
 }
 
 // Guards against an older state that arrives late and brings a rolled-back version back.
 func TestOlderStatesAreIgnored(t *testing.T) {
 	b := newTracker(clockwork.NewFakeClock())
-	b.Ordered(order)
-	require.True(t, b.Learn(State{Order: 7, Service: "engines", To: "v2", Phase: RolledBack, Step: 4}))
-	require.False(t, b.Learn(State{Order: 7, Service: "engines", To: "v2", Phase: Running, Share: 1, Step: 3}))
+	b.AddOrder(order)
+	require.True(t, b.ApplyState(State{Order: 7, Service: "engines", To: "v2", Phase: RolledBack, Step: 4}))
+	require.False(t, b.ApplyState(State{Order: 7, Service: "engines", To: "v2", Phase: Running, Share: 1, Step: 3}))
 	require.Equal(t, "v1", preferredVersion(b, "x"))
-	require.False(t, b.Ordered(Order{ID: 6, Service: "engines", To: "v0"}))
+	require.False(t, b.AddOrder(Order{ID: 6, Service: "engines", To: "v0"}))
 }
--- a/internal/shift/slow_test.go
+++ b/internal/shift/slow_test.go
@@ -37,7 +37,7 @@
 	sent         time.Duration
 	head         time.Duration
 	pace         time.Duration
-	reported     Told
+	reported     Reported
 	lastReport   time.Duration
 	paceReported bool
 	done         bool
@@ -63,13 +63,13 @@
 // observe returns the observation that the stream reports at a given time, if any.
 func (s *stream) observe(now time.Duration) (o Observation, ok bool) {
 	age := now - s.sent
-	o = Observation{Version: s.version, Route: "r", Model: "small", Expected: simExpected, Told: s.reported}
+	o = Observation{Version: s.version, Route: "r", Model: "small", Expected: simExpected, Reported: s.reported}
 	switch {
 	case s.done:
 		return o, false
 	case s.events(age) == simEvents:
 		s.done = true
-		o.Took = s.head
+		o.Latency = s.head
 		if !s.paceReported {
 			o.Pace = s.pace
 		}
@@ -89,7 +89,7 @@
 	o.Unfinished = true
 	switch {
 	case age < s.head && age > simOverdue:
-		o.Took, s.reported.Took = age, age
+		o.Latency, s.reported.Latency = age, age
 	case age >= s.head && age-s.head > simSlowStream && !s.paceReported:
 		o.Pace = (age - s.head) / time.Duration(s.events(age)+1)
 		s.reported.Pace = o.Pace
@@ -158,7 +158,7 @@
 		for _, daemons := range []int{8, 80} {
 			t.Run(fmt.Sprintf("%v/%d", slow, daemons), func(t *testing.T) {
 				for seed := range uint64(20) {
-					at := detectedAt(Bad, slow, daemons, seed)
+					at := detectedAt(Regressed, slow, daemons, seed)
 					require.Positive(t, at, "seed %d", seed)
 					require.LessOrEqual(t, at, simMaxDetection, "seed %d", seed)
 				}
@@ -181,7 +181,7 @@
 // that report a latency.
 func TestSoundVersionPassesWithRequestsUnderWay(t *testing.T) {
 	for seed := range uint64(100) {
-		require.Zero(t, detectedAt(Bad, sound, 8, seed), "seed %d", seed)
+		require.Zero(t, detectedAt(Regressed, sound, 8, seed), "seed %d", seed)
 	}
 }
 
@@ -189,13 +189,13 @@
 // flight.
 func TestLaterObservationReplacesTheEarlier(t *testing.T) {
 	var under, once Count
-	word := Observation{Expected: time.Second, Took: 2 * time.Second, Unfinished: true}
+	word := Observation{Expected: time.Second, Latency: 2 * time.Second, Unfinished: true}
 	under.add(word)
-	word.Told, word.Took = Told{Took: word.Took}, 3*time.Second
+	word.Reported, word.Latency = Reported{Latency: word.Latency}, 3*time.Second
 	under.add(word)
-	last := Observation{Expected: time.Second, Took: 4 * time.Second, Pace: time.Second, Told: Told{Took: 3 * time.Second}}
+	last := Observation{Expected: time.Second, Latency: 4 * time.Second, Pace: time.Second, Reported: Reported{Latency: 3 * time.Second}}
 	under.add(last)
-	last.Told = Told{}
+	last.Reported = Reported{}
 	once.add(last)
 	require.Equal(t, once.Requests, under.Requests)
 	require.Equal(t, once.Timed, under.Timed)
--- a/internal/shift/tally.go
+++ b/internal/shift/tally.go
@@ -12,11 +12,11 @@
 	// last is the latest evidence by the daemon's incarnation.
 	last map[string]Evidence
 	// earlier is the restored sum, without what the daemons in last had reported by then.
-	earlier Seen
+	earlier Totals
 }
 
 // Totals are the counts of the new version and of the old one, summed over daemons.
-type Seen struct {
+type Totals struct {
 	Fresh Counts `json:"fresh,omitempty"`
 	Old   Counts `json:"old,omitempty"`
 }
@@ -26,15 +26,15 @@
 
 // Update replaces the earlier evidence of the same daemon. It ignores evidence about another
 // order.
-func (t *Tally) Take(e Evidence) {
+func (t *Tally) Update(e Evidence) {
 	if e.Order == t.orderID {
 		t.last[e.From] = e
 	}
 }
 
 // Totals returns the sum of all observations.
-func (t *Tally) Seen() Seen {
-	sum := Seen{Fresh: Merge(t.earlier.Fresh), Old: Merge(t.earlier.Old)}
+func (t *Tally) Totals() Totals {
+	sum := Totals{Fresh: Merge(t.earlier.Fresh), Old: Merge(t.earlier.Old)}
 	for _, e := range t.last {
 		sum.Fresh = Merge(sum.Fresh, e.Fresh)
 		sum.Old = Merge(sum.Old, e.Old)
@@ -45,17 +45,17 @@
 // Restore adds the sum that an earlier lease holder stored. It subtracts what daemons have
 // reported to this tally, which is probably part of that sum: a few observations may be
 // missed, but none counts twice.
-func (t *Tally) Resume(stored Seen) {
-	reported := t.Seen()
+func (t *Tally) Restore(stored Totals) {
+	reported := t.Totals()
 	t.earlier.Fresh = Merge(t.earlier.Fresh, stored.Fresh.minus(reported.Fresh))
 	t.earlier.Old = Merge(t.earlier.Old, stored.Old.minus(reported.Old))
 }
 
 // Input returns the counts of the tally as input of a decision. Requests in flight and
 // sessions come from current, the evidence of the daemons that answered this time.
-func (t *Tally) Known(current []Evidence) Known {
-	totals := t.Seen()
-	in := Known{Fresh: totals.Fresh, Old: totals.Old}
+func (t *Tally) Input(current []Evidence) DecisionInput {
+	totals := t.Totals()
+	in := DecisionInput{Fresh: totals.Fresh, Old: totals.Old}
 	for _, e := range current {
 		if e.Order == t.orderID {
 			in.OldInFlight += e.OldInFlight
--- a/internal/shift/tally_test.go
+++ b/internal/shift/tally_test.go
@@ -18,23 +18,23 @@
 		return Evidence{Order: 7, From: from, Fresh: counts(requests, bad), Old: counts(10*requests, 0)}
 	}
 	holder := NewTally(7)
-	holder.Take(seen("a", 20, 6))
-	holder.Take(seen("b", 20, 7))
-	holder.Take(seen("a-restarted", 5, 1))
-	holder.Take(Evidence{Order: 6, From: "b", Fresh: counts(900, 0)})
-	require.Equal(t, counts(45, 14), holder.Seen().Fresh)
+	holder.Update(seen("a", 20, 6))
+	holder.Update(seen("b", 20, 7))
+	holder.Update(seen("a-restarted", 5, 1))
+	holder.Update(Evidence{Order: 6, From: "b", Fresh: counts(900, 0)})
+	require.Equal(t, counts(45, 14), holder.Totals().Fresh)
 
 	next := NewTally(7)
-	next.Take(seen("b", 22, 8))
-	next.Take(seen("a-restarted", 5, 1))
-	next.Resume(holder.Seen())
-	require.Equal(t, 45, next.Seen().Fresh.Total().Requests, "reports of live daemons are not counted twice")
-	next.Take(seen("b", 30, 10))
-	require.Equal(t, 53, next.Seen().Fresh.Total().Requests)
+	next.Update(seen("b", 22, 8))
+	next.Update(seen("a-restarted", 5, 1))
+	next.Restore(holder.Totals())
+	require.Equal(t, 45, next.Totals().Fresh.Total().Requests, "reports of live daemons are not counted twice")
+	next.Update(seen("b", 30, 10))
+	require.Equal(t, 53, next.Totals().Fresh.Total().Requests)
 
 	alone := NewTally(7)
-	alone.Resume(holder.Seen())
-	require.True(t, Bad(alone.Seen().Fresh, alone.Seen().Old))
+	alone.Restore(holder.Totals())
+	require.True(t, Regressed(alone.Totals().Fresh, alone.Totals().Old))
 }
 
 // Guards against completing a version without any answer under full load. All daemons were
@@ -42,12 +42,12 @@
 // move all sessions and complete the version in one decision.
 func TestLateRolloutIsNotCompletedWithoutAnswers(t *testing.T) {
 	s := State{Order: 7, Service: "engines", To: "v2", Phase: Running, Share: limit.FirstShare(), Step: 1}
-	k := Known{Elapsed: allowed + 13*time.Second, Fresh: counts(31, 1), Old: counts(438, 8)}
-	moved := Next(s, order, k, limit)
+	k := DecisionInput{Elapsed: allowed + 13*time.Second, Fresh: counts(31, 1), Old: counts(438, 8)}
+	moved := NextState(s, order, k, limit)
 	require.Equal(t, 1.0, moved.Share)
-	require.Equal(t, Running, Next(moved, order, k, limit).Phase, "nothing answered since")
+	require.Equal(t, Running, NextState(moved, order, k, limit).Phase, "nothing answered since")
 	k.Fresh = counts(31+maxCompletionRequests, 1)
-	require.Equal(t, Completed, Next(moved, order, k, limit).Phase)
+	require.Equal(t, Completed, NextState(moved, order, k, limit).Phase)
 }
 
 // Guards against a bad version staying in use while no daemon holds the lease and the store is
@@ -55,25 +55,25 @@
 // receives it with the state, and the next lease holder rolls the version back.
 func TestStopWithoutLeaseHolder(t *testing.T) {
 	b := newTracker(clockwork.NewFakeClock())
-	b.Ordered(order)
+	b.AddOrder(order)
 	running := State{Order: 7, Service: "engines", To: "v2", Phase: Running, Share: 1, Step: 3}
-	require.True(t, b.Learn(running))
+	require.True(t, b.ApplyState(running))
 	require.Equal(t, "v2", preferredVersion(b, "x"))
 	stop := running
 	stop.Step, stop.Stopped = 2, true
-	require.True(t, b.Learn(stop))
-	require.False(t, b.Learn(stop))
+	require.True(t, b.ApplyState(stop))
+	require.False(t, b.ApplyState(stop))
 	require.Equal(t, "v1", preferredVersion(b, "x"))
 	running.Step = 4
-	require.True(t, b.Learn(running))
+	require.True(t, b.ApplyState(running))
 	require.Equal(t, "v1", preferredVersion(b, "x"), "a later step without the stop does not undo it")
 
 	_, states := b.Orders()
 	started := newTracker(clockwork.NewFakeClock())
-	started.Ordered(order)
-	require.True(t, started.Learn(states[0]))
+	started.AddOrder(order)
+	require.True(t, started.ApplyState(states[0]))
 	require.Equal(t, "v1", preferredVersion(started, "x"))
-	require.Equal(t, RolledBack, Next(states[0], order, Known{Elapsed: 9 * time.Second}, limit).Phase)
+	require.Equal(t, RolledBack, NextState(states[0], order, DecisionInput{Elapsed: 9 * time.Second}, limit).Phase)
 }
 
 // Guards against all sessions moving to a version that takes eight times as long for 40% of
@@ -89,7 +89,7 @@
 			if random.Float64() < slow {
 				took *= 8
 			}
-			c.add(Observation{Took: took, Expected: expected})
+			c.add(Observation{Latency: took, Expected: expected})
 		}
 		return Counts{"r": c}
 	}
@@ -98,12 +98,12 @@
 	for seed := range uint64(100) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		old := sample(random, 2000, 0)
-		good := Known{Elapsed: allowed - time.Second, Fresh: sample(random, 45, 0), Old: old}
-		if Next(s, order, good, limit).Share == 1 {
+		good := DecisionInput{Elapsed: allowed - time.Second, Fresh: sample(random, 45, 0), Old: old}
+		if NextState(s, order, good, limit).Share == 1 {
 			moved++
 		}
-		bad := Known{Elapsed: allowed - time.Second, Fresh: sample(random, 45, 0.4), Old: old}
-		if Next(s, order, bad, limit).Phase == RolledBack {
+		bad := DecisionInput{Elapsed: allowed - time.Second, Fresh: sample(random, 45, 0.4), Old: old}
+		if NextState(s, order, bad, limit).Phase == RolledBack {
 			held++
 		}
 	}
@@ -117,7 +117,7 @@
 func TestVersionThatFailsTwiceAsOftenIsRejected(t *testing.T) {
 	fresh := Counts{"r/m": {Requests: 233, Bad: 96}}
 	old := Counts{"r/m": {Requests: 16457, Bad: 3395}}
-	require.True(t, Bad(fresh, old))
+	require.True(t, Regressed(fresh, old))
 }
 
 // A version that fails as often as an old one with 20% failures is not rejected, however many
@@ -134,7 +134,7 @@
 			for range 150 {
 				old.add(Observation{Bad: random.Float64() < rate})
 			}
-			require.False(t, Bad(Counts{"r": fresh}, Counts{"r": old}), "seed %d, %d of %d", seed, fresh.Bad, fresh.Requests)
+			require.False(t, Regressed(Counts{"r": fresh}, Counts{"r": old}), "seed %d, %d of %d", seed, fresh.Bad, fresh.Requests)
 		}
 	}
 }
@@ -152,7 +152,7 @@
 			one := c[kind]
 			one.add(Observation{
 				Bad: random.Float64() < 0.14, Unfinished: random.Float64() < 0.2,
-				Expected: time.Second, Took: time.Duration(head * math.Exp(0.5*random.NormFloat64()) * float64(time.Second)),
+				Expected: time.Second, Latency: time.Duration(head * math.Exp(0.5*random.NormFloat64()) * float64(time.Second)),
 				Pace: time.Duration(gap * float64(time.Second)),
 			})
 			c[kind] = one
@@ -163,13 +163,13 @@
 	for seed := range uint64(100) {
 		random := rand.New(rand.NewPCG(seed, 4))
 		old := sample(random, 3000, 1, 1, 1)
-		if Bad(sample(random, 40, 2, 5, 5), old) {
+		if Regressed(sample(random, 40, 2, 5, 5), old) {
 			condemned++
 		}
-		if Bad(sample(random, 40, 1, 1, 5), old) {
+		if Regressed(sample(random, 40, 1, 1, 5), old) {
 			oneKind++
 		}
-		if !Bad(sample(random, 70, 1, 1.5, 1.5), old) {
+		if !Regressed(sample(random, 70, 1, 1.5, 1.5), old) {
 			kept++
 		}
 	}
--- a/internal/shift/verdict.go
+++ b/internal/shift/verdict.go
@@ -54,7 +54,7 @@
 
 // Regressed reports whether the new version fails more often or is slower than the old one,
 // over all requests or for one kind of them. Such a version is rolled back.
-func Bad(fresh, old Counts) bool {
+func Regressed(fresh, old Counts) bool {
 	if rejectsAny(fresh, old, failureTest{minFailures, falseAlarmProbability, failureRatio}) {
 		return true
 	}
--- a/test/measure/cost.go
+++ b/test/measure/cost.go
@@ -103,7 +103,7 @@
 func runCost(choose chooser, oracle bool, seed uint64) costResult {
 	models, kinds := costWorld()
 	random := rand.New(rand.NewPCG(seed, 1))
-	ratings := rating.NewTable()
+	ratings := rating.NewCounter()
 	var due []backing.Rating
 	good, asked := map[string]int{}, map[string]int{}
 	byRef := map[config.VersionRef]costModel{}
--- a/test/measure/exposure.go
+++ b/test/measure/exposure.go
@@ -93,10 +93,10 @@
 	began := clock.Now()
 	policy := config.RolloutPolicy{RatingHorizonMS: (2 * s.delay).Milliseconds()}.WithDefaults()
 	test := rollout.NewTest(policy)
-	bank := rollout.NewBank(policy, 0, 0, began)
-	wallets := make([]*rollout.Exposure, exposureDaemons)
+	bank := rollout.NewCreditAccount(policy, 0, 0, began)
+	wallets := make([]*rollout.DaemonCredits, exposureDaemons)
 	for i := range wallets {
-		wallets[i] = rollout.NewExposure(clock)
+		wallets[i] = rollout.NewDaemonCredits(clock)
 	}
 	evidence := rollout.Evidence{Target: target}
 	var pending []pendingRating
