--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -288,7 +288,7 @@
 
 // HandoverEntry is a key and its entry, as sent to the successor of a stopping
 // daemon.
-type Handover struct {
+type HandoverEntry struct {
 	Key   Key
 	Entry Entry
 }
@@ -296,7 +296,7 @@
 // Export returns the state that a successor needs to act as the home of this
 // daemon's keys: the incarnations whose keys this daemon is home for, and all
 // owned keys and tombstones.
-func (t *Table) Export() (homes []string, entries []Handover) {
+func (t *Table) Export() (homes []string, entries []HandoverEntry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	homes = append(homes, t.self)
@@ -305,7 +305,7 @@
 	}
 	for key, entry := range t.entries {
 		if entry.State == Owned || entry.State == Moved {
-			entries = append(entries, Handover{Key: key, Entry: entry})
+			entries = append(entries, HandoverEntry{Key: key, Entry: entry})
 		}
 	}
 	return homes, entries
@@ -315,7 +315,7 @@
 // act as home for its incarnations. Existing entries take precedence: a key
 // that this daemon owns was granted to it by the stopped daemon, whose own
 // entry is only the tombstone.
-func (t *Table) Adopt(homes []string, entries []Handover) {
+func (t *Table) Import(homes []string, entries []HandoverEntry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, h := range entries {
--- a/internal/claim/resolver.go
+++ b/internal/claim/resolver.go
@@ -23,7 +23,7 @@
 // KeyTaker requests ownership of a key from the daemon that acts as the given
 // incarnation: the incarnation itself or its successor. It returns a
 // fault.KeyUnsettled error if that daemon cannot be reached.
-type Asker interface {
+type KeyTaker interface {
 	Take(ctx context.Context, incarnation string, key Key, home Home, digest string) (Result, error)
 }
 
@@ -39,13 +39,13 @@
 	self     string
 	table    *Table
 	store    backing.Table
-	keyTaker Asker
+	keyTaker KeyTaker
 	clock    clockwork.Clock
 }
 
 // NewResolver returns a resolver for the incarnation self. store records the
 // homes of keys without a prefix.
-func NewResolver(self string, table *Table, store backing.Table, keyTaker Asker, clock clockwork.Clock) *Resolver {
+func NewResolver(self string, table *Table, store backing.Table, keyTaker KeyTaker, clock clockwork.Clock) *Resolver {
 	return &Resolver{self: self, table: table, store: store, keyTaker: keyTaker, clock: clock}
 }
 
--- a/internal/daemon/answers.go
+++ b/internal/daemon/answers.go
@@ -32,7 +32,7 @@
 	return member.Daemon{}, false
 }
 
-// asker asks other daemons for idempotency keys. It implements claim.Asker.
+// asker asks other daemons for idempotency keys. It implements claim.KeyTaker.
 type asker struct {
 	self     string
 	registry *member.Registry
@@ -40,7 +40,7 @@
 	claims   *claim.Table
 }
 
-// Take implements claim.Asker.
+// Take implements claim.KeyTaker.
 func (a *asker) Take(ctx context.Context, incarnation string, key claim.Key, home claim.Home, digest string) (claim.Result, error) {
 	d, known := successorOf(a.registry, incarnation)
 	if !known || d.State == member.Left {
--- a/internal/daemon/duties.go
+++ b/internal/daemon/duties.go
@@ -161,7 +161,7 @@
 	for _, d := range n.registry.All() {
 		live[d.Incarnation] = !dead[d.Incarnation]
 	}
-	abandoned, err := ledger.Abandoned(ctx, n.platform, live)
+	abandoned, err := ledger.UnsealedLogs(ctx, n.platform, live)
 	if err != nil {
 		return
 	}
--- a/internal/daemon/handlers.go
+++ b/internal/daemon/handlers.go
@@ -76,10 +76,10 @@
 func (n *Node) OnMembers() []member.Daemon { return n.registry.All() }
 
 // OnHold implements peer.Handler.
-func (n *Node) OnHold(r peer.HoldRequest) { n.holdings.Hold(r.Owner, r.After, r.Bills) }
+func (n *Node) OnHold(r peer.HoldRequest) { n.holdings.Add(r.Owner, r.After, r.Bills) }
 
 // OnRelease implements peer.Handler.
-func (n *Node) OnRelease(r peer.ReleaseRequest) { n.holdings.Release(r.Owner, r.IDs) }
+func (n *Node) OnRelease(r peer.ReleaseRequest) { n.holdings.Remove(r.Owner, r.IDs) }
 
 // OnTake implements peer.Handler.
 func (n *Node) OnTake(r peer.TakeRequest) claim.Result {
@@ -129,7 +129,7 @@
 // OnHandover implements peer.Handler.
 func (n *Node) OnHandover(r peer.HandoverRequest) {
 	n.answers.Import(r.Answers)
-	n.claims.Adopt(r.Homes, r.Entries)
+	n.claims.Import(r.Homes, r.Entries)
 }
 
 // OnInstances implements peer.Handler.
--- a/internal/daemon/node.go
+++ b/internal/daemon/node.go
@@ -69,7 +69,7 @@
 	claims     *claim.Table
 	resolver   *claim.Resolver
 	ledger     *ledger.Ledger
-	holdings   *ledger.Holdings
+	holdings   *ledger.ReplicaStore
 	limits     *limit.OrganisationLimiter
 	allocator  *limit.Allocator
 	ratings    *rating.Counter
@@ -204,10 +204,10 @@
 		CommitInterval: func() time.Duration {
 			return backing.Interval(len(n.registry.Live()), commitsPerSecond, settings.MS(t.CommitMS))
 		},
-		MaxPending:  n.settings.Limits.MaxPendingBills,
-		HoldTimeout: settings.MS(t.HoldMS),
+		MaxPending:         n.settings.Limits.MaxPendingBills,
+		ReplicationTimeout: settings.MS(t.HoldMS),
 	})
-	n.holdings = ledger.NewHoldings(n.incarnation, n.platform, n.engines, n.clock)
+	n.holdings = ledger.NewReplicaStore(n.incarnation, n.platform, n.engines, n.clock)
 	n.dispatcher = dispatch.New(dispatch.Deps{
 		Site:          n.settings.Site,
 		FailureDomain: n.settings.FailureDomain,
--- a/internal/daemon/replicate.go
+++ b/internal/daemon/replicate.go
@@ -79,7 +79,7 @@
 
 // Hold implements ledger.Replicator. It asks the first holders at once and the
 // next ones where a holder does not answer.
-func (r *replicator) Hold(ctx context.Context, owner string, after int64, bills []ledger.Bill) error {
+func (r *replicator) Replicate(ctx context.Context, owner string, after int64, bills []ledger.Bill) error {
 	holders := r.holders()
 	if len(holders) == 0 {
 		return trace.NotFound("no peer to hold bills")
--- a/internal/ledger/holdings.go
+++ b/internal/ledger/holdings.go
@@ -36,7 +36,7 @@
 //
 // Lock order: no other lock is acquired while mu is held; Seal works on a copy
 // of the replicas.
-type Holdings struct {
+type ReplicaStore struct {
 	self  string
 	table Store
 	usage UsageReader
@@ -49,14 +49,14 @@
 }
 
 // NewReplicaStore returns an empty store of the incarnation self.
-func NewHoldings(self string, table Store, usage UsageReader, clock clockwork.Clock) *Holdings {
-	return &Holdings{self: self, table: table, usage: usage, clock: clock, owners: map[string]map[string]replica{}}
+func NewReplicaStore(self string, table Store, usage UsageReader, clock clockwork.Clock) *ReplicaStore {
+	return &ReplicaStore{self: self, table: table, usage: usage, clock: clock, owners: map[string]map[string]replica{}}
 }
 
 // Add adds or replaces replicas of the bills of owner. after is the newest batch
 // of the owner's log. An open bill never replaces a final one, because messages
 // may arrive out of order.
-func (h *Holdings) Hold(owner string, after int64, bills []Bill) {
+func (h *ReplicaStore) Add(owner string, after int64, bills []Bill) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	replicas := h.owners[owner]
@@ -77,7 +77,7 @@
 }
 
 // Remove deletes replicas of bills that are committed or void.
-func (h *Holdings) Release(owner string, ids []string) {
+func (h *ReplicaStore) Remove(owner string, ids []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, id := range ids {
@@ -89,7 +89,7 @@
 }
 
 // Owners returns the incarnations that own the replicated bills.
-func (h *Holdings) Owners() []string {
+func (h *ReplicaStore) Owners() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	out := make([]string, 0, len(h.owners))
@@ -100,7 +100,7 @@
 }
 
 // Len returns the number of replicas.
-func (h *Holdings) Len() int {
+func (h *ReplicaStore) Len() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := 0
@@ -111,7 +111,7 @@
 }
 
 // replicasOf returns a copy of the replicas of owner's bills.
-func (h *Holdings) replicasOf(owner string) []replica {
+func (h *ReplicaStore) replicasOf(owner string) []replica {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	out := make([]replica, 0, len(h.owners[owner]))
@@ -126,7 +126,7 @@
 // are closed, it marks the log as sealed and returns true. Bills whose requests
 // still run at the upstream, or whose usage cannot be read yet, are left for a
 // later call.
-func (h *Holdings) Seal(ctx context.Context, owner string) (bool, error) {
+func (h *ReplicaStore) Seal(ctx context.Context, owner string) (bool, error) {
 	replicas := h.replicasOf(owner)
 	log := NewLog(h.table, owner, h.self)
 	log.StartAfter(lowestAfter(replicas))
@@ -157,7 +157,7 @@
 			ids = append(ids, c.bill.RequestID)
 		}
 	}
-	h.Release(owner, ids)
+	h.Remove(owner, ids)
 	if len(final) > 0 {
 		slog.Info("ledger.sealed", "incarnation", owner, "bills", len(final), "running", running)
 	}
@@ -180,7 +180,7 @@
 // closeOpenBills returns the bills that are final or can be closed, and the
 // number of those that have to stay open. It omits open bills that the log has
 // closed already.
-func (h *Holdings) closeOpenBills(ctx context.Context, log *Log, bills map[string]Bill) (final []Bill, running int) {
+func (h *ReplicaStore) closeOpenBills(ctx context.Context, log *Log, bills map[string]Bill) (final []Bill, running int) {
 	for _, b := range bills {
 		if b.Final() {
 			final = append(final, b)
@@ -201,7 +201,7 @@
 
 // closeOpenBill closes an open bill according to the usage that the upstream
 // reports. It returns false if the bill has to stay open for now.
-func (h *Holdings) closeOpenBill(ctx context.Context, b Bill) (Bill, bool) {
+func (h *ReplicaStore) closeOpenBill(ctx context.Context, b Bill) (Bill, bool) {
 	now := h.clock.Now()
 	b.Closed = now
 	if b.Service != "" || b.Upstream == "" {
@@ -237,7 +237,7 @@
 
 // UnsealedLogs returns the incarnations that are not live, and whose logs contain
 // open bills and are not sealed.
-func Abandoned(ctx context.Context, table backing.Table, live map[string]bool) ([]string, error) {
+func UnsealedLogs(ctx context.Context, table backing.Table, live map[string]bool) ([]string, error) {
 	all, err := listHeads(ctx, table)
 	if err != nil {
 		return nil, err
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -17,7 +17,7 @@
 type Replicator interface {
 	// Replicate returns nil once enough peers hold replicas of the bills. after
 	// is the newest batch of the owner's log.
-	Hold(ctx context.Context, owner string, after int64, bills []Bill) error
+	Replicate(ctx context.Context, owner string, after int64, bills []Bill) error
 	// Release makes the peers delete their replicas of bills that are committed
 	// or void.
 	Release(ctx context.Context, owner string, ids []string)
@@ -33,7 +33,7 @@
 	// MaxPending bounds the number of uncommitted bills. Open fails beyond it.
 	MaxPending int
 	// ReplicationTimeout bounds one call of Replicator.Replicate.
-	HoldTimeout time.Duration
+	ReplicationTimeout time.Duration
 }
 
 // replicationWorkers is the number of concurrent calls of Replicator.Replicate.
@@ -238,8 +238,8 @@
 	if len(bills) == 0 {
 		return nil
 	}
-	replicationCtx, cancel := context.WithTimeout(ctx, l.options.HoldTimeout)
-	err := l.peers.Hold(replicationCtx, l.self, after, bills)
+	replicationCtx, cancel := context.WithTimeout(ctx, l.options.ReplicationTimeout)
+	err := l.peers.Replicate(replicationCtx, l.self, after, bills)
 	cancel()
 	if err != nil {
 		return l.commitBills(ctx, ids)
@@ -307,8 +307,8 @@
 	after := l.lastBatch
 	l.mu.Unlock()
 	for chunk := range slices.Chunk(bills, MaxBatch) {
-		replicationCtx, cancel := context.WithTimeout(ctx, l.options.HoldTimeout)
-		err := l.peers.Hold(replicationCtx, l.self, after, chunk)
+		replicationCtx, cancel := context.WithTimeout(ctx, l.options.ReplicationTimeout)
+		err := l.peers.Replicate(replicationCtx, l.self, after, chunk)
 		cancel()
 		if err != nil {
 			return
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -46,8 +46,8 @@
 // The daemon then resumes and sends the request: its own bill must be listed.
 func TestOwnerBillReplacesVoidBill(t *testing.T) {
 	store := backing.NewMemory()
-	replicas := NewHoldings("h", store, usageByRequest{}, clockwork.NewFakeClock())
-	replicas.Hold("a", 0, []Bill{bill("a-1", Open)})
+	replicas := NewReplicaStore("h", store, usageByRequest{}, clockwork.NewFakeClock())
+	replicas.Add("a", 0, []Bill{bill("a-1", Open)})
 	done, err := replicas.Seal(ctx, "a")
 	require.NoError(t, err)
 	require.True(t, done)
@@ -63,9 +63,9 @@
 // next seal must not add another.
 func TestOwnerBillReplacesPresumedBill(t *testing.T) {
 	store := backing.NewMemory()
-	replicas := NewHoldings("h", store, usageByRequest{}, clockwork.NewFakeClock())
+	replicas := NewReplicaStore("h", store, usageByRequest{}, clockwork.NewFakeClock())
 	call := Bill{RequestID: "a-1", State: Open, Service: "folders", Upstream: "u"}
-	replicas.Hold("a", 0, []Bill{call})
+	replicas.Add("a", 0, []Bill{call})
 	_, err := replicas.Seal(ctx, "a")
 	require.NoError(t, err)
 	require.Equal(t, Failed, listBills(t, store)["a-1"].State)
@@ -83,8 +83,8 @@
 func TestSealWaitsForRunningWork(t *testing.T) {
 	store := backing.NewMemory()
 	usage := usageByRequest{"a-1": {Attempts: 1, Running: true}}
-	replicas := NewHoldings("h", store, usage, clockwork.NewFakeClock())
-	replicas.Hold("a", 0, []Bill{bill("a-1", Open)})
+	replicas := NewReplicaStore("h", store, usage, clockwork.NewFakeClock())
+	replicas.Add("a", 0, []Bill{bill("a-1", Open)})
 	done, err := replicas.Seal(ctx, "a")
 	require.NoError(t, err)
 	require.False(t, done)
@@ -113,7 +113,7 @@
 		usage := usageByRequest{}
 		clock := clockwork.NewFakeClock()
 		owner := NewLog(store, "a", "a")
-		replicaStores := []*Holdings{NewHoldings("h1", store, usage, clock), NewHoldings("h2", store, usage, clock)}
+		replicaStores := []*ReplicaStore{NewReplicaStore("h1", store, usage, clock), NewReplicaStore("h2", store, usage, clock)}
 		var pending []Bill
 		n := 0
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
@@ -127,7 +127,7 @@
 					copied.State = Open
 				}
 				for _, h := range replicaStores {
-					h.Hold("a", owner.Last(), []Bill{copied})
+					h.Add("a", owner.Last(), []Bill{copied})
 				}
 				pending = append(pending, b)
 			case "commit":
@@ -157,9 +157,9 @@
 // noPeers is the Replicator of a daemon without peers.
 type noPeers struct{}
 
-func (noPeers) Hold(context.Context, string, int64, []Bill) error { return errors.New("no peers") }
-func (noPeers) Release(context.Context, string, []string)         {}
-func (noPeers) Epoch() uint64                                     { return 0 }
+func (noPeers) Replicate(context.Context, string, int64, []Bill) error { return errors.New("no peers") }
+func (noPeers) Release(context.Context, string, []string)              {}
+func (noPeers) Epoch() uint64                                          { return 0 }
 
 // A daemon without peers commits each closed bill immediately, while its regular
 // commit has selected the same bill. An organisation is billed twice if the
@@ -167,7 +167,7 @@
 func TestConcurrentCommitsBillOnce(t *testing.T) {
 	store := backing.NewMemory()
 	l := New("a", store, noPeers{}, clockwork.NewRealClock(), Options{
-		CommitInterval: func() time.Duration { return time.Microsecond }, MaxPending: 1000, HoldTimeout: time.Second,
+		CommitInterval: func() time.Duration { return time.Microsecond }, MaxPending: 1000, ReplicationTimeout: time.Second,
 	})
 	running, stop := context.WithCancel(ctx)
 	var loop, requests sync.WaitGroup
@@ -228,8 +228,8 @@
 	require.Len(t, listBills(t, store), n)
 
 	// The replicas are older than the batches that are left in the table.
-	replicas := NewHoldings("h", store, usageByRequest{"a-1": {Attempts: 1, Finished: true}}, clockwork.NewFakeClock())
-	replicas.Hold("a", 0, []Bill{bill("a-1", Open), bill("a-new", Answered)})
+	replicas := NewReplicaStore("h", store, usageByRequest{"a-1": {Attempts: 1, Finished: true}}, clockwork.NewFakeClock())
+	replicas.Add("a", 0, []Bill{bill("a-1", Open), bill("a-new", Answered)})
 	done, err := replicas.Seal(ctx, "a")
 	require.NoError(t, err)
 	require.True(t, done)
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -183,7 +183,7 @@
 }
 
 func (s *Server) rotateKeys(c *gin.Context) {
-	err := s.Keys.Rotate(c, s.SessionLifetime+session.SpreadTime)
+	err := s.Keys.Rotate(c, s.SessionLifetime+session.KeyPropagationDelay)
 	if err == nil {
 		err = s.Keys.Refresh(c)
 	}
--- a/internal/peer/wire.go
+++ b/internal/peer/wire.go
@@ -105,7 +105,7 @@
 // successor. Homes are the incarnations whose keys the successor then answers for.
 type HandoverRequest struct {
 	Homes   []string
-	Entries []claim.Handover
+	Entries []claim.HandoverEntry
 	Answers []answer.View
 }
 
--- a/internal/session/keyring.go
+++ b/internal/session/keyring.go
@@ -19,7 +19,7 @@
 	// KeyPropagationDelay is the time for which a new key is accepted but not
 	// yet used for signing, so that every daemon has read it before the first
 	// token is signed with it.
-	SpreadTime = time.Minute
+	KeyPropagationDelay = time.Minute
 )
 
 // Key is a symmetric key that signs and verifies tokens.
@@ -127,7 +127,7 @@
 	defer k.mu.Unlock()
 	now := k.clock.Now()
 	for _, key := range slices.Backward(k.keys) {
-		if now.Sub(key.Created) >= SpreadTime {
+		if now.Sub(key.Created) >= KeyPropagationDelay {
 			return key, nil
 		}
 	}
--- a/test/capacity/memory.go
+++ b/test/capacity/memory.go
@@ -187,9 +187,9 @@
 		}),
 		measure("bills held for peers: memory", "B", "bill", []int{1000, 4000, 16000}, func(n int) float64 {
 			return heap(func() any {
-				h := ledger.NewHoldings("h", nil, nil, clock)
+				h := ledger.NewReplicaStore("h", nil, nil, clock)
 				for i := range n {
-					h.Hold(incarnation, 0, []ledger.Bill{billOf(incarnation, i, ledger.Open)})
+					h.Add(incarnation, 0, []ledger.Bill{billOf(incarnation, i, ledger.Open)})
 				}
 				return h
 			})
