--- a/internal/claim/resolver.go
+++ b/internal/claim/resolver.go
@@ -99,7 +99,7 @@
 		}
 		at = result.MovedTo
 	}
-	return Decision{}, keyUnsettled("the key was transferred between daemons too often during the lookup")
+	return Decision{}, keyUnsettled("the key moves between daemons")
 }
 
 // toDecision converts the result that the incarnation at returned.
@@ -110,18 +110,18 @@
 	case Duplicate:
 		return Decision{RequestID: result.RequestID, Owner: at}, nil
 	case Mismatch:
-		return Decision{}, fault.New(fault.KeyReused, "Idempotency-Key: the key was already used with a different request body")
+		return Decision{}, fault.New(fault.KeyReused, "Idempotency-Key: the key was used with another request")
 	case Expired:
-		return Decision{}, fault.New(fault.KeyExpired, "Idempotency-Key: the key has expired; it is no longer known whether a request with it ran").WithRan(fault.RanUnknown)
+		return Decision{}, fault.New(fault.KeyExpired, "Idempotency-Key: the key is too old; whether it ran is not known any more").WithRan(fault.RanUnknown)
 	default:
-		return Decision{}, keyUnsettled("another request with the key is being resolved")
+		return Decision{}, keyUnsettled("the key is being settled")
 	}
 }
 
 // keyUnsettled returns the error for a key of which it is currently unknown
 // whether a request with it has run.
 func keyUnsettled(why string) error {
-	return fault.New(fault.KeyUnsettled, "Idempotency-Key: %s; retry with the same key", why).WithRan(fault.RanUnknown)
+	return fault.New(fault.KeyUnsettled, "Idempotency-Key: %s; ask again with the same key", why).WithRan(fault.RanUnknown)
 }
 
 // assignHome returns the home of a key without a prefix. If the key has no row
@@ -155,7 +155,7 @@
 	}
 	revision, err = backing.GetJSON(ctx, r.store, row, &found)
 	if err != nil || revision == 0 {
-		return Home{}, storeUnavailable(trace.ConnectionProblem(err, "the row with the home of the key could not be read after the insert"))
+		return Home{}, storeUnavailable(trace.ConnectionProblem(err, "the claim could not be read back"))
 	}
 	return Home{Incarnation: found.Home, Issued: found.Issued}, nil
 }
@@ -163,7 +163,7 @@
 // storeUnavailable returns the error for a request whose key has no prefix and
 // whose home cannot be read or written.
 func storeUnavailable(err error) error {
-	return fault.New(fault.StoreUnavailable, "the home of the idempotency key could not be read or assigned: %v; a key with a prefix from discovery does not need the store", err)
+	return fault.New(fault.StoreUnavailable, "the key could not be claimed: %v; a key with a discovery prefix needs no store", err)
 }
 
 // Release gives up the key of the request requestID, which was not run.
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -102,7 +102,7 @@
 func (l *Ledger) Open(ctx context.Context, b Bill) error {
 	b.State = Open
 	if !l.put(b, true) {
-		return fault.New(fault.StoreUnavailable, "too many bills are waiting to be committed to the store")
+		return fault.New(fault.StoreUnavailable, "too many bills wait for the store")
 	}
 	if err := l.makeDurable(ctx, b.RequestID); err != nil {
 		l.Void(b.RequestID)
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -252,7 +252,7 @@
 	return trace.Wrap(err)
 }
 
-var errNotRollingOut = errors.New("the version is no longer rolling out")
+var errNotRollingOut = errors.New("the version is not rolling out any more")
 
 // withdraw marks the version as withdrawn because of its ratings.
 func (c *Controller) withdraw(ctx context.Context, r config.Rollout, evidence []Evidence, l *leasedRollout) error {
@@ -354,7 +354,7 @@
 	defer c.mu.Unlock()
 	l, ok := c.leased[ref]
 	if !ok || l.account == nil || !l.lease.Held() {
-		return 0, trace.NotFound("this daemon does not hold the lease of the roll-out of %v", ref)
+		return 0, trace.NotFound("the duty for %v is not held here", ref)
 	}
 	snapshot := c.deps.Snapshot()
 	if snapshot.Rollouts[ref].State != config.RollingOut {
--- a/internal/rollout/operator.go
+++ b/internal/rollout/operator.go
@@ -35,9 +35,9 @@
 
 func startConflict(r config.Rollout) error {
 	if r.State == config.Withdrawn {
-		return fault.New(fault.ConfigConflict, "%s was withdrawn (%s); give the corrected version a new name", r.VersionRef, r.Reason)
+		return fault.New(fault.ConfigConflict, "%s was withdrawn (%s); give the mended version a new name", r.VersionRef, r.Reason)
 	}
-	return fault.New(fault.ConfigConflict, "%s is already %s", r.VersionRef, r.State)
+	return fault.New(fault.ConfigConflict, "%s is %s already", r.VersionRef, r.State)
 }
 
 func checkStart(snapshot *config.Snapshot, ref config.VersionRef, from string) error {
@@ -52,7 +52,7 @@
 		return fault.New(fault.ConfigConflict, "%s is withdrawn in the documents", ref)
 	}
 	if state == config.Serving {
-		return fault.New(fault.ConfigConflict, "%s is already serving", ref)
+		return fault.New(fault.ConfigConflict, "%s serves already", ref)
 	}
 	if from == "" {
 		return nil
