--- a/internal/entry/beliefs.go
+++ b/internal/entry/beliefs.go
@@ -46,7 +46,7 @@
 }
 
 // inForce returns the evacuations in force.
-func (n *Node) inForce() []Evacuation {
+func (n *Node) activeEvacuations() []Evacuation {
 	out := []Evacuation{}
 	for _, o := range n.evacuations.InForce() {
 		out = append(out, Evacuation{FailureDomain: o.FailureDomain, SinceMS: o.Age.Milliseconds(), Open: n.table.OpenRequestsIn(o.FailureDomain)})
@@ -55,16 +55,16 @@
 }
 
 // Beliefs returns what this daemon believes.
-func (n *Node) Beliefs() Beliefs {
-	b := Beliefs{Instance: n.settings.Instance, Ready: n.Ready(), Reader: n.reader(), Daemons: n.registry.All(), Evacuations: n.inForce()}
+func (n *Node) Status() Beliefs {
+	b := Beliefs{Instance: n.settings.Instance, Ready: n.Ready(), Reader: n.isReader(), Daemons: n.registry.All(), Evacuations: n.activeEvacuations()}
 	b.List.Revision, b.List.AgeMS = n.table.Revision(), n.table.Age().Milliseconds()
 	b.List.Instances = map[string][]inventory.View{}
-	_, b.Rollouts = n.book.Orders()
+	_, b.Rollouts = n.rollouts.Orders()
 	c := n.current.Load()
 	if c == nil {
 		return b
 	}
-	b.Config.Version, b.Config.AgeMS = c.Version, n.clock.Since(n.fresh.view().at).Milliseconds()
+	b.Config.Version, b.Config.AgeMS = c.Version, n.clock.Since(n.freshness.view().confirmedAt).Milliseconds()
 	b.Config.Limits = c.Limits
 	for _, r := range c.Routes() {
 		b.Config.Routes = append(b.Config.Routes, *r)
@@ -82,14 +82,14 @@
 )
 
 // operatorHandler serves counters and beliefs.
-func (n *Node) operatorHandler() http.Handler {
+func (n *Node) debugHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET "+varsPath, expvar.Handler())
-	mux.HandleFunc("GET "+QuarantinePath, n.quarantine.show)
-	mux.HandleFunc("POST "+ReleasePath+"{digest}", n.quarantine.release)
+	mux.HandleFunc("GET "+QuarantinePath, n.quarantine.serveList)
+	mux.HandleFunc("POST "+ReleasePath+"{digest}", n.quarantine.serveRelease)
 	mux.HandleFunc("GET "+BeliefsPath, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		if err := json.NewEncoder(w).Encode(n.Beliefs()); err != nil {
+		if err := json.NewEncoder(w).Encode(n.Status()); err != nil {
 			slog.Debug("beliefs.not_delivered", "error", err)
 		}
 	})
@@ -97,10 +97,10 @@
 }
 
 // ageLimit is how old beliefs may be before the CLI marks them.
-const ageLimit = 3 * time.Second
+const staleAfter = 3 * time.Second
 
 // Stale reports whether the list or the configuration has not been confirmed
 // for some time.
 func (b Beliefs) Stale() bool {
-	return b.List.AgeMS > ageLimit.Milliseconds() || b.Config.AgeMS > ageLimit.Milliseconds()
+	return b.List.AgeMS > staleAfter.Milliseconds() || b.Config.AgeMS > staleAfter.Milliseconds()
 }
--- a/internal/entry/budget_test.go
+++ b/internal/entry/budget_test.go
@@ -12,7 +12,7 @@
 
 // Guards against a fleet that is cut in two and sends an instance twice what it takes, since
 // each side takes itself for the whole.
-func TestPartsOfACutFleetShareOneBudget(t *testing.T) {
+func TestPartitionedFleetSharesOneBudget(t *testing.T) {
 	const daemons, rate = 8, 2.0
 	fleet := make([]*Node, daemons)
 	for i := range fleet {
@@ -41,7 +41,7 @@
 
 // Guards against a fleet whose daemons were killed and started again at their addresses, and
 // that leaves a part of each budget to those that are gone.
-func TestDaemonsThatStartedAgainTakeTheWholeBudget(t *testing.T) {
+func TestRestartedDaemonsUseTheWholeBudget(t *testing.T) {
 	n := newTestNode(clockwork.NewFakeClock(), nil)
 	const rate = 2.0
 	for _, d := range []member.Daemon{
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -21,12 +21,12 @@
 	headerTimeout = 5 * time.Second
 	idleTimeout   = 30 * time.Second
 	// slowNoticeTime bounds the writing of an answer to a caller that is slow.
-	slowNoticeTime = 200 * time.Millisecond
+	slowResponseTimeout = 200 * time.Millisecond
 )
 
 // slowNotice answers a request whose head did not come in time. It says "not
 // run": the caller may send it again.
-const slowNotice = "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+const requestTimeoutResponse = "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
 // callerListener gives callers' connections the times that are declared when
 // they begin to count. The HTTP server has one setting for all connections and
@@ -56,8 +56,8 @@
 
 	mu sync.Mutex
 	// waiting is set while no byte of the next request has come.
-	waiting bool
-	timer   *time.Timer
+	idle  bool
+	timer *time.Timer
 	// phase counts the changes, so that a timer that ran out just then does
 	// nothing.
 	phase int
@@ -67,24 +67,24 @@
 func (c *callerConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
-		c.arrived()
+		c.startHeaderTimer()
 	}
 	return n, err
 }
 
 // rest begins the time that the connection may lie unused.
-func (c *callerConn) rest() {
+func (c *callerConn) startIdleTimer() {
 	limit := c.limits().IdleTimeout
 	if limit <= 0 {
 		limit = idleTimeout
 	}
-	c.change(true, limit, func() { _ = c.Close() })
+	c.enterPhase(true, limit, func() { _ = c.Close() })
 }
 
 // arrived begins the time for the head of a request.
-func (c *callerConn) arrived() {
+func (c *callerConn) startHeaderTimer() {
 	c.mu.Lock()
-	waiting := c.waiting
+	waiting := c.idle
 	c.mu.Unlock()
 	if !waiting {
 		return
@@ -93,53 +93,53 @@
 	if limit <= 0 {
 		limit = headerTimeout
 	}
-	c.change(false, limit, c.refuseSlow)
+	c.enterPhase(false, limit, c.rejectSlow)
 }
 
 // served ends all waiting: the head of a request is there, or the connection is
 // gone.
-func (c *callerConn) served() { c.change(false, 0, nil) }
+func (c *callerConn) stopTimer() { c.enterPhase(false, 0, nil) }
 
 // change enters the next phase, which ends with timeout after limit; 0 is never.
-func (c *callerConn) change(waiting bool, limit time.Duration, timeout func()) {
+func (c *callerConn) enterPhase(waiting bool, limit time.Duration, timeout func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.timer != nil {
 		c.timer.Stop()
 		c.timer = nil
 	}
-	c.waiting = waiting
+	c.idle = waiting
 	c.phase++
 	if limit <= 0 {
 		return
 	}
 	phase := c.phase
 	c.timer = time.AfterFunc(limit, func() {
-		if c.still(phase) {
+		if c.inPhase(phase) {
 			timeout()
 		}
 	})
 }
 
-func (c *callerConn) still(phase int) bool {
+func (c *callerConn) inPhase(phase int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.phase == phase
 }
 
 // refuseSlow tells a caller whose request did not come in time.
-func (c *callerConn) refuseSlow() {
+func (c *callerConn) rejectSlow() {
 	slog.Info("caller.slow", "address", c.RemoteAddr().String())
 	// A caller that cannot be written to is not told; its connection ends.
-	_ = c.SetWriteDeadline(time.Now().Add(slowNoticeTime))
-	_, _ = io.WriteString(c.Conn, slowNotice)
+	_ = c.SetWriteDeadline(time.Now().Add(slowResponseTimeout))
+	_, _ = io.WriteString(c.Conn, requestTimeoutResponse)
 	_ = c.Close()
 }
 
 type callerConnKey struct{}
 
 // followCallers lets a server tell callers' connections what they are at.
-func followCallers(server *http.Server) {
+func trackCallerConns(server *http.Server) {
 	handler := server.Handler
 	server.ConnContext = func(ctx context.Context, conn net.Conn) context.Context {
 		return context.WithValue(ctx, callerConnKey{}, conn)
@@ -149,14 +149,14 @@
 		switch {
 		case !ok:
 		case state == http.StateNew || state == http.StateIdle:
-			c.rest()
+			c.startIdleTimer()
 		case state == http.StateClosed || state == http.StateHijacked:
-			c.served()
+			c.stopTimer()
 		}
 	}
 	server.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if c, ok := r.Context().Value(callerConnKey{}).(*callerConn); ok {
-			c.served()
+			c.stopTimer()
 		}
 		handler.ServeHTTP(w, r)
 	})
--- a/internal/entry/contact.go
+++ b/internal/entry/contact.go
@@ -29,9 +29,9 @@
 // storeContact remembers how the store answers.
 //
 // Lock order: mu is taken alone.
-type storeContact struct {
-	mu     sync.Mutex
-	answer time.Time
+type storeHealth struct {
+	mu         sync.Mutex
+	lastAnswer time.Time
 	// lost is set from the first call without an answer to the next answer,
 	// at regained.
 	lost     bool
@@ -40,7 +40,7 @@
 }
 
 // lostSince is when the store last began not to answer.
-func (c *storeContact) lostSince() time.Time {
+func (c *storeHealth) lastLostAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lostAt
@@ -53,64 +53,64 @@
 // long after whatever became of it. Taken for a loss, each such failure would have entries
 // that are missing from the list kept for doubtTime more, and requests sent to instances
 // that have left. A store that is lost just now is found by the next call.
-func (c *storeContact) note(asked, now time.Time, err error) {
+func (c *storeHealth) record(asked, now time.Time, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	answered := err == nil || errors.Is(err, platform.ErrCompacted)
 	switch {
-	case !answered && !c.lost && !c.answer.After(asked):
+	case !answered && !c.lost && !c.lastAnswer.After(asked):
 		c.lost, c.lostAt = true, now
 		slog.Warn("store.lost", "error", err)
 	case answered && c.lost:
 		c.lost, c.regained = false, now
-		slog.Info("store.regained", "silent_ms", now.Sub(c.answer).Milliseconds())
+		slog.Info("store.regained", "silent_ms", now.Sub(c.lastAnswer).Milliseconds())
 	}
 	if answered {
-		c.answer = now
+		c.lastAnswer = now
 	}
 }
 
 // restored notes that the store came back from an older copy, which may lack entries of live
 // instances, whether or not it was missed.
-func (c *storeContact) restored(now time.Time) {
+func (c *storeHealth) noteRestore(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lostAt, c.regained = now, now
 }
 
 // doubted is until when the list may lack entries of live instances.
-func (c *storeContact) doubted(now time.Time) time.Time {
+func (c *storeHealth) graceEnd(now time.Time) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
 	case c.lost:
-		return now.Add(doubtTime)
+		return now.Add(missingEntryGrace)
 	case c.regained.IsZero():
 		return time.Time{}
 	default:
-		return c.regained.Add(doubtTime)
+		return c.regained.Add(missingEntryGrace)
 	}
 }
 
 // answeredAfter reports whether the store has answered since a time.
-func (c *storeContact) answeredAfter(t time.Time) bool {
+func (c *storeHealth) answeredAfter(t time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.answer.After(t)
+	return c.lastAnswer.After(t)
 }
 
 // away reports whether the last call got no answer.
-func (c *storeContact) away() bool {
+func (c *storeHealth) isLost() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lost
 }
 
 // silent reports whether the store has not answered for d.
-func (c *storeContact) silent(now time.Time, d time.Duration) bool {
+func (c *storeHealth) silentFor(now time.Time, d time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return now.Sub(c.answer) > d
+	return now.Sub(c.lastAnswer) > d
 }
 
 // backoff doubles a pause for each failure in a row, with a random part so that
@@ -127,8 +127,8 @@
 // the installation, is not a reader and was told of nothing newer waits longer.
 func (n *Node) backOff(ctx context.Context, b *backoff) {
 	first, most := retryPause, maxRetryPause
-	if b.failures > 0 && n.Ready() && !n.reader() && !n.behind.Load() {
+	if b.failures > 0 && n.Ready() && !n.isReader() && !n.behind.Load() {
 		first, most = followerPause, maxFollowerPause
 	}
-	n.pause(ctx, b.next(first, most))
+	n.sleep(ctx, b.next(first, most))
 }
--- a/internal/entry/crashes.go
+++ b/internal/entry/crashes.go
@@ -17,13 +17,13 @@
 	// lookAgain is when an instance whose connections broke is looked at a second time:
 	// a process that ends closes its sockets one after the other, the one it listens at
 	// among them.
-	lookAgain = 40 * time.Millisecond
+	secondProbeDelay = 40 * time.Millisecond
 	// keptReports and maxReports bound the crashes that a daemon can still tell of: to
 	// judges that were chosen since, or have missed it.
-	keptReports = quarantine.EvidenceTTL
-	maxReports  = 256
+	reportTTL  = quarantine.EvidenceTTL
+	maxReports = 256
 	// judgeDuty names the order in which daemons are chosen to judge.
-	judgeDuty = "judge"
+	judgeRankKey = "judge"
 	// judgeCount is two, so that the loss of one is not noticed.
 	judgeCount = 2
 )
@@ -32,10 +32,10 @@
 // the judges.
 //
 // Lock order: mu is taken alone.
-type crashes struct {
+type crashReporter struct {
 	*Node
 	// news is signalled when there is something to tell.
-	news chan struct{}
+	pending chan struct{}
 
 	mu sync.Mutex
 	// broken are instances whose connections broke, until they have been looked at.
@@ -44,8 +44,8 @@
 	// waiting are requests whose next attempt waits for what is decided.
 	waiting map[quarantine.Digest][]chan struct{}
 	// telling are the judges that are being told, by incarnation.
-	telling map[string]bool
-	ended   int64
+	reporting  map[string]bool
+	endedCount int64
 }
 
 // report is an instance that ended.
@@ -54,23 +54,23 @@
 	at       time.Time
 	suspects []quarantine.Suspect
 	// told has the number of suspects that a judge was told of, by incarnation.
-	told map[string]int
+	sent map[string]int
 }
 
-func newCrashes(n *Node) *crashes {
-	return &crashes{
-		Node: n, news: make(chan struct{}, 1), broken: map[inventory.InstanceHash][]quarantine.Suspect{},
-		waiting: map[quarantine.Digest][]chan struct{}{}, telling: map[string]bool{},
+func newCrashReporter(n *Node) *crashReporter {
+	return &crashReporter{
+		Node: n, pending: make(chan struct{}, 1), broken: map[inventory.InstanceHash][]quarantine.Suspect{},
+		waiting: map[quarantine.Digest][]chan struct{}{}, reporting: map[string]bool{},
 	}
 }
 
 // Broken implements forward.Quarantine. It does not block.
-func (c *crashes) Broken(i inventory.Instance, s quarantine.Suspect) <-chan struct{} {
+func (c *crashReporter) Broken(i inventory.Instance, s quarantine.Suspect) <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	decided := make(chan struct{})
 	c.waiting[s.Digest] = append(c.waiting[s.Digest], decided)
-	if r := c.report(i); r != nil {
+	if r := c.reportOf(i); r != nil {
 		r.suspects = append(r.suspects, s)
 		c.signal()
 		return decided
@@ -79,20 +79,20 @@
 	first := c.broken[number] == nil
 	c.broken[number] = append(c.broken[number], s)
 	if first {
-		go c.examine(i)
+		go c.probe(i)
 	}
 	return decided
 }
 
 // Ended implements forward.Quarantine.
-func (c *crashes) Ended(i inventory.Instance) bool {
+func (c *crashReporter) Ended(i inventory.Instance) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.report(i) != nil
+	return c.reportOf(i) != nil
 }
 
 // goOn lets the next attempts of some requests begin.
-func (c *crashes) goOn(all []quarantine.Digest) {
+func (c *crashReporter) resumeWaiting(all []quarantine.Digest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, d := range all {
@@ -104,7 +104,7 @@
 }
 
 // report returns what is known of the end of an instance. The lock is held.
-func (c *crashes) report(i inventory.Instance) *report {
+func (c *crashReporter) reportOf(i inventory.Instance) *report {
 	for _, r := range c.reports {
 		if r.instance.ID == i.ID && r.instance.Born == i.Born {
 			return r
@@ -115,37 +115,37 @@
 
 // examine looks whether an instance whose connections broke has ended. One that was
 // leaving ends as planned, whatever is under way there.
-func (c *crashes) examine(i inventory.Instance) {
+func (c *crashReporter) probe(i inventory.Instance) {
 	at := c.clock.Now()
 	ended := c.pool.Ended(context.Background(), i.Address)
 	if !ended {
-		c.goOn(c.suspects(i))
-		c.clock.Sleep(lookAgain)
+		c.resumeWaiting(c.brokenSuspects(i))
+		c.clock.Sleep(secondProbeDelay)
 		ended = c.pool.Ended(context.Background(), i.Address)
 	}
-	suspects := c.looked(i)
+	suspects := c.takeBroken(i)
 	if !ended || c.table.IsLeaving(i.Incarnation()) {
-		c.goOn(quarantine.Digests(suspects))
+		c.resumeWaiting(quarantine.Digests(suspects))
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ended++
-	c.reports = append(c.reports, &report{instance: i, at: at, suspects: suspects, told: map[string]int{}})
+	c.endedCount++
+	c.reports = append(c.reports, &report{instance: i, at: at, suspects: suspects, sent: map[string]int{}})
 	c.reports = c.reports[max(len(c.reports)-maxReports, 0):]
 	c.signal()
 	slog.Warn("instance.ended", "instance", i.ID, "address", i.Address, "version", i.Version, "requests", len(suspects))
 }
 
 // suspects returns the requests whose connections to an instance broke.
-func (c *crashes) suspects(i inventory.Instance) []quarantine.Digest {
+func (c *crashReporter) brokenSuspects(i inventory.Instance) []quarantine.Digest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return quarantine.Digests(c.broken[i.Hash()])
 }
 
 // looked ends the look at an instance and returns the requests whose connections broke.
-func (c *crashes) looked(i inventory.Instance) []quarantine.Suspect {
+func (c *crashReporter) takeBroken(i inventory.Instance) []quarantine.Suspect {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	suspects := c.broken[i.Hash()]
@@ -153,15 +153,15 @@
 	return suspects
 }
 
-func (c *crashes) signal() {
+func (c *crashReporter) signal() {
 	select {
-	case c.news <- struct{}{}:
+	case c.pending <- struct{}{}:
 	default:
 	}
 }
 
 // recent returns the crashes of this daemon that are not older than within.
-func (c *crashes) recent(within time.Duration) []quarantine.Crash {
+func (c *crashReporter) recent(within time.Duration) []quarantine.Crash {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []quarantine.Crash
@@ -181,70 +181,70 @@
 
 // tellLoop tells the judges what they do not know yet, each by itself: one that does not
 // answer must not keep the other from deciding.
-func (c *crashes) tellLoop(ctx context.Context) {
+func (c *crashReporter) reportLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.news:
-		case <-c.clock.After(tidyInterval):
+		case <-c.pending:
+		case <-c.clock.After(cleanupInterval):
 		}
-		c.forget()
+		c.dropExpired()
 		for _, judge := range c.judges() {
-			if c.beginTelling(judge) {
-				go c.inform(ctx, judge)
+			if c.beginReporting(judge) {
+				go c.reportAll(ctx, judge)
 			}
 		}
 	}
 }
 
 // beginTelling reports whether a judge is not being told yet, and notes that it is.
-func (c *crashes) beginTelling(judge member.Daemon) bool {
+func (c *crashReporter) beginReporting(judge member.Daemon) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.telling[judge.Incarnation] {
+	if c.reporting[judge.Incarnation] {
 		return false
 	}
-	c.telling[judge.Incarnation] = true
+	c.reporting[judge.Incarnation] = true
 	return true
 }
 
 // inform tells a judge all that it does not know, and what comes meanwhile.
-func (c *crashes) inform(ctx context.Context, judge member.Daemon) {
-	answered := c.tellJudge(ctx, judge)
+func (c *crashReporter) reportAll(ctx context.Context, judge member.Daemon) {
+	answered := c.reportUnsent(ctx, judge)
 	c.mu.Lock()
-	delete(c.telling, judge.Incarnation)
+	delete(c.reporting, judge.Incarnation)
 	c.mu.Unlock()
-	if told, _ := c.untold(judge.Incarnation); answered && len(told) > 0 {
+	if told, _ := c.unsent(judge.Incarnation); answered && len(told) > 0 {
 		c.signal()
 	}
 }
 
 // forget drops old reports. No attempt waits for what is decided of them any more.
-func (c *crashes) forget() {
+func (c *crashReporter) dropExpired() {
 	c.mu.Lock()
 	var over []quarantine.Digest
 	c.reports = slices.DeleteFunc(c.reports, func(r *report) bool {
-		old := c.clock.Since(r.at) > keptReports
+		old := c.clock.Since(r.at) > reportTTL
 		if old {
 			over = append(over, quarantine.Digests(r.suspects)...)
 		}
 		return old
 	})
 	c.mu.Unlock()
-	c.goOn(over)
+	c.resumeWaiting(over)
 }
 
 // judges are the daemons that weigh the crashes of all.
 func (n *Node) judges() []member.Daemon {
-	return n.registry.TopRanked(judgeDuty, judgeCount, func(member.Daemon) bool { return true })
+	return n.registry.TopRanked(judgeRankKey, judgeCount, func(member.Daemon) bool { return true })
 }
 
 // tellJudge tells a judge what it does not know. Requests that were on no other ended
 // instance go on at once; that they are many, and the one at fault is among them, is
 // found out by the next crash. It reports whether the judge knows all that there was.
-func (c *crashes) tellJudge(ctx context.Context, judge member.Daemon) bool {
-	told, counts := c.untold(judge.Incarnation)
+func (c *crashReporter) reportUnsent(ctx context.Context, judge member.Daemon) bool {
+	told, counts := c.unsent(judge.Incarnation)
 	if len(told) == 0 {
 		return true
 	}
@@ -253,7 +253,7 @@
 	if judge.Incarnation == c.registry.Self().Incarnation {
 		reply = c.OnCrashes(report)
 	} else {
-		call, cancel := context.WithTimeout(ctx, beatTimeout)
+		call, cancel := context.WithTimeout(ctx, peerCallTimeout)
 		defer cancel()
 		var err error
 		if reply, err = c.peers.ReportCrashes(call, judge.PeerAddress, report); err != nil {
@@ -261,24 +261,24 @@
 			return false
 		}
 	}
-	c.goOn(reply.First)
+	c.resumeWaiting(reply.First)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for r, n := range counts {
-		r.told[judge.Incarnation] = n
+		r.sent[judge.Incarnation] = n
 	}
 	return true
 }
 
 // untold returns what a judge has not been told, and how many suspects of each report it
 // then has.
-func (c *crashes) untold(judge string) ([]quarantine.Crash, map[*report]int) {
+func (c *crashReporter) unsent(judge string) ([]quarantine.Crash, map[*report]int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []quarantine.Crash
 	counts := map[*report]int{}
 	for _, r := range c.reports {
-		if told, ok := r.told[judge]; !ok || told < len(r.suspects) {
+		if told, ok := r.sent[judge]; !ok || told < len(r.suspects) {
 			out = append(out, r.crash(c.clock.Since(r.at)))
 			counts[r] = len(r.suspects)
 		}
--- a/internal/entry/doubt.go
+++ b/internal/entry/doubt.go
@@ -7,7 +7,7 @@
 
 // doubtTime is how long after the store's return a missing entry of the
 // list is doubted: those of live servers are back within two seconds.
-const doubtTime = 2 * time.Second
+const missingEntryGrace = 2 * time.Second
 
 // toldDoubts bound for how long entries that are missing from the list are kept
 // because a reader doubts it.
@@ -20,20 +20,20 @@
 // only from news that ends a time without any.
 //
 // Lock order: mu is taken alone.
-type toldDoubts struct {
+type readerGrace struct {
 	mu sync.Mutex
 	// until is when the doubt that counts ends.
-	until time.Time
+	graceEnd time.Time
 	// toldAt is when a reader last told of the list, and toldUntil when its own
 	// doubt ends.
-	toldAt, toldUntil time.Time
+	updatedAt, readerGraceEnd time.Time
 }
 
 // heard takes in that a reader told of the list, which it doubts for some time.
-func (d *toldDoubts) heard(now time.Time, told time.Duration) {
+func (d *readerGrace) noteUpdate(now time.Time, told time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.toldAt, d.toldUntil = now, now.Add(told)
+	d.updatedAt, d.readerGraceEnd = now, now.Add(told)
 }
 
 // bound returns until when entries are kept that are missing from a list which this
@@ -42,37 +42,37 @@
 //
 // A daemon that is not a reader asks the store seldom and notices late that it is back.
 // Its doubt would begin only then, and last longer than that of the readers.
-func (d *toldDoubts) bound(until, lostAt time.Time) time.Time {
+func (d *readerGrace) limit(until, lostAt time.Time) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.toldAt.After(lostAt) && d.toldUntil.Before(until) {
-		return d.toldUntil
+	if d.updatedAt.After(lostAt) && d.readerGraceEnd.Before(until) {
+		return d.readerGraceEnd
 	}
 	return until
 }
 
 // take returns until when entries missing by a reader's news are kept. late tells
 // that this daemon had not heard of the list for too long.
-func (d *toldDoubts) take(now time.Time, told time.Duration, late bool) time.Time {
+func (d *readerGrace) extend(now time.Time, told time.Duration, late bool) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	until := now.Add(told)
-	if late && until.After(d.until) {
-		d.until = until
+	if late && until.After(d.graceEnd) {
+		d.graceEnd = until
 	}
-	if until.After(d.until) {
-		return d.until
+	if until.After(d.graceEnd) {
+		return d.graceEnd
 	}
 	return until
 }
 
 // doubt is for how long entries missing from the list are kept.
-func (n *Node) doubt() time.Duration {
+func (n *Node) graceLeft() time.Duration {
 	now := n.clock.Now()
-	return max(n.doubtedUntil(now).Sub(now), 0)
+	return max(n.graceEnd(now).Sub(now), 0)
 }
 
 // doubtedUntil is until when entries missing from the list are kept.
-func (n *Node) doubtedUntil(now time.Time) time.Time {
-	return n.doubts.bound(n.contact.doubted(now), n.contact.lostSince())
+func (n *Node) graceEnd(now time.Time) time.Time {
+	return n.readerGrace.limit(n.storeHealth.graceEnd(now), n.storeHealth.lastLostAt())
 }
--- a/internal/entry/duty.go
+++ b/internal/entry/duty.go
@@ -20,99 +20,99 @@
 const (
 	// dutyInterval is the time between two looks at a roll-out. A bad version
 	// must be gone five seconds after its fiftieth bad answer.
-	dutyInterval = 300 * time.Millisecond
+	rolloutInterval = 300 * time.Millisecond
 	// dutyCallTime is what a question to another daemon may take then: a hundred
 	// times the way between failure domains. While a daemon is frozen each look takes
 	// all of it, and little time is left after all sessions have moved.
-	dutyCallTime = 150 * time.Millisecond
+	rolloutCallTimeout = 150 * time.Millisecond
 	// leaseTime is how long a daemon keeps the duty without renewing it, and
 	// renewInterval how often it does.
-	leaseTime     = 4 * time.Second
-	renewInterval = 1 * time.Second
+	leaseTTL           = 4 * time.Second
+	leaseRenewInterval = 1 * time.Second
 	// holderSilence is how long no holder must have been heard of before a
 	// daemon that is not next in line tries for the duty.
-	holderSilence = 2500 * time.Millisecond
+	holderTimeout = 2500 * time.Millisecond
 	// takers is how many daemons, the next in line, try for the duty then. The
 	// others wait for as long again as one of these needs to take it, so that
 	// not all daemons ask for the lease of a holder that the store turns away.
-	takers      = 6
-	lastResort  = holderSilence + leaseTime + renewInterval
-	statePrefix = "shift/"
+	takeoverCandidates  = 6
+	lastTakeoverTimeout = holderTimeout + leaseTTL + leaseRenewInterval
+	rolloutStatePrefix  = "shift/"
 )
 
 // duty is one service's roll-out as this daemon takes part in it.
-type duty struct {
+type rolloutDuty struct {
 	lease *lease.Lease
 	// began is when this daemon first looked at the roll-out.
-	began time.Time
+	firstSeen time.Time
 	// renewed is when the lease was last tried for.
-	renewed time.Time
+	renewedAt time.Time
 	// loaded is set once the stored state was read under the present lease.
 	loaded bool
 	// revision is that of the stored state, and step its step.
 	revision int64
 	step     int
 	// told is the last phase that the operator was told.
-	told shift.Phase
+	reportedPhase shift.Phase
 	// order is the order that the above is about, and era that of the store.
 	order int64
 	era   int64
 	// tally is what daemons have seen, as far as this one has heard. stored is
 	// the sum that the last holder stored, resumed is set once it is in the
 	// tally, and seenAt is when this daemon last stored it.
-	tally   *shift.Tally
-	stored  shift.Totals
-	resumed bool
-	seenAt  time.Time
+	tally          *shift.Tally
+	storedTotals   shift.Totals
+	resumed        bool
+	totalsStoredAt time.Time
 	// guarded is when this daemon last looked at the evidence without holding
 	// the duty.
-	guarded time.Time
+	guardedAt time.Time
 }
 
 // duties moves services to new versions when it is this daemon's turn.
 //
 // Lock order: mu is taken alone.
-type duties struct {
+type rolloutDuties struct {
 	*Node
 	// table is the store, reached through peers if need be.
 	table *relayedTable
 
-	mu    sync.Mutex
-	heard map[string]time.Time
+	mu            sync.Mutex
+	holderContact map[string]time.Time
 	// byService is used by run only.
-	byService map[string]*duty
+	byService map[string]*rolloutDuty
 }
 
-func newDuties(n *Node) *duties {
-	return &duties{Node: n, table: &relayedTable{Node: n}, heard: map[string]time.Time{}, byService: map[string]*duty{}}
+func newRolloutDuties(n *Node) *rolloutDuties {
+	return &rolloutDuties{Node: n, table: &relayedTable{Node: n}, holderContact: map[string]time.Time{}, byService: map[string]*rolloutDuty{}}
 }
 
-func (d *duties) heardHolder(service string) {
+func (d *rolloutDuties) noteHolder(service string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.heard[service] = d.clock.Now()
+	d.holderContact[service] = d.clock.Now()
 }
 
-func (d *duties) holderHeard(service string) time.Time {
+func (d *rolloutDuties) lastHolderContact(service string) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.heard[service]
+	return d.holderContact[service]
 }
 
-func (d *duties) run(ctx context.Context) {
-	for d.pause(ctx, dutyInterval) {
+func (d *rolloutDuties) run(ctx context.Context) {
+	for d.sleep(ctx, rolloutInterval) {
 		if d.leaving.Load() {
-			d.finishAll(ctx)
+			d.releaseAll(ctx)
 			continue
 		}
 		running := map[string]bool{}
-		for _, active := range d.book.Unfinished() {
+		for _, active := range d.rollouts.Unfinished() {
 			running[active.Order.Service] = true
-			d.look(ctx, active)
+			d.process(ctx, active)
 		}
 		for service, one := range d.byService {
 			if !running[service] {
-				d.finish(ctx, service, one)
+				d.release(ctx, service, one)
 			}
 		}
 	}
@@ -120,14 +120,14 @@
 
 // finishAll gives all duties up: this daemon is leaving. The next in line takes
 // them at once instead of after the life of the lease, four seconds.
-func (d *duties) finishAll(ctx context.Context) {
+func (d *rolloutDuties) releaseAll(ctx context.Context) {
 	for service, one := range d.byService {
-		d.finish(ctx, service, one)
+		d.release(ctx, service, one)
 	}
 }
 
 // finish gives a duty up once its roll-out has ended.
-func (d *duties) finish(ctx context.Context, service string, one *duty) {
+func (d *rolloutDuties) release(ctx context.Context, service string, one *rolloutDuty) {
 	delete(d.byService, service)
 	if err := one.lease.Release(ctx); err != nil {
 		slog.Warn("duty.not_released", "service", service, "error", err)
@@ -135,64 +135,64 @@
 }
 
 // look does what is due for one roll-out.
-func (d *duties) look(ctx context.Context, active shift.UnfinishedRollout) {
+func (d *rolloutDuties) process(ctx context.Context, active shift.UnfinishedRollout) {
 	service := active.Order.Service
 	one, ok := d.byService[service]
 	if !ok || one.order != active.Order.ID {
-		one = d.newDuty(active.Order)
+		one = d.newRolloutDuty(active.Order)
 		d.byService[service] = one
 	}
 	if era := d.store.Era(); one.era != era {
 		// The lease, the state and what the operator was told may be lost.
-		one.era, one.loaded, one.told, one.renewed = era, false, "", time.Time{}
+		one.era, one.loaded, one.reportedPhase, one.renewedAt = era, false, "", time.Time{}
 	}
-	if !d.mine(ctx, service, one) {
-		d.guard(ctx, one, active)
+	if !d.holdLease(ctx, service, one) {
+		d.stopIfRegressed(ctx, one, active)
 		return
 	}
-	if !one.loaded && !d.load(ctx, one, active) {
+	if !one.loaded && !d.loadState(ctx, one, active) {
 		return
 	}
 	// What was read may have brought a newer state and the time of the order.
-	running := d.book.Unfinished()
+	running := d.rollouts.Unfinished()
 	now := slices.IndexFunc(running, func(a shift.UnfinishedRollout) bool { return a.Order.Service == service })
 	if now >= 0 {
 		d.decide(ctx, one, running[now])
 	}
 }
 
-func (d *duties) newDuty(order shift.Order) *duty {
+func (d *rolloutDuties) newRolloutDuty(order shift.Order) *rolloutDuty {
 	self := d.registry.Self()
-	one := &duty{
-		lease: lease.New("shift/"+order.Service, holderName(self.Incarnation, self.PeerAddress), leaseTime, d.table, d.clock),
-		order: order.ID, era: d.store.Era(), began: d.clock.Now(), tally: shift.NewTally(order.ID),
+	one := &rolloutDuty{
+		lease: lease.New("shift/"+order.Service, holderName(self.Incarnation, self.PeerAddress), leaseTTL, d.table, d.clock),
+		order: order.ID, era: d.store.Era(), firstSeen: d.clock.Now(), tally: shift.NewTally(order.ID),
 	}
-	one.lease.HolderEnded = d.holderGone
+	one.lease.HolderEnded = d.holderEnded
 	return one
 }
 
 // vacant reports whether the duty's holder has been silent for so long that this
 // daemon should act in its place.
-func (d *duties) vacant(service string, one *duty) bool {
-	heard := d.holderHeard(service)
-	if heard.Before(one.began) {
-		heard = one.began
+func (d *rolloutDuties) holderSilent(service string, one *rolloutDuty) bool {
+	heard := d.lastHolderContact(service)
+	if heard.Before(one.firstSeen) {
+		heard = one.firstSeen
 	}
 	return d.clock.Since(heard) > d.takeOverAfter(service)
 }
 
 // mine reports whether this daemon holds the duty, and tries for it when it is
 // its turn.
-func (d *duties) mine(ctx context.Context, service string, one *duty) bool {
+func (d *rolloutDuties) holdLease(ctx context.Context, service string, one *rolloutDuty) bool {
 	now := d.clock.Now()
-	inLine := d.registry.RanksFirst("shift/"+service) || d.vacant(service, one)
+	inLine := d.registry.RanksFirst("shift/"+service) || d.holderSilent(service, one)
 	if !one.lease.Held() && !inLine {
 		return false
 	}
-	if now.Sub(one.renewed) < renewInterval {
+	if now.Sub(one.renewedAt) < leaseRenewInterval {
 		return one.lease.Held()
 	}
-	one.renewed = now
+	one.renewedAt = now
 	was := one.lease.Held()
 	held, err := one.lease.Renew(ctx)
 	if err != nil {
@@ -207,18 +207,18 @@
 
 // takeOverAfter is how long the holder of a duty must be silent before this daemon
 // tries for it.
-func (d *duties) takeOverAfter(service string) time.Duration {
+func (d *rolloutDuties) takeOverAfter(service string) time.Duration {
 	own := d.registry.Self().Incarnation
-	next := d.registry.TopRanked("duty/shift/"+service, takers, func(member.Daemon) bool { return true })
+	next := d.registry.TopRanked("duty/shift/"+service, takeoverCandidates, func(member.Daemon) bool { return true })
 	if slices.ContainsFunc(next, func(m member.Daemon) bool { return m.Incarnation == own }) {
-		return holderSilence
+		return holderTimeout
 	}
-	return lastResort
+	return lastTakeoverTimeout
 }
 
 // load reads the stored state, from which a new holder goes on.
-func (d *duties) load(ctx context.Context, one *duty, active shift.UnfinishedRollout) bool {
-	row, err := d.table.Get(ctx, statePrefix+active.Order.Service)
+func (d *rolloutDuties) loadState(ctx context.Context, one *rolloutDuty, active shift.UnfinishedRollout) bool {
+	row, err := d.table.Get(ctx, rolloutStatePrefix+active.Order.Service)
 	switch {
 	case trace.IsNotFound(err):
 		one.revision, one.step = 0, 0
@@ -231,8 +231,8 @@
 		if err := unmarshal(row, &s); err != nil {
 			slog.Error("rollout.state_unreadable", "service", active.Order.Service, "error", err)
 		} else {
-			d.learnState(s.State, "store")
-			one.stored = s.seen(one.order)
+			d.applyRolloutState(s.State, "store")
+			one.storedTotals = s.totalsFor(one.order)
 			if s.Order == one.order {
 				one.step = s.Step
 			}
@@ -244,11 +244,11 @@
 
 // decide looks at the evidence of all daemons, and writes and spreads what
 // follows from it.
-func (d *duties) decide(ctx context.Context, one *duty, active shift.UnfinishedRollout) {
+func (d *rolloutDuties) decide(ctx context.Context, one *rolloutDuty, active shift.UnfinishedRollout) {
 	order, state, began := active.Order, active.State, d.clock.Now()
-	known, missing := d.evidence(ctx, one, order)
+	known, missing := d.collectEvidence(ctx, one, order)
 	if !one.resumed {
-		one.tally.Restore(one.stored)
+		one.tally.Restore(one.storedTotals)
 		one.resumed = true
 		seen := one.tally.Totals()
 		known.Fresh, known.Old = seen.Fresh, seen.Old
@@ -267,20 +267,20 @@
 		d.logDecision(one, order, next, known, missing)
 		if next.Phase == shift.RolledBack {
 			// Stopping a bad version does not wait for the store.
-			d.spread(ctx, next)
+			d.broadcastState(ctx, next)
 		}
-		if !d.write(ctx, one, &next, known.Elapsed) {
+		if !d.writeState(ctx, one, &next, known.Elapsed) {
 			return
 		}
-		d.spread(ctx, next)
+		d.broadcastState(ctx, next)
 		state = next
 	}
 	if state.Phase == shift.Running {
-		if d.clock.Since(one.seenAt) > seenInterval {
-			d.write(ctx, one, &state, known.Elapsed)
+		if d.clock.Since(one.totalsStoredAt) > totalsWriteInterval {
+			d.writeState(ctx, one, &state, known.Elapsed)
 		}
-		if one.told != shift.Running {
-			d.tell(ctx, one, order, state.Phase)
+		if one.reportedPhase != shift.Running {
+			d.reportPhase(ctx, one, order, state.Phase)
 		}
 		return
 	}
@@ -292,20 +292,20 @@
 //
 // In this order: told of what is not stored, the operator ends instances that daemons which
 // all start anew would still bring in.
-func (d *duties) conclude(ctx context.Context, one *duty, order shift.Order, state shift.State, elapsed time.Duration) {
-	if one.step < state.Step && !d.write(ctx, one, &state, elapsed) {
+func (d *rolloutDuties) conclude(ctx context.Context, one *rolloutDuty, order shift.Order, state shift.State, elapsed time.Duration) {
+	if one.step < state.Step && !d.writeState(ctx, one, &state, elapsed) {
 		return
 	}
-	if one.told != state.Phase && !d.tell(ctx, one, order, state.Phase) {
+	if one.reportedPhase != state.Phase && !d.reportPhase(ctx, one, order, state.Phase) {
 		return
 	}
 	state = state.MarkTold()
-	if d.write(ctx, one, &state, elapsed) {
-		d.spread(ctx, state)
+	if d.writeState(ctx, one, &state, elapsed) {
+		d.broadcastState(ctx, state)
 	}
 }
 
-func (d *duties) logDecision(one *duty, order shift.Order, next shift.State, known shift.DecisionInput, missing int) {
+func (d *rolloutDuties) logDecision(one *rolloutDuty, order shift.Order, next shift.State, known shift.DecisionInput, missing int) {
 	fresh, old := known.Fresh.Total(), known.Old.Total()
 	slog.Info("rollout.decided", "service", order.Service, "to", order.To, "order", order.ID, "phase", string(next.Phase),
 		"share", next.Share, "held", len(next.Held), "elapsed_ms", known.Elapsed.Milliseconds(), "fresh", fresh.Requests, "fresh_bad", fresh.Bad,
@@ -313,11 +313,11 @@
 }
 
 // write stores a state, with the time of its order.
-func (d *duties) write(ctx context.Context, one *duty, next *shift.State, elapsed time.Duration) bool {
+func (d *rolloutDuties) writeState(ctx context.Context, one *rolloutDuty, next *shift.State, elapsed time.Duration) bool {
 	if now, ok := d.store.Clock(); ok && next.OrderedMS == 0 {
 		next.OrderedMS = now - elapsed.Milliseconds()
 	}
-	key := statePrefix + next.Service
+	key := rolloutStatePrefix + next.Service
 	revision, err := d.table.Commit(ctx, backing.Txn{
 		Checks: []backing.Check{one.lease.Check(), {Key: key, Revision: one.revision}},
 		Puts:   []backing.Put{backing.PutJSON(key, storedState{State: *next, Seen: one.tally.Totals()})},
@@ -328,29 +328,29 @@
 		one.loaded = false
 		return false
 	}
-	one.revision, one.step, one.seenAt = revision, next.Step, d.clock.Now()
+	one.revision, one.step, one.totalsStoredAt = revision, next.Step, d.clock.Now()
 	return true
 }
 
-func (d *duties) tell(ctx context.Context, one *duty, order shift.Order, phase shift.Phase) bool {
-	err := d.table.publish(ctx, order.Service, order.To, phase, one.lease.Check())
+func (d *rolloutDuties) reportPhase(ctx context.Context, one *rolloutDuty, order shift.Order, phase shift.Phase) bool {
+	err := d.table.publishStatus(ctx, order.Service, order.To, phase, one.lease.Check())
 	if err != nil {
 		slog.Warn("rollout.operator_not_told", "service", order.Service, "phase", string(phase), "error", err)
 		return false
 	}
-	one.told = phase
+	one.reportedPhase = phase
 	slog.Info("rollout.operator_told", "service", order.Service, "to", order.To, "phase", string(phase), "fence", one.lease.Fence())
 	return true
 }
 
 // evidence asks every live daemon what it has seen. missing is how many did not
 // answer.
-func (d *duties) evidence(ctx context.Context, one *duty, order shift.Order) (known shift.DecisionInput, missing int) {
+func (d *rolloutDuties) collectEvidence(ctx context.Context, one *rolloutDuty, order shift.Order) (known shift.DecisionInput, missing int) {
 	all := []shift.Evidence{d.ownEvidence(order.Service)}
 	var mu sync.Mutex
 	// Only its holder says that the duty has one.
 	ask := peer.EvidenceRequest{Service: order.Service, Holder: one.lease.Held()}
-	d.eachPeer(ctx, func(call context.Context, address string) {
+	d.callPeers(ctx, func(call context.Context, address string) {
 		e, err := d.peers.Evidence(call, address, ask)
 		mu.Lock()
 		defer mu.Unlock()
@@ -367,27 +367,27 @@
 }
 
 func (n *Node) ownEvidence(service string) shift.Evidence {
-	e := n.book.Evidence(service)
+	e := n.rollouts.Evidence(service)
 	e.From = n.registry.Self().Incarnation
 	return e
 }
 
 // spread takes a state in and tells it to every live daemon.
-func (d *duties) spread(ctx context.Context, s shift.State) {
-	d.learnState(s, "own")
-	d.eachPeer(ctx, func(call context.Context, address string) {
+func (d *rolloutDuties) broadcastState(ctx context.Context, s shift.State) {
+	d.applyRolloutState(s, "own")
+	d.callPeers(ctx, func(call context.Context, address string) {
 		if err := d.peers.SendRolloutState(call, address, s); err != nil {
 			slog.Debug("rollout.state_not_told", "peer", address, "error", err)
 		}
 	})
 }
 
-func (d *duties) eachPeer(ctx context.Context, f func(ctx context.Context, address string)) {
+func (d *rolloutDuties) callPeers(ctx context.Context, f func(ctx context.Context, address string)) {
 	self := d.registry.Self().Incarnation
 	others := slices.DeleteFunc(d.registry.All(), func(peer member.Daemon) bool {
 		return peer.Incarnation == self || (peer.State != member.Alive && peer.State != member.Leaving)
 	})
-	d.callEach(ctx, dutyCallTime, others, f)
+	d.callEach(ctx, rolloutCallTimeout, others, f)
 }
 
 func unmarshal(row backing.Row, out any) error { return trace.Wrap(json.Unmarshal(row.Value, out)) }
--- a/internal/entry/duty_test.go
+++ b/internal/entry/duty_test.go
@@ -19,7 +19,7 @@
 	"github.com/hornbeamsill/hornbeamsill/platform/platformtest"
 )
 
-const dutyService = "s"
+const rolloutService = "s"
 
 // stateStore is a store that may refuse to write the states of roll-outs.
 type stateStore struct {
@@ -41,7 +41,7 @@
 	// Calls without a body write nothing.
 	_ = json.Unmarshal(body, &txn)
 	for _, put := range txn.Puts {
-		if s.refuses.Load() && put.Key == statePrefix+dutyService {
+		if s.refuses.Load() && put.Key == rolloutStatePrefix+rolloutService {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
@@ -52,26 +52,26 @@
 // state is the stored state of the roll-out.
 func (s *stateStore) state(t *testing.T) shift.State {
 	var state shift.State
-	require.NoError(t, json.Unmarshal(s.Value("hornbeamsill", statePrefix+dutyService), &state))
+	require.NoError(t, json.Unmarshal(s.Value("hornbeamsill", rolloutStatePrefix+rolloutService), &state))
 	return state
 }
 
 // newBadRollout returns a daemon that holds the duty of a roll-out whose version has shown
 // itself to be bad.
-func newBadRollout(t *testing.T) (n *Node, store *stateStore, look func()) {
+func newRegressedRollout(t *testing.T) (n *Node, store *stateStore, look func()) {
 	store = &stateStore{Store: platformtest.NewStore()}
 	server := httptest.NewServer(store)
 	t.Cleanup(server.Close)
 	clock := clockwork.NewFakeClock()
 	n = newTestNode(clock, func(r *settings.Routes) { r.Platform = server.Listener.Addr().String() })
-	order := shift.Order{ID: 7, Service: dutyService, To: "v2", Allowed: time.Minute}
-	n.ordered(order, "store")
+	order := shift.Order{ID: 7, Service: rolloutService, To: "v2", Allowed: time.Minute}
+	n.addOrder(order, "store")
 	look = func() {
 		clock.Advance(time.Millisecond)
 		// Other calls are answered, so that the store is asked again at once.
-		n.contact.note(clock.Now(), clock.Now(), nil)
-		for _, active := range n.book.Unfinished() {
-			n.duties.look(context.Background(), active)
+		n.storeHealth.record(clock.Now(), clock.Now(), nil)
+		for _, active := range n.rollouts.Unfinished() {
+			n.duties.process(context.Background(), active)
 		}
 	}
 	look()
@@ -79,31 +79,31 @@
 	look()
 	require.Equal(t, shift.Running, store.state(t).Phase)
 	for range 60 {
-		n.book.Observe(dutyService, shift.Observation{Version: "v1"})
-		n.book.Observe(dutyService, shift.Observation{Version: "v2", Bad: true})
+		n.rollouts.Observe(rolloutService, shift.Observation{Version: "v1"})
+		n.rollouts.Observe(rolloutService, shift.Observation{Version: "v2", Bad: true})
 	}
 	return n, store, look
 }
 
 // Guards against an operator who is told that a version was rolled back while the store still
 // says that it is being brought in: daemons that all start anew would bring it in.
-func TestRollbackIsStoredBeforeTheOperatorIsTold(t *testing.T) {
-	_, store, look := newBadRollout(t)
+func TestRollbackIsStoredBeforeItIsReported(t *testing.T) {
+	_, store, look := newRegressedRollout(t)
 	store.refuses.Store(true)
 	for range 3 {
 		look()
-		require.Equal(t, "running", store.Rollout(dutyService))
+		require.Equal(t, "running", store.Rollout(rolloutService))
 	}
 	store.refuses.Store(false)
 	look()
-	require.Equal(t, "rolled_back", store.Rollout(dutyService))
+	require.Equal(t, "rolled_back", store.Rollout(rolloutService))
 	require.Equal(t, shift.RolledBack, store.state(t).Phase)
 }
 
 // Guards against a state that is never stored because the operator has been told already.
-func TestStateIsStoredOnceTheOperatorWasTold(t *testing.T) {
-	n, store, look := newBadRollout(t)
-	n.duties.byService[dutyService].told = shift.RolledBack
+func TestStateIsStoredAfterTheOperatorWasInformed(t *testing.T) {
+	n, store, look := newRegressedRollout(t)
+	n.duties.byService[rolloutService].reportedPhase = shift.RolledBack
 	store.refuses.Store(true)
 	look()
 	store.refuses.Store(false)
--- a/internal/entry/guard.go
+++ b/internal/entry/guard.go
@@ -11,7 +11,7 @@
 
 // seenInterval is the time between two writes of what daemons have seen of a
 // roll-out, for the next holder. Each is a call to the store.
-const seenInterval = 1500 * time.Millisecond
+const totalsWriteInterval = 1500 * time.Millisecond
 
 // guardInterval is the time between two looks of a daemon that does not hold the
 // duty: six do so in a fleet, and each asks all others.
@@ -25,7 +25,7 @@
 }
 
 // seen is what was seen of an order; nothing of another one.
-func (s storedState) seen(order int64) shift.Totals {
+func (s storedState) totalsFor(order int64) shift.Totals {
 	if s.Order != order {
 		return shift.Totals{}
 	}
@@ -39,14 +39,14 @@
 // went on meanwhile: each daemon's own evidence was too thin to stop it. Stopping
 // needs no lease, since it can only lessen the damage; the daemons next in line
 // therefore add up the evidence of all, and tell all when it condemns the version.
-func (d *duties) guard(ctx context.Context, one *duty, active shift.UnfinishedRollout) {
+func (d *rolloutDuties) stopIfRegressed(ctx context.Context, one *rolloutDuty, active shift.UnfinishedRollout) {
 	state := active.State
-	if state.Phase != shift.Running || state.Stopped || !d.vacant(active.Order.Service, one) ||
-		d.clock.Since(one.guarded) < guardInterval {
+	if state.Phase != shift.Running || state.Stopped || !d.holderSilent(active.Order.Service, one) ||
+		d.clock.Since(one.guardedAt) < guardInterval {
 		return
 	}
-	one.guarded = d.clock.Now()
-	known, missing := d.evidence(ctx, one, active.Order)
+	one.guardedAt = d.clock.Now()
+	known, missing := d.collectEvidence(ctx, one, active.Order)
 	if !shift.Regressed(known.Fresh, known.Old) {
 		return
 	}
@@ -54,7 +54,7 @@
 	slog.Warn("rollout.stopped", "service", state.Service, "to", state.To, "order", state.Order, "fresh", fresh.Requests,
 		"fresh_bad", fresh.Bad, "old", old.Requests, "old_bad", old.Bad, "missing", missing)
 	state.Stopped = true
-	d.spread(ctx, state)
+	d.broadcastState(ctx, state)
 }
 
 // holderSeparator stands between the incarnation and the address of a lease's
@@ -67,7 +67,7 @@
 // holderGone reports whether the process of a lease's holder has certainly ended:
 // another one answers at its address. A holder that does not answer may be frozen or
 // cut off, and still hold the lease.
-func (d *duties) holderGone(ctx context.Context, holder string) bool {
+func (d *rolloutDuties) holderEnded(ctx context.Context, holder string) bool {
 	incarnation, address, ok := strings.Cut(holder, holderSeparator)
 	if !ok {
 		return false
@@ -76,8 +76,8 @@
 	if address == self.PeerAddress {
 		return incarnation != self.Incarnation
 	}
-	call, cancel := context.WithTimeout(ctx, beatTimeout)
+	call, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
-	reply, err := d.peers.RoutesHeartbeat(call, address, d.beliefs())
+	reply, err := d.peers.RoutesHeartbeat(call, address, d.heartbeat())
 	return err == nil && reply.From.Incarnation != incarnation
 }
--- a/internal/entry/link_test.go
+++ b/internal/entry/link_test.go
@@ -20,29 +20,29 @@
 // engines, 430 prompts a second that each go to any of the engines, each about
 // one of 600 subjects and with one of 4 common beginnings.
 const (
-	linkDomains    = 4
-	linkPerDomain  = 20
-	linkEngines    = 140
-	linkPerSecond  = 430
-	linkSubjects   = 600
-	linkCommon     = 4
-	linkSeconds    = 20
-	linkBitsSecond = 10_000_000
+	linkDomains          = 4
+	linkDaemonsPerDomain = 20
+	linkEngines          = 140
+	linkPromptsPerSecond = 430
+	linkSubjects         = 600
+	linkSharedPrefixes   = 4
+	linkDuration         = 20
+	linkBitsPerSecond    = 10_000_000
 )
 
 // linkPause is the time between two rounds of news of that many engines.
-var linkPause = workPause(linkEngines)
+var linkRoundInterval = workRoundInterval(linkEngines)
 
 // domainOfDaemons is the daemons of one failure domain; the first one is the reader.
-type domainOfDaemons struct {
+type testDomain struct {
 	nodes []*Node
 	// sent is the bytes that the reader has sent.
 	sent int
 }
 
-func newDomain(clock clockwork.Clock, domain string, engines []inventory.Instance) *domainOfDaemons {
-	d := &domainOfDaemons{}
-	for i := range linkPerDomain {
+func newTestDomain(clock clockwork.Clock, domain string, engines []inventory.Instance) *testDomain {
+	d := &testDomain{}
+	for i := range linkDaemonsPerDomain {
 		n := newTestNode(clock, func(r *settings.Routes) {
 			r.FailureDomain, r.PeerListen = domain, fmt.Sprint(domain, ".", i, ":1")
 		})
@@ -54,23 +54,23 @@
 
 // round is one round of the reader, with what it sends counted as gob sends it. It
 // returns what the readers of other domains are told.
-func (d *domainOfDaemons) round(t *testing.T) peer.DomainWork {
+func (d *testDomain) round(t *testing.T) peer.DomainWork {
 	t.Helper()
 	reader := d.nodes[0]
 	now := reader.clock.Now()
-	reader.work.add(reader.ownWork(), now)
-	work, read := reader.work.tellGroup(now, readingsIn(linkPause))
+	reader.workTotals.add(reader.ownWork(), now)
+	work, read := reader.workTotals.fleetWork(now, prefixesIn(linkRoundInterval))
 	told := peer.FleetWork{Amounts: peer.PackWork(work), Readings: peer.PackReadings(read)}
 	for _, n := range d.nodes[1:] {
-		d.sent += frame(t, told)
-		reader.work.add(n.OnFleetWork(told), now)
+		d.sent += frameSize(t, told)
+		reader.workTotals.add(n.OnFleetWork(told), now)
 	}
-	work, read = reader.work.tellDomains(now, readingsIn(linkPause))
+	work, read = reader.workTotals.groupWork(now, prefixesIn(linkRoundInterval))
 	return peer.DomainWork{Amounts: peer.PackWork(work), Readings: peer.PackReadings(read)}
 }
 
 // frame is the length of v as net/rpc sends it on a connection in use.
-func frame(t *testing.T, v any) int {
+func frameSize(t *testing.T, v any) int {
 	t.Helper()
 	var out bytes.Buffer
 	enc := gob.NewEncoder(&out)
@@ -81,10 +81,10 @@
 }
 
 // prompt sends a prompt from one daemon to one engine.
-func (n *Node) prompt(random *rand.Rand, to inventory.Instance) {
-	common := random.IntN(linkCommon)
+func (n *Node) sendPrompt(random *rand.Rand, to inventory.Instance) {
+	common := random.IntN(linkSharedPrefixes)
 	n.table.Begin(to, 5000)
-	n.prompts.NoteSent(to, []inventory.Prefix{
+	n.prefixes.NoteSent(to, []inventory.Prefix{
 		{Key: inventory.PrefixHash(common), Work: 2500},
 		{Key: inventory.PrefixHash(1000 + random.IntN(linkSubjects)), Work: 6300},
 	})
@@ -96,37 +96,37 @@
 // wait behind the news. A round of news must leave the link within 35 ms, a quarter of
 // the time between two rounds. It takes 21 ms; unbounded, and with IDs and keys as gob
 // sends them, it took 148 ms of 200 ms.
-func TestNewsLeavesRoomOnThinLinks(t *testing.T) {
+func TestWorkUpdatesLeaveRoomOnSlowLinks(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	random := rand.New(rand.NewPCG(1, 1))
 	var engines []inventory.Instance
 	for i := range linkEngines {
 		engines = append(engines, inventory.Instance{ID: fmt.Sprintf("i-%010x", i), Service: "s", Born: 1_700_000_000_000 + int64(i)})
 	}
-	var domains []*domainOfDaemons
+	var domains []*testDomain
 	for d := range linkDomains {
-		domains = append(domains, newDomain(clock, fmt.Sprint("zone-", d), engines))
+		domains = append(domains, newTestDomain(clock, fmt.Sprint("zone-", d), engines))
 	}
-	rounds := int(linkSeconds * time.Second / linkPause)
+	rounds := int(linkDuration * time.Second / linkRoundInterval)
 	worst := time.Duration(0)
 	for range rounds {
-		for range int(linkPerSecond * linkPause.Seconds()) {
-			n := domains[random.IntN(linkDomains)].nodes[random.IntN(linkPerDomain)]
-			n.prompt(random, engines[random.IntN(linkEngines)])
+		for range int(linkPromptsPerSecond * linkRoundInterval.Seconds()) {
+			n := domains[random.IntN(linkDomains)].nodes[random.IntN(linkDaemonsPerDomain)]
+			n.sendPrompt(random, engines[random.IntN(linkEngines)])
 		}
 		for d, domain := range domains {
 			before := domain.sent
 			told := domain.round(t)
 			told.Domain = fmt.Sprint("zone-", d)
-			worst = max(worst, time.Duration(domain.sent-before)*8*time.Second/linkBitsSecond)
+			worst = max(worst, time.Duration(domain.sent-before)*8*time.Second/linkBitsPerSecond)
 			for other := range domains {
 				if other != d {
 					domains[other].nodes[0].OnDomainWork(told)
 				}
 			}
 		}
-		clock.Advance(linkPause)
+		clock.Advance(linkRoundInterval)
 	}
-	t.Logf("the longest round takes %v of a link of %d Mbit/s", worst, linkBitsSecond/1_000_000)
-	require.Less(t, worst, linkPause/4)
+	t.Logf("the longest round takes %v of a link of %d Mbit/s", worst, linkBitsPerSecond/1_000_000)
+	require.Less(t, worst, linkRoundInterval/4)
 }
--- a/internal/entry/list.go
+++ b/internal/entry/list.go
@@ -15,12 +15,12 @@
 // which the list is read again. Heartbeats of the instances change the
 // list all the time, so a question that waits for news would be answered
 // at once; reading at a pace costs a tenth of the calls.
-const listShare = 0.33
+const listReadFraction = 0.33
 
 // maxListPace bounds the time between two reads of the list, which also tell whether the
 // operator has written something: a question for that may be lost, and a configuration must
 // be in force within seconds, however long leaving instances are allowed.
-const maxListPace = 1500 * time.Millisecond
+const maxListInterval = 1500 * time.Millisecond
 
 // watchInstances follows the list of upstream instances.
 func (n *Node) watchInstances(ctx context.Context) {
@@ -28,10 +28,10 @@
 	whole := false
 	for ctx.Err() == nil {
 		if !n.mustReadList() {
-			n.pause(ctx, checkInterval)
+			n.sleep(ctx, checkInterval)
 			continue
 		}
-		whole = whole || n.settling.takeListDue(n.clock.Now())
+		whole = whole || n.staleWindow.takeListDue(n.clock.Now())
 		err := n.readList(ctx, whole)
 		lost := errors.Is(err, platform.ErrCompacted)
 		whole = lost || whole && err != nil
@@ -46,8 +46,8 @@
 			n.backOff(ctx, &wait)
 		default:
 			wait.failures = 0
-			n.offer()
-			n.pause(ctx, n.listPace())
+			n.publishCallerURL()
+			n.sleep(ctx, n.listInterval())
 		}
 	}
 }
@@ -68,7 +68,7 @@
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	n.contact.note(asked, n.clock.Now(), err)
+	n.storeHealth.record(asked, n.clock.Now(), err)
 	if err != nil {
 		return err
 	}
@@ -76,28 +76,28 @@
 		// One line a read, however many writers are at fault.
 		slog.Error("instances.unreadable", "revision", news.Revision, "count", n, "first", news.Malformed[0])
 	}
-	doubted := n.doubtedUntil(n.clock.Now())
+	doubted := n.graceEnd(n.clock.Now())
 	if whole {
 		taken := n.table.Replace(snapshot(news), doubted)
 		slog.Info("instances.read", "count", len(news.Changes), "revision", news.Revision, "doubted", doubted.After(n.clock.Now()), "taken", taken)
 		if taken && !first {
 			// The first list of a daemon that has just started is no news to others.
-			n.tellWholeList(ctx)
+			n.sendWholeList(ctx)
 		}
 		return nil
 	}
-	told, ok := n.takeChanges(news, doubted)
+	told, ok := n.applyChanges(news, doubted)
 	// What is told of the list tells how new the operator's rows are, too.
 	n.confirmOperator(ctx, news.Revision)
 	if ok {
-		n.tellList(ctx, told)
+		n.sendListChanges(ctx, told)
 	}
 	return nil
 }
 
 // takeChanges takes in what changed in the list, and returns what is to be told
 // of it; ok is false when this daemon knows a newer list already.
-func (n *Node) takeChanges(news platform.InstanceNews, doubted time.Time) (told peer.StoreUpdate, ok bool) {
+func (n *Node) applyChanges(news platform.InstanceNews, doubted time.Time) (told peer.StoreUpdate, ok bool) {
 	changes, from, ok := n.table.Apply(news.Changes, news.Revision, doubted)
 	return peer.StoreUpdate{Changes: changes, Base: from, List: news.Revision}, ok
 }
--- a/internal/entry/module.go
+++ b/internal/entry/module.go
@@ -48,13 +48,13 @@
 	// servePart is the part of the time for a stop in which new requests are
 	// still taken: the three seconds for which callers may use an old answer
 	// of the directory, of eight.
-	servePart = 0.41
+	acceptFraction = 0.41
 	// finishPart is the part of the time for a stop after which the process
 	// ends, whatever still runs.
-	finishPart = 0.93
+	stopFraction = 0.93
 	// memoryPart is the part of the memory at which the runtime collects
 	// harder.
-	memoryPart = 0.7
+	memoryLimitFraction = 0.7
 )
 
 // Process is a running daemon with its listeners.
@@ -65,7 +65,7 @@
 
 	peers     *peer.Server
 	callers   *http.Server
-	others    []*http.Server
+	auxiliary []*http.Server
 	loops     sync.WaitGroup
 	stopLoops context.CancelFunc
 }
@@ -77,28 +77,28 @@
 
 func (p *Process) start(context.Context) error {
 	s := p.settings
-	debug.SetMemoryLimit(int64(memoryPart * float64(s.MemoryMB<<20)))
+	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(s.MemoryMB<<20)))
 	var err error
 	if p.peers, err = peer.ListenRoutes(s.PeerListen, p.node); err != nil {
 		return trace.Wrap(err)
 	}
 	p.node.registry.SetSelf(func(d *member.Daemon) { d.PeerAddress = p.peers.Address() })
-	p.publish()
+	p.publishVars()
 	p.callers = &http.Server{
-		Handler: p.closing(p.node.handler), MaxHeaderBytes: maxHeaderBytes,
+		Handler: p.closeWhenLeaving(p.node.handler), MaxHeaderBytes: maxHeaderBytes,
 	}
 	if p.node.callerAddress, err = p.listenCallers(); err != nil {
 		return err
 	}
-	ready, err := p.listenOther(s.ReadyListen, platform.ReadyHandler(p.node.Ready))
+	ready, err := p.listenAuxiliary(s.ReadyListen, platform.ReadyHandler(p.node.Ready))
 	if err != nil {
 		return err
 	}
-	directory, err := p.listenOther(s.DirectoryListen, platform.DirectoryHandler(p.node.entries, entriesTTL))
+	directory, err := p.listenAuxiliary(s.DirectoryListen, platform.DirectoryHandler(p.node.entries, entriesTTL))
 	if err != nil {
 		return err
 	}
-	metrics, err := p.listenOther(s.MetricsListen, p.node.operatorHandler())
+	metrics, err := p.listenAuxiliary(s.MetricsListen, p.node.debugHandler())
 	if err != nil {
 		return err
 	}
@@ -112,12 +112,12 @@
 }
 
 // listenOther serves one of the small interfaces; no address is none.
-func (p *Process) listenOther(address string, handler http.Handler) (string, error) {
+func (p *Process) listenAuxiliary(address string, handler http.Handler) (string, error) {
 	if address == "" {
 		return "", nil
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
-	p.others = append(p.others, server)
+	p.auxiliary = append(p.auxiliary, server)
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return "", trace.Wrap(err)
@@ -131,10 +131,10 @@
 	if err != nil {
 		return "", trace.Wrap(err)
 	}
-	if most := callerConnections(p.settings.Descriptors); most > 0 {
+	if most := maxCallerConns(p.settings.Descriptors); most > 0 {
 		l = netutil.LimitListener(l, most)
 	}
-	followCallers(p.callers)
+	trackCallerConns(p.callers)
 	return serve(p.callers, &callerListener{Listener: l, limits: p.node.limits}), nil
 }
 
@@ -143,17 +143,17 @@
 	reservedDescriptors = 300
 	// callerPart is the part of the rest for callers; each of their requests
 	// may need a connection to an upstream instance.
-	callerPart = 0.6
+	callerFraction = 0.6
 )
 
 // callerConnections is how many connections callers may have open at once; 0 is
 // no bound. Without it a flood of them would leave none for upstream instances
 // and the store, and what is being served would fail.
-func callerConnections(descriptors int) int {
+func maxCallerConns(descriptors int) int {
 	if descriptors == 0 {
 		return 0
 	}
-	return max(int(callerPart*float64(descriptors-reservedDescriptors)), 1)
+	return max(int(callerFraction*float64(descriptors-reservedDescriptors)), 1)
 }
 
 // serve serves what a listener accepts and returns its address with the port.
@@ -169,7 +169,7 @@
 
 // closing asks callers to close their connections once this daemon is leaving,
 // so that they do so between two requests instead of meeting our close.
-func (p *Process) closing(next http.Handler) http.Handler {
+func (p *Process) closeWhenLeaving(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if p.node.leaving.Load() {
 			w.Header().Set("Connection", "close")
@@ -185,8 +185,8 @@
 	total := settings.Seconds(p.settings.StopS)
 	slog.Info("daemon.stopping", "open", p.node.metrics.Open.Load())
 	p.node.leave(member.Leaving)
-	p.clock.Sleep(time.Duration(servePart * float64(total)))
-	left := time.Duration(finishPart*float64(total)) - p.clock.Since(began)
+	p.clock.Sleep(time.Duration(acceptFraction * float64(total)))
+	left := time.Duration(stopFraction*float64(total)) - p.clock.Since(began)
 	ctx, cancel := context.WithTimeout(context.Background(), left)
 	defer cancel()
 	err := p.callers.Shutdown(ctx)
@@ -199,7 +199,7 @@
 	p.loops.Wait()
 	p.peers.Close()
 	p.node.peers.Close()
-	for _, server := range p.others {
+	for _, server := range p.auxiliary {
 		server.Close()
 	}
 	p.node.store.Close()
@@ -210,12 +210,12 @@
 // lateStream is the time after the beginning of a planned stop from which streams are
 // refused: callers that go by the directory know by then, and what comes later may not end
 // in the time for the stop.
-const lateStream = 3*entriesTTL - 100*time.Millisecond
+const refuseStreamsAfter = 3*entriesTTL - 100*time.Millisecond
 
 // refusesStreams reports whether a planned stop has gone on for lateStream.
 func (n *Node) refusesStreams() bool {
 	since := n.leavingSince.Load()
-	return since != nil && n.clock.Since(*since) >= lateStream
+	return since != nil && n.clock.Since(*since) >= refuseStreamsAfter
 }
 
 // leave tells the peers that this daemon is on its way out.
@@ -227,14 +227,14 @@
 		d.State = state
 		d.Version++
 	})
-	ctx, cancel := context.WithTimeout(context.Background(), beatTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), peerCallTimeout)
 	defer cancel()
 	n.heartbeatRound(ctx)
-	n.kickBeat()
+	n.requestHeartbeat()
 }
 
 // figures are the numbers shown in /debug/vars.
-type figures struct {
+type debugVars struct {
 	Config int64 `json:"config_version"`
 	// Operator is the store's revision up to which the operator's rows are known, and
 	// OperatorAgeMS for how long nothing has shown that they are still the newest.
@@ -263,20 +263,20 @@
 	Limited int   `json:"instances_limited"`
 	NoTurn  int64 `json:"no_turn"`
 	// Quarantine is about requests that crash upstream instances.
-	Quarantine quarantineFigures `json:"quarantine"`
+	Quarantine quarantineVars `json:"quarantine"`
 }
 
-func (p *Process) publish() {
+func (p *Process) publishVars() {
 	n := p.node
 	telemetry.Publish("hornbeamsill", func() any {
-		operator := n.fresh.view()
+		operator := n.freshness.view()
 		limited, _ := n.table.LimitsInForce()
-		return figures{
-			Config: n.configVersion(), Operator: operator.read, OperatorAgeMS: n.clock.Since(operator.at).Milliseconds(), Reader: n.reader(),
+		return debugVars{
+			Config: n.configVersion(), Operator: operator.readRevision, OperatorAgeMS: n.clock.Since(operator.confirmedAt).Milliseconds(), Reader: n.isReader(),
 			List: n.table.Revision(), ListAgeMS: n.table.Age().Milliseconds(),
 			Daemons: len(n.registry.Live()), StoreCalls: n.store.Calls(), Dials: n.pool.Dials(),
 			Goroutines: runtime.NumGoroutine(), Requests: n.metrics,
-			PeerCalls: n.peers.Traffic(), PeerServed: p.peers.Traffic(), Quarantine: n.quarantine.figures(),
+			PeerCalls: n.peers.Traffic(), PeerServed: p.peers.Traffic(), Quarantine: n.quarantine.vars(),
 			Evacuated: len(n.evacuations.InForce()), Withdrawn: n.metrics.Withdrawn.Load(),
 			Limited: limited, NoTurn: n.metrics.NoTurn.Load(),
 		}
--- a/internal/entry/node.go
+++ b/internal/entry/node.go
@@ -32,20 +32,20 @@
 const (
 	// watchedPeers and randomPeers are how many peers get each heartbeat. In a
 	// fleet of up to seven every daemon hears of a leaving one directly.
-	watchedPeers = 2
-	randomPeers  = 4
+	ringTargets   = 2
+	randomTargets = 4
 	// newsPerBeat bounds the news of daemons in one heartbeat.
-	newsPerBeat = 16
+	maxUpdatesPerHeartbeat = 16
 	// newsRepeats is two thirds of what reaches all daemons with high
 	// probability: one that missed something sees it by the digest in its peers'
 	// heartbeats. With fewer, daemons that start at once know too few of each other
 	// for some rounds, and take more than their share of the budget of repeats.
-	newsRepeats = 2
+	retransmitFactor = 2
 	// forgetDaemons is how long daemons that are gone are remembered, so that
 	// late news of them is not taken for new.
-	forgetDaemons = 60 * time.Second
+	forgetAfter = 60 * time.Second
 	// bodyShare is the part of the memory for request bodies.
-	bodyShare = 8
+	bodyMemoryDivisor = 8
 )
 
 // Node is one daemon.
@@ -58,13 +58,13 @@
 
 	registry *member.Registry
 	table    *inventory.Table
-	book     *shift.Tracker
+	rollouts *shift.Tracker
 	pool     *upconn.Pool
 	retries  *limit.FleetRetryBudget
 	metrics  *forward.Metrics
 	handler  *forward.Handler
 	peers    *peer.Client
-	duties   *duties
+	duties   *rolloutDuties
 
 	// current is the configuration in force; manifest is its encoded form.
 	configMu sync.Mutex
@@ -75,7 +75,7 @@
 	seeds atomic.Pointer[[]string]
 	// started is when this daemon began to look for peers. Only the heartbeat
 	// loop uses it.
-	started time.Time
+	lastPeerSearch time.Time
 	// startedAt is when this daemon started.
 	startedAt time.Time
 	// callerAddress is where callers reach this daemon.
@@ -84,72 +84,72 @@
 	ready     chan struct{}
 	readyOnce sync.Once
 	// kick asks for a heartbeat round at once.
-	kick chan struct{}
+	heartbeatNow chan struct{}
 	// leaving is set when a planned stop begins, at leavingSince.
 	leaving      atomic.Bool
 	leavingSince atomic.Pointer[time.Time]
 	// work is what this daemon, as a reader, knows of the work of others, and
 	// prompts which upstream instances hold which parts of prompts.
-	work    *workSums
-	prompts *inventory.PrefixIndex
+	workTotals *workTotals
+	prefixes   *inventory.PrefixIndex
 	// quarantine refuses the requests that crash upstream instances.
-	quarantine *quarantined
+	quarantine *quarantineManager
 	// evacuations are the operator's orders about failure domains.
 	evacuations *evacuation.Registry
 	// fresh is how new the operator's rows are, and question the one for newer ones
 	// that the store holds.
-	fresh    freshness
-	question heldQuestion
+	freshness    freshness
+	operatorPoll longPoll
 	// behind is set when a peer told of operator's rows that this daemon has
 	// not got.
 	behind atomic.Bool
 	// lostHistory asks for all of the operator's rows, which were last read at
 	// readWholeAt. Only watchOperator uses them.
-	lostHistory bool
-	readWholeAt time.Time
+	wholeReadDue  bool
+	lastWholeRead time.Time
 	// doubts are those that readers told of the list.
-	doubts toldDoubts
+	readerGrace readerGrace
 	// settling is on after the store has come back from an older copy.
-	settling settling
+	staleWindow staleWindow
 	// contact is when the store last answered and when it last did not.
-	contact storeContact
+	storeHealth storeHealth
 
-	missesMu sync.Mutex
-	misses   map[string]int
+	missedMu         sync.Mutex
+	missedHeartbeats map[string]int
 }
 
 // NewNode builds a daemon. It does nothing until its loops run.
 func NewNode(s settings.Routes, clock clockwork.Clock, store *platform.Store, codec platform.Headers) *Node {
 	n := &Node{
 		settings: s, clock: clock, store: store, kv: platform.Table{Store: store},
-		table: inventory.NewTable(clock), prompts: inventory.NewPrefixIndex(clock), pool: upconn.NewPool(), metrics: forward.NewMetrics(),
-		evacuations: evacuation.NewRegistry(clock),
-		started:     clock.Now(), startedAt: clock.Now(), work: newWorkSums(), peers: peer.NewClient(nil), kick: make(chan struct{}, 1), ready: make(chan struct{}), misses: map[string]int{},
+		table: inventory.NewTable(clock), prefixes: inventory.NewPrefixIndex(clock), pool: upconn.NewPool(), metrics: forward.NewMetrics(),
+		evacuations:    evacuation.NewRegistry(clock),
+		lastPeerSearch: clock.Now(), startedAt: clock.Now(), workTotals: newWorkTotals(), peers: peer.NewClient(nil), heartbeatNow: make(chan struct{}, 1), ready: make(chan struct{}), missedHeartbeats: map[string]int{},
 	}
 	incarnation := ident.NewIncarnation()
 	n.registry = member.NewRegistry(member.Daemon{
 		Incarnation: incarnation, PeerAddress: s.PeerListen, FailureDomain: s.FailureDomain, Site: s.Site,
 		LinkMbps: s.LinkMbps,
 	}, clock, member.Options{
-		RingTargets: watchedPeers, RandomTargets: randomPeers, MaxUpdates: newsPerBeat, RetransmitFactor: newsRepeats, ForgetAfter: forgetDaemons,
+		RingTargets: ringTargets, RandomTargets: randomTargets, MaxUpdates: maxUpdatesPerHeartbeat, RetransmitFactor: retransmitFactor, ForgetAfter: forgetAfter,
 	}, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
-	n.book = shift.NewTracker(clock, settings.Seconds(s.SessionS), shift.ExposureLimit(s.ExposureShare), n.table.InFlight)
+	n.rollouts = shift.NewTracker(clock, settings.Seconds(s.SessionS), shift.ExposureLimit(s.ExposureShare), n.table.InFlight)
 	n.seeds.Store(&s.Seeds)
-	n.retries = limit.NewFleetRetryBudget(retryPolicy(s), clock, n.sharers)
-	n.quarantine = newQuarantined(n)
+	n.retries = limit.NewFleetRetryBudget(retryPolicy(s), clock, n.senderCount)
+	n.quarantine = newQuarantineManager(n)
 	n.handler = forward.New(forward.Deps{
-		Codec: codec, Catalog: n.servable, AwaitReady: n.awaitReady, ReadyIn: n.readyIn, Table: n.table, Prompts: n.prompts, Pool: n.pool, Versions: n.book,
-		Quarantine: n.quarantine, SpreadNews: n.kickBeat, RefusesStreams: n.refusesStreams, Retries: n.retries, FailureDomain: s.FailureDomain, Sharers: n.sharers, Metrics: n.metrics,
-		BodyBytes: limit.NewByteBudget(s.MemoryMB << 20 / bodyShare),
+		Codec: codec, Catalog: n.servableConfig, AwaitReady: n.awaitReady, ReadyIn: n.readyRetryAfter, Table: n.table, Prompts: n.prefixes, Pool: n.pool, Versions: n.rollouts,
+		Quarantine: n.quarantine, SpreadNews: n.requestHeartbeat, RefusesStreams: n.refusesStreams, Retries: n.retries, FailureDomain: s.FailureDomain, Sharers: n.senderCount, Metrics: n.metrics,
+		BodyBytes: limit.NewByteBudget(s.MemoryMB << 20 / bodyMemoryDivisor),
 	})
-	n.duties = newDuties(n)
-	store.OnRestore(n.storeRestored)
+	n.duties = newRolloutDuties(n)
+	store.OnRestore(n.onStoreRestored)
 	return n
 }
 
 // sharers is the number of daemons that may send to upstream instances. Those
 // that are leaving or not heard of lately may still do so.
-func (n *Node) sharers() int {
+func (n *Node) senderCount() int {
 	count := 0
 	for _, d := range n.registry.All() {
 		if d.State != member.Left {
@@ -161,17 +161,17 @@
 
 // Ready reports whether callers may be sent here.
 func (n *Node) Ready() bool {
-	return n.servable() != nil && n.table.Revision() > 0 && !n.leaving.Load()
+	return n.servableConfig() != nil && n.table.Revision() > 0 && !n.leaving.Load()
 }
 
 const (
 	// startTime is how long a daemon takes from its start until it can serve,
 	// when store or peers answer.
-	startTime = 300 * time.Millisecond
+	startupTime = 300 * time.Millisecond
 	// awayTime is when callers return to a daemon that has nothing to start from
 	// because the store does not answer. Callers come back once or twice only,
 	// and outages of the store last seconds.
-	awayTime = 2 * time.Second
+	storeLostRetryAfter = 2 * time.Second
 )
 
 // awaitReady waits until this daemon can serve, at most for the time that it takes
@@ -181,26 +181,26 @@
 // milliseconds before it has read the configuration. Told to come back it had used its
 // last try; held for these milliseconds it is served.
 func (n *Node) awaitReady(ctx context.Context) {
-	if n.contact.away() {
+	if n.storeHealth.isLost() {
 		return
 	}
 	select {
 	case <-n.ready:
-	case <-n.clock.After(startTime):
+	case <-n.clock.After(startupTime):
 	case <-ctx.Done():
 	}
 }
 
 // readyIn is when a daemon that knows no configuration likely has one.
-func (n *Node) readyIn() time.Duration {
-	if n.contact.away() {
-		return awayTime
+func (n *Node) readyRetryAfter() time.Duration {
+	if n.storeHealth.isLost() {
+		return storeLostRetryAfter
 	}
-	return startTime
+	return startupTime
 }
 
 // install puts a configuration in force unless a newer one is.
-func (n *Node) install(c *catalog.Catalog, manifest []byte, source string) {
+func (n *Node) installConfig(c *catalog.Catalog, manifest []byte, source string) {
 	n.configMu.Lock()
 	defer n.configMu.Unlock()
 	if old := n.current.Load(); old != nil && old.Version >= c.Version {
@@ -229,7 +229,7 @@
 }
 
 // offer tells the peers where callers reach this daemon, once it is ready.
-func (n *Node) offer() {
+func (n *Node) publishCallerURL() {
 	if n.registry.Self().CallerURL != "" || !n.Ready() {
 		return
 	}
@@ -240,7 +240,7 @@
 	})
 	n.readyOnce.Do(func() { close(n.ready) })
 	slog.Info("daemon.offered", "address", n.callerAddress, "config", n.configVersion(), "list", n.table.Revision())
-	n.kickBeat()
+	n.requestHeartbeat()
 }
 
 // entries returns the daemons for a caller, those of its failure domain first:
@@ -263,8 +263,8 @@
 func (n *Node) Run(ctx context.Context) {
 	var loops sync.WaitGroup
 	for _, loop := range []func(context.Context){
-		n.watchOperator, n.watchInstances, n.heartbeatLoop, n.duties.run, n.tidyLoop, n.announce, n.workLoop,
-		n.quarantine.tellLoop, n.quarantine.judgeLoop, n.quarantine.saveLoop, n.quarantine.loadLoop,
+		n.watchOperator, n.watchInstances, n.heartbeatLoop, n.duties.run, n.cleanupLoop, n.announce, n.workLoop,
+		n.quarantine.reportLoop, n.quarantine.judgeLoop, n.quarantine.saveLoop, n.quarantine.loadLoop,
 	} {
 		loops.Go(func() { loop(ctx) })
 	}
@@ -272,13 +272,13 @@
 }
 
 // tidyInterval is the time between two rounds of forgetting.
-const tidyInterval = 500 * time.Millisecond
+const cleanupInterval = 500 * time.Millisecond
 
 // tidyLoop forgets what has lapsed and closes what is not needed.
-func (n *Node) tidyLoop(ctx context.Context) {
-	for n.pause(ctx, tidyInterval) {
+func (n *Node) cleanupLoop(ctx context.Context) {
+	for n.sleep(ctx, cleanupInterval) {
 		n.table.Expire()
-		n.book.ExpireSessions()
+		n.rollouts.ExpireSessions()
 		n.registry.RemoveExpired()
 		n.quarantine.list.Expire()
 		addresses := n.table.Addresses()
@@ -287,7 +287,7 @@
 }
 
 // pause waits, and reports whether ctx still runs.
-func (n *Node) pause(ctx context.Context, d time.Duration) bool {
+func (n *Node) sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
--- a/internal/entry/node_test.go
+++ b/internal/entry/node_test.go
@@ -39,7 +39,7 @@
 			})
 		}
 		n.registry.Merge(others)
-		if !n.reader() {
+		if !n.isReader() {
 			return n
 		}
 	}
@@ -47,22 +47,22 @@
 
 // know gives a daemon a configuration, a list and a confirmed state of the
 // operator's rows, as if it had read them just now.
-func (n *Node) know() {
-	n.install(&catalog.Catalog{Version: 3}, []byte("{}"), "test")
+func (n *Node) setKnownState() {
+	n.installConfig(&catalog.Catalog{Version: 3}, []byte("{}"), "test")
 	n.evacuations.Replace(nil, 5)
 	n.table.Replace(inventory.Snapshot{Revision: 5, Instances: []inventory.Instance{{ID: "i", Service: "s"}}}, time.Time{})
-	n.fresh.note(n.clock.Now(), 5, true)
-	n.contact.note(n.clock.Now(), n.clock.Now(), nil)
+	n.freshness.record(n.clock.Now(), 5, true)
+	n.storeHealth.record(n.clock.Now(), n.clock.Now(), nil)
 }
 
 // On a calm day 88 daemons sent each other 41 MB of lists between failure
 // domains: whenever two differed in anything, the one that lacked something was
 // sent all that the other knew.
-func TestBeliefsAreSentByNeed(t *testing.T) {
+func TestSyncReplyHasOnlyWhatWasRequested(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	n := newFleetNode(t, clock)
-	n.know()
-	n.ordered(shift.Order{ID: 4, Service: "s", To: "v2", Allowed: time.Minute}, "test")
+	n.setKnownState()
+	n.addOrder(shift.Order{ID: 4, Service: "s", To: "v2", Allowed: time.Minute}, "test")
 
 	require.Equal(t, peer.SyncReply{}, n.OnSync(peer.SyncRequest{Config: 3}))
 	b := n.OnSync(peer.SyncRequest{Config: 2})
@@ -78,50 +78,50 @@
 // A peer knows of other daemons and of a newer list. While news of daemons still
 // comes in, and the reader's news of the list is not late, nothing is asked for;
 // what stays different is.
-func TestWhatIsAskedOfAPeer(t *testing.T) {
+func TestSyncRequestAsksOnlyForMissingState(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	n := newFleetNode(t, clock)
-	n.know()
-	mine := n.beliefs()
+	n.setKnownState()
+	mine := n.heartbeat()
 	theirs := mine
 	theirs.Digest++
 	theirs.List++
 
-	_, lacking := n.lacks(theirs, mine)
+	_, lacking := n.missingFrom(theirs, mine)
 	require.False(t, lacking)
 
-	clock.Advance(settleTime + time.Millisecond)
-	ask, lacking := n.lacks(theirs, mine)
+	clock.Advance(membershipSettleTime + time.Millisecond)
+	ask, lacking := n.missingFrom(theirs, mine)
 	require.True(t, lacking)
 	require.True(t, ask.Members)
 	require.True(t, ask.Instances, "the store is silent and the list is old")
 
-	n.contact.note(clock.Now(), clock.Now(), nil)
-	ask, _ = n.lacks(theirs, mine)
+	n.storeHealth.record(clock.Now(), clock.Now(), nil)
+	ask, _ = n.missingFrom(theirs, mine)
 	require.False(t, ask.Instances, "the store answers")
 
 	theirs = mine
 	theirs.Shifts++
-	ask, lacking = n.lacks(theirs, mine)
+	ask, lacking = n.missingFrom(theirs, mine)
 	require.True(t, lacking && ask.Shifts)
 	require.False(t, ask.Members || ask.Instances)
 
 	started := newFleetNode(t, clock)
-	ask, _ = started.lacks(mine, started.beliefs())
+	ask, _ = started.missingFrom(mine, started.heartbeat())
 	require.True(t, ask.Instances, "a daemon that has just started has no list")
 }
 
 // The store was away for seven seconds and 88 daemons asked it 1,700 times, each
 // of them for list and operator's rows by itself. Only readers need to find out
 // quickly that it is back; any other daemon asks for the list, seldom.
-func TestWhoAsksAStoreThatIsAway(t *testing.T) {
+func TestOnlyReadersPollALostStore(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	n := newFleetNode(t, clock)
-	n.know()
+	n.setKnownState()
 	require.False(t, n.mustReadList() || n.mustReadOperator(), "its readers tell it")
-	clock.Advance(lateAge(n))
+	clock.Advance(lateListAge(n))
 	require.True(t, n.mustReadList() && n.mustReadOperator(), "news is late")
-	n.contact.note(clock.Now(), clock.Now(), errors.New("no answer"))
+	n.storeHealth.record(clock.Now(), clock.Now(), errors.New("no answer"))
 	require.True(t, n.mustReadList())
 	require.False(t, n.mustReadOperator())
 	n.behind.Store(true)
@@ -129,7 +129,7 @@
 
 	started := newFleetNode(t, clock)
 	require.True(t, started.mustReadList() && started.mustReadOperator())
-	started.contact.note(clock.Now(), clock.Now(), errors.New("no answer"))
+	started.storeHealth.record(clock.Now(), clock.Now(), errors.New("no answer"))
 	require.True(t, started.mustReadOperator())
 	require.False(t, started.mustReadList())
 }
@@ -137,7 +137,7 @@
 // The list is empty when the first daemons start, and has the revision 0. It is
 // known all the same: the daemons took it for unknown and read it again and again
 // instead of waiting for their readers' news.
-func TestEmptyListIsKnown(t *testing.T) {
+func TestEmptyListCountsAsLoaded(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	n := newFleetNode(t, clock)
 	require.True(t, n.mustReadList())
@@ -150,15 +150,15 @@
 
 // The holder of a duty is turned away by the store. A few daemons take their turn
 // first; all others wait until these have had the time to take it.
-func TestFewDaemonsTakeOverADuty(t *testing.T) {
+func TestFewDaemonsTryToTakeOverADuty(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	first := 0
 	for range 200 {
 		n := newFleetNode(t, clock)
-		if n.duties.takeOverAfter("s") == holderSilence {
+		if n.duties.takeOverAfter("s") == holderTimeout {
 			first++
 		} else {
-			require.Equal(t, lastResort, n.duties.takeOverAfter("s"))
+			require.Equal(t, lastTakeoverTimeout, n.duties.takeOverAfter("s"))
 		}
 	}
 	require.Less(t, first, 100)
@@ -167,7 +167,7 @@
 // All daemons have lost power and the store is away when they start again. A
 // caller that returns too soon is refused a second time and gives up; one that
 // meets a daemon about to learn its configuration need not wait long.
-func TestCallersReturnWhenADaemonIsLikelyReady(t *testing.T) {
+func TestRetryAfterMatchesExpectedReadiness(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	n := newFleetNode(t, clock)
 	w := make(chan *httptest.ResponseRecorder)
@@ -179,9 +179,9 @@
 	}
 	go ask()
 	require.NoError(t, clock.BlockUntilContext(t.Context(), 1))
-	clock.Advance(startTime)
+	clock.Advance(startupTime)
 	require.Equal(t, "0.300", refusal())
-	n.contact.note(n.clock.Now(), n.clock.Now(), errors.New("no answer"))
+	n.storeHealth.record(n.clock.Now(), n.clock.Now(), errors.New("no answer"))
 	go ask()
 	require.Equal(t, "2.000", refusal(), "at once")
 }
@@ -195,15 +195,15 @@
 // All daemons were killed. A caller, on its last try, meets one that is back and reads
 // its configuration in the next moment. It is held for that moment: refused, it would
 // not come again.
-func TestCallerOfADaemonAboutToBeReadyIsHeld(t *testing.T) {
+func TestRequestWaitsForADaemonAboutToBeReady(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	n := newFleetNode(t, clock)
 	n.callerAddress = "127.0.0.1:2"
 	answer := make(chan *httptest.ResponseRecorder)
 	go func() { answer <- askOnce(n) }()
 	require.NoError(t, clock.BlockUntilContext(t.Context(), 1))
-	n.know()
-	n.offer()
+	n.setKnownState()
+	n.publishCallerURL()
 	require.Equal(t, http.StatusNotFound, (<-answer).Code, "by the configuration, not refused for want of one")
 }
 
@@ -212,10 +212,10 @@
 // so, which used them for three seconds. They had the other reader's news all the
 // while. After an outage of the store itself, when nobody had news, doubt counts,
 // also for entries that lapse a moment after the store's return.
-func TestDoubtOfAReaderThatWasCutOff(t *testing.T) {
+func TestGraceOfAReaderThatWasCutOff(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	n := newFleetNode(t, clock)
-	n.know()
+	n.setKnownState()
 	gone := func(list int64, id string, doubted time.Duration) {
 		n.OnStoreUpdate(peer.StoreUpdate{From: "127.0.1.1:1", Base: 5, List: list, Changes: []inventory.Change{{ID: id}}, Doubted: doubted})
 	}
@@ -223,10 +223,10 @@
 	require.Empty(t, n.table.Usable("s"))
 
 	n = newFleetNode(t, clock)
-	n.know()
+	n.setKnownState()
 	other := inventory.Instance{ID: "j", Service: "s"}
 	n.table.Apply([]inventory.Change{{ID: "j", Instance: &other}}, 5, time.Time{})
-	clock.Advance(lateAge(n))
+	clock.Advance(lateListAge(n))
 	gone(6, "i", 2*time.Second)
 	require.Len(t, n.table.Usable("s"), 2)
 	clock.Advance(100 * time.Millisecond)
@@ -242,32 +242,34 @@
 // news. The answer has the leaving too, which is not new any more to the first
 // and is left out of what it tells: the third must not take this for all that
 // there is, or it uses the server until its entry vanishes.
-func TestMissedNewsIsNotSkipped(t *testing.T) {
+func TestMissedUpdateIsNotSkipped(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	reader, third := newFleetNode(t, clock), newFleetNode(t, clock)
-	reader.know()
-	third.know()
+	reader.setKnownState()
+	third.setKnownState()
 	leaving := inventory.Instance{ID: "i", Service: "s", Leaving: true}
 	change := inventory.Change{ID: "i", Instance: &leaving}
 	reader.OnStoreUpdate(peer.StoreUpdate{From: "127.0.1.1:1", Base: 5, List: 6, Changes: []inventory.Change{change}})
 	require.Empty(t, reader.table.Usable("s"))
 
-	told, ok := reader.takeChanges(platform.InstanceNews{Revision: 7, Changes: []inventory.Change{change}}, time.Time{})
+	told, ok := reader.applyChanges(platform.InstanceNews{Revision: 7, Changes: []inventory.Change{change}}, time.Time{})
 	require.True(t, ok)
-	clock.Advance(lateAge(third))
+	clock.Advance(lateListAge(third))
 	third.OnStoreUpdate(told)
 	require.Equal(t, int64(5), third.table.Revision())
 	require.True(t, third.mustReadList(), "it reads the list itself")
 }
 
 // lateAge is the age of the list at which a daemon reads it itself.
-func lateAge(n *Node) time.Duration { return n.listPace() + lateNews + time.Millisecond }
+func lateListAge(n *Node) time.Duration {
+	return n.listInterval() + lateUpdateMargin + time.Millisecond
+}
 
 // What became of a call to the store must be the same to the holder of a duty
 // whether it made the call itself or a peer did: a check that failed taken for a
 // lost answer, or the other way round, would have it write on what it no longer
 // holds.
-func TestOutcomesOfRelayedCalls(t *testing.T) {
+func TestRelayedCallsKeepTheirOutcome(t *testing.T) {
 	for _, err := range []error{
 		nil, trace.NotFound("x"), trace.CompareFailed("x"), trace.ConnectionProblem(nil, "x"),
 		&backing.UnknownOutcomeError{Cause: trace.ConnectionProblem(nil, "x")},
@@ -285,7 +287,7 @@
 // asker goes on to the next peer.
 func TestPeerWithoutStoreDoesNotRelay(t *testing.T) {
 	n := newFleetNode(t, clockwork.NewFakeClock())
-	n.contact.note(n.clock.Now(), n.clock.Now(), errors.New("no answer"))
+	n.storeHealth.record(n.clock.Now(), n.clock.Now(), errors.New("no answer"))
 	require.Equal(t, peer.StoreNotDone, n.OnStoreCall(peer.StoreCall{Get: "x"}).Outcome)
 }
 
@@ -293,24 +295,24 @@
 // reader notices two seconds later, with its own read or with the list of a peer that
 // has not noticed yet. A server that left meanwhile must not be doubted from then on
 // for two seconds more: it got a request 3.5 s after it had left.
-func TestDoubtEndsWhenTheReadersDoes(t *testing.T) {
+func TestGraceEndsWithThatOfTheReader(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	n := newFleetNode(t, clock)
-	n.know()
-	n.contact.note(clock.Now(), clock.Now(), errors.New("no answer"))
+	n.setKnownState()
+	n.storeHealth.record(clock.Now(), clock.Now(), errors.New("no answer"))
 	clock.Advance(3 * time.Second)
 	n.OnStoreUpdate(peer.StoreUpdate{From: "127.0.1.1:1", Base: 5, List: 5, Doubted: 2 * time.Second})
 	end := clock.Now().Add(2 * time.Second)
 	clock.Advance(1900 * time.Millisecond)
-	require.Equal(t, end, n.doubtedUntil(clock.Now()), "the store has not answered here yet")
-	n.contact.note(clock.Now(), clock.Now(), nil)
-	require.Equal(t, end, n.doubtedUntil(clock.Now()))
-	require.Equal(t, 100*time.Millisecond, n.doubt(), "told to peers")
+	require.Equal(t, end, n.graceEnd(clock.Now()), "the store has not answered here yet")
+	n.storeHealth.record(clock.Now(), clock.Now(), nil)
+	require.Equal(t, end, n.graceEnd(clock.Now()))
+	require.Equal(t, 100*time.Millisecond, n.graceLeft(), "told to peers")
 
-	n.contact.note(clock.Now(), clock.Now(), errors.New("no answer"))
+	n.storeHealth.record(clock.Now(), clock.Now(), errors.New("no answer"))
 	clock.Advance(time.Second)
-	n.contact.note(clock.Now(), clock.Now(), nil)
-	require.Equal(t, clock.Now().Add(doubtTime), n.doubtedUntil(clock.Now()), "no reader has told since a later outage")
+	n.storeHealth.record(clock.Now(), clock.Now(), nil)
+	require.Equal(t, clock.Now().Add(missingEntryGrace), n.graceEnd(clock.Now()), "no reader has told since a later outage")
 }
 
 // Guards against streams that a stopping daemon takes from callers with an old answer of the
@@ -318,14 +320,14 @@
 func TestStoppingDaemonRefusesLateStreams(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	n := newFleetNode(t, clock)
-	n.know()
-	n.install(catalog.New(catalog.Declared{Version: 4, Services: []catalog.Service{{Name: "s"}}, Routes: []catalog.Route{
+	n.setKnownState()
+	n.installConfig(catalog.New(catalog.Declared{Version: 4, Services: []catalog.Service{{Name: "s"}}, Routes: []catalog.Route{
 		{Name: "stream", Host: "example.com", Prefix: "/x/", Kind: catalog.Stream, Public: true, Timeout: time.Second, Backends: []catalog.Backend{{Service: "s", Weight: 1}}},
 	}}), []byte("{}"), "test")
 	late := func() bool { return strings.Contains(askOnce(n).Body.String(), string(fault.Stopping)) }
 	require.False(t, n.refusesStreams())
 	n.leave(member.Leaving)
-	clock.Advance(lateStream - time.Millisecond)
+	clock.Advance(refuseStreamsAfter - time.Millisecond)
 	require.False(t, n.refusesStreams())
 	clock.Advance(time.Millisecond)
 	n.leave(member.Left)
--- a/internal/entry/operator.go
+++ b/internal/entry/operator.go
@@ -16,19 +16,19 @@
 // operator. News is answered at once; a dead connection is noticed by its
 // keep-alive probes, and a question that is never answered by what the list
 // tells of the store.
-const operatorWait = 10 * time.Second
+const longPollTime = 10 * time.Second
 
 // confirmTime is how long the news of the list waits for the operator's rows: a hundred
 // times the store's usual answer, and short enough that instances that leave are known
 // everywhere in time. Daemons that are not told by then read by themselves.
-const confirmTime = lateNews
+const confirmTimeout = lateUpdateMargin
 
 // watchOperator follows what the operator writes.
 func (n *Node) watchOperator(ctx context.Context) {
 	var wait backoff
 	for ctx.Err() == nil {
 		if !n.mustReadOperator() {
-			n.pause(ctx, checkInterval)
+			n.sleep(ctx, checkInterval)
 			continue
 		}
 		err := n.readOperator(ctx)
@@ -46,20 +46,20 @@
 // readOperator reads what the operator wrote since the last time. A daemon that
 // reads for others lets the store hold the question until there is something.
 func (n *Node) readOperator(ctx context.Context) error {
-	view := n.fresh.view()
-	if n.settling.takeOperatorDue(n.clock.Now()) {
-		n.lostHistory = true
+	view := n.freshness.view()
+	if n.staleWindow.takeOperatorDue(n.clock.Now()) {
+		n.wholeReadDue = true
 	}
-	if n.lostHistory || view.at.IsZero() {
+	if n.wholeReadDue || view.confirmedAt.IsZero() {
 		return n.readAllOperator(ctx)
 	}
 	hold := time.Duration(0)
-	if n.reader() {
-		hold = operatorWait
+	if n.isReader() {
+		hold = longPollTime
 	}
-	call, done := n.question.ask(ctx)
+	call, done := n.operatorPoll.begin(ctx)
 	defer done()
-	_, err := n.readOperatorAfter(call, view.read, hold)
+	_, err := n.readOperatorAfter(call, view.readRevision, hold)
 	switch {
 	case ctx.Err() != nil:
 		return ctx.Err()
@@ -67,10 +67,10 @@
 		// Its news came another way.
 		return nil
 	case errors.Is(err, platform.ErrCompacted):
-		n.lostHistory = true
-		if n.clock.Since(n.readWholeAt) < n.listPace() {
+		n.wholeReadDue = true
+		if n.clock.Since(n.lastWholeRead) < n.listInterval() {
 			// The store keeps no history; all rows are read at the pace of the list.
-			n.pause(ctx, n.listPace())
+			n.sleep(ctx, n.listInterval())
 		}
 		return nil
 	}
@@ -84,9 +84,9 @@
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	n.contact.note(asked, n.clock.Now(), err)
+	n.storeHealth.record(asked, n.clock.Now(), err)
 	if err != nil {
-		n.logNotRead(0, asked, err)
+		n.logReadFailure(0, asked, err)
 		return err
 	}
 	news = n.withoutStale(news)
@@ -95,15 +95,15 @@
 	// those may be gone, and every request would be refused until the duty
 	// is taken.
 	asked = n.clock.Now()
-	if err := n.readStates(ctx, news.Orders); err != nil {
-		n.contact.note(asked, n.clock.Now(), err)
+	if err := n.loadRolloutStates(ctx, news.Orders); err != nil {
+		n.storeHealth.record(asked, n.clock.Now(), err)
 		return err
 	}
-	n.lostHistory, n.readWholeAt = false, n.clock.Now()
+	n.wholeReadDue, n.lastWholeRead = false, n.clock.Now()
 	// Orders that are not in force any more are not among the rows, so what is told leads
 	// on from nothing.
 	const fromNothing = math.MaxInt64
-	n.haveRead(ctx, news, fromNothing)
+	n.applyRead(ctx, news, fromNothing)
 	return nil
 }
 
@@ -115,33 +115,33 @@
 	if ctx.Err() != nil {
 		return false, ctx.Err()
 	}
-	n.contact.note(asked, n.clock.Now(), err)
+	n.storeHealth.record(asked, n.clock.Now(), err)
 	switch {
 	case errors.Is(err, platform.ErrCompacted):
 		slog.Warn("store.history_gone", "table", "operator", "revision", after)
 		return false, err
 	case err != nil:
-		n.logNotRead(after, asked, err)
+		n.logReadFailure(after, asked, err)
 		return false, err
 	}
-	return n.haveRead(ctx, news, after), nil
+	return n.applyRead(ctx, news, after), nil
 }
 
 // logNotRead tells of a question for the rows after a revision that got no answer.
-func (n *Node) logNotRead(after int64, asked time.Time, err error) {
-	slog.Warn("operator.not_read", "revision", after, "reader", n.reader(), "asked_ms", n.clock.Since(asked).Milliseconds(), "error", err)
+func (n *Node) logReadFailure(after int64, asked time.Time, err error) {
+	slog.Warn("operator.not_read", "revision", after, "reader", n.isReader(), "asked_ms", n.clock.Since(asked).Milliseconds(), "error", err)
 }
 
 // haveRead takes in what was read of the operator's rows after the revision base, and
 // passes it on. It reports whether there was anything.
-func (n *Node) haveRead(ctx context.Context, news platform.OperatorNews, base int64) (changed bool) {
+func (n *Node) applyRead(ctx context.Context, news platform.OperatorNews, base int64) (changed bool) {
 	n.behind.Store(false)
-	evacuated := n.takeEvacuations(news)
+	evacuated := n.applyEvacuations(news)
 	changed = evacuated || news.Catalog != nil || len(news.Orders) > 0
-	n.fresh.note(n.clock.Now(), news.Revision, changed)
-	n.takeOperator(news)
+	n.freshness.record(n.clock.Now(), news.Revision, changed)
+	n.applyOperator(news)
 	if changed {
-		n.tellOperator(ctx, news, base, evacuated)
+		n.sendOperatorRows(ctx, news, base, evacuated)
 	}
 	return changed
 }
@@ -157,48 +157,48 @@
 // not changed, and where others are newer the rows are asked for at once. A lost question
 // so delays a configuration by one read of the list.
 func (n *Node) confirmOperator(ctx context.Context, newest int64) {
-	view := n.fresh.view()
+	view := n.freshness.view()
 	switch {
-	case view.at.IsZero():
+	case view.confirmedAt.IsZero():
 		// All rows are being read.
-	case view.read >= newest:
-		n.fresh.note(n.clock.Now(), view.read, false)
-	case n.reader():
-		call, cancel := context.WithTimeout(ctx, confirmTime)
+	case view.readRevision >= newest:
+		n.freshness.record(n.clock.Now(), view.readRevision, false)
+	case n.isReader():
+		call, cancel := context.WithTimeout(ctx, confirmTimeout)
 		defer cancel()
-		changed, err := n.readOperatorAfter(call, view.read, 0)
+		changed, err := n.readOperatorAfter(call, view.readRevision, 0)
 		if changed || errors.Is(err, platform.ErrCompacted) {
 			// The held question should have told this.
-			n.question.abandon()
+			n.operatorPoll.abort()
 		}
 	}
 }
 
-func (n *Node) takeOperator(news platform.OperatorNews) {
+func (n *Node) applyOperator(news platform.OperatorNews) {
 	for _, err := range news.Malformed {
 		slog.Error("operator.unreadable", "revision", news.Revision, "error", err)
 	}
 	if news.Catalog != nil {
-		n.install(news.Catalog, news.Manifest, "store")
-		n.offer()
-		n.kickBeat()
+		n.installConfig(news.Catalog, news.Manifest, "store")
+		n.publishCallerURL()
+		n.requestHeartbeat()
 	}
 	for _, o := range news.Orders {
-		n.ordered(o, "store")
+		n.addOrder(o, "store")
 	}
 }
 
 // readStates takes in orders with their stored states.
-func (n *Node) readStates(ctx context.Context, orders []shift.Order) error {
+func (n *Node) loadRolloutStates(ctx context.Context, orders []shift.Order) error {
 	if len(orders) == 0 {
 		return nil
 	}
-	rows, err := n.kv.List(ctx, statePrefix, "", len(orders))
+	rows, err := n.kv.List(ctx, rolloutStatePrefix, "", len(orders))
 	if err != nil {
 		return err
 	}
 	for _, o := range orders {
-		n.ordered(o, "store")
+		n.addOrder(o, "store")
 	}
 	for _, row := range rows {
 		var s shift.State
@@ -206,13 +206,13 @@
 			slog.Error("rollout.state_unreadable", "key", row.Key, "error", err)
 			continue
 		}
-		n.learnState(s, "store")
+		n.applyRolloutState(s, "store")
 	}
 	return nil
 }
 
-func (n *Node) ordered(o shift.Order, source string) {
-	if n.book.AddOrder(o) {
+func (n *Node) addOrder(o shift.Order, source string) {
+	if n.rollouts.AddOrder(o) {
 		slog.Info("rollout.ordered", "service", o.Service, "to", o.To, "order", o.ID, "allowed_ms", o.Allowed.Milliseconds(), "source", source)
 	}
 }
@@ -220,27 +220,27 @@
 // heldQuestion is the question for the operator's news that the store holds.
 //
 // Lock order: mu is taken alone.
-type heldQuestion struct {
-	mu   sync.Mutex
-	drop context.CancelFunc
+type longPoll struct {
+	mu     sync.Mutex
+	cancel context.CancelFunc
 }
 
 // ask returns the context of a question, which ends when the question is abandoned; done is
 // to be called after its answer.
-func (q *heldQuestion) ask(ctx context.Context) (call context.Context, done func()) {
+func (q *longPoll) begin(ctx context.Context) (call context.Context, done func()) {
 	call, cancel := context.WithCancel(ctx)
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.drop = cancel
+	q.cancel = cancel
 	return call, cancel
 }
 
 // abandon ends the question that is held, so that it is asked anew.
-func (q *heldQuestion) abandon() {
+func (q *longPoll) abort() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.drop != nil {
-		q.drop()
+	if q.cancel != nil {
+		q.cancel()
 	}
 }
 
@@ -257,22 +257,22 @@
 type operatorView struct {
 	// at is when it was known to be the newest; zero before the first read. A
 	// store without rows has the revision 0, so that does not tell.
-	at time.Time
+	confirmedAt time.Time
 	// read is the store's revision up to which the rows were read, and changed
 	// the one at which they last changed.
-	read, changed int64
+	readRevision, changedRevision int64
 }
 
 // note takes in that the rows were read at a time up to a revision.
-func (f *freshness) note(at time.Time, read int64, changed bool) {
+func (f *freshness) record(at time.Time, read int64, changed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if at.After(f.at) {
-		f.at = at
+	if at.After(f.confirmedAt) {
+		f.confirmedAt = at
 	}
-	f.read = max(f.read, read)
+	f.readRevision = max(f.readRevision, read)
 	if changed {
-		f.changed = max(f.changed, read)
+		f.changedRevision = max(f.changedRevision, read)
 	}
 }
 
--- a/internal/entry/operator_test.go
+++ b/internal/entry/operator_test.go
@@ -17,7 +17,7 @@
 )
 
 // inForce is the time in which an accepted configuration must be in force.
-const inForce = 2 * time.Second
+const configDeadline = 2 * time.Second
 
 // storeReader is a daemon that reads a stand-in of the store, with its loops for the
 // operator's rows and the list. It knows no other daemon, so it reads for all.
@@ -62,38 +62,38 @@
 }
 
 // until waits for a condition that needs no time to pass on the daemon's clock.
-func (r *storeReader) until(why string, ok func() bool) {
+func (r *storeReader) eventually(why string, ok func() bool) {
 	r.t.Helper()
 	require.Eventually(r.t, ok, 20*time.Second, time.Millisecond, why)
 }
 
 // pass lets time pass in steps of a read of the list, each of which ends before the next
 // one begins.
-func (r *storeReader) pass(d time.Duration) {
+func (r *storeReader) advance(d time.Duration) {
 	r.t.Helper()
-	for ; d > 0; d -= r.listPace() {
+	for ; d > 0; d -= r.listInterval() {
 		reads, _ := r.store.Counts()
-		r.clock.Advance(min(d, r.listPace()))
-		if d < r.listPace() {
+		r.clock.Advance(min(d, r.listInterval()))
+		if d < r.listInterval() {
 			return
 		}
-		r.until("the list is read", func() bool { now, _ := r.store.Counts(); return now > reads })
-		r.listRead()
+		r.eventually("the list is read", func() bool { now, _ := r.store.Counts(); return now > reads })
+		r.awaitListRead()
 	}
 }
 
 // listRead waits until no read of the list is under way.
-func (r *storeReader) listRead() {
+func (r *storeReader) awaitListRead() {
 	r.t.Helper()
 	require.NoError(r.t, r.clock.BlockUntilContext(r.t.Context(), 1))
 }
 
 // loseQuestion waits until the store holds this daemon's question for the operator's news,
 // which then is never answered.
-func (r *storeReader) loseQuestion() {
+func (r *storeReader) losePoll() {
 	r.t.Helper()
-	r.until("the store holds the question", func() bool { return r.store.Held() == 1 })
-	r.listRead()
+	r.eventually("the store holds the question", func() bool { return r.store.Held() == 1 })
+	r.awaitListRead()
 	r.store.LoseHeld()
 }
 
@@ -104,21 +104,21 @@
 // seconds after it had been asked, silence was taken for "nothing new".
 // Evidence: all calls for the list were answered meanwhile, and the store's revision in
 // these answers was one ahead of that of the configuration in force.
-func TestQuestionThatIsNeverAnswered(t *testing.T) {
+func TestLongPollThatIsNeverAnswered(t *testing.T) {
 	r := newStoreReader(t, 2000)
-	r.loseQuestion()
+	r.losePoll()
 	r.store.Declare(routeTo(2, "/new/"))
-	r.pass(inForce)
+	r.advance(configDeadline)
 	require.Equal(t, int64(2), r.configVersion(), "in force in time")
 }
 
 // Where instances may take ten seconds to leave, the list need not be read often. It is all
 // the same, since nothing else shows that the question was lost.
-func TestLostQuestionWhereInstancesLeaveSlowly(t *testing.T) {
+func TestLostLongPollWithSlowListReads(t *testing.T) {
 	r := newStoreReader(t, 10_000)
-	r.loseQuestion()
+	r.losePoll()
 	r.store.Declare(routeTo(2, "/new/"))
-	r.pass(inForce)
+	r.advance(configDeadline)
 	require.Equal(t, int64(2), r.configVersion(), "in force in time")
 }
 
@@ -126,46 +126,46 @@
 // rows, and one is asked because the list is newer than these are known to be. Other
 // daemons must hear of the server all the same, before that question has failed: told
 // only then, they went on sending to it for as long as a call may take.
-func TestNewsOfTheListDoesNotWaitForTheOperatorsRows(t *testing.T) {
+func TestListChangesAreSentBeforeOperatorRowsAreConfirmed(t *testing.T) {
 	r := newStoreReader(t, 2000)
 	other := newTestNode(r.clock, func(s *settings.Routes) { s.PeerListen = "127.0.0.1:0" })
 	heard := make(chan bool, 1)
-	server, err := peer.ListenRoutes("127.0.0.1:0", &listener{Node: other, news: func(n peer.StoreUpdate) {
+	server, err := peer.ListenRoutes("127.0.0.1:0", &updateRecorder{Node: other, onUpdate: func(n peer.StoreUpdate) {
 		if len(n.Changes) > 0 {
-			heard <- r.contact.away()
+			heard <- r.storeHealth.isLost()
 		}
 	}})
 	require.NoError(t, err)
 	t.Cleanup(server.Close)
 	other.registry.SetSelf(func(d *member.Daemon) { d.PeerAddress = server.Address() })
 	r.registry.Merge([]member.Daemon{other.registry.Self()})
-	r.until("the store holds the question", func() bool { return r.store.Held() == 1 })
-	r.listRead()
+	r.eventually("the store holds the question", func() bool { return r.store.Held() == 1 })
+	r.awaitListRead()
 	r.store.Silence(wire.TableOperator)
 	r.store.Put(wire.TableInstances, "i", wire.Instance{Service: "s", Address: "127.0.0.1:1", Zone: "a", Version: "v1", Slots: 8, State: wire.StateDraining})
-	r.clock.Advance(r.listPace())
+	r.clock.Advance(r.listInterval())
 	require.False(t, <-heard, "told after the question for the operator's rows had failed")
 }
 
 // listener is a daemon whose news is looked at.
-type listener struct {
+type updateRecorder struct {
 	*Node
-	news func(peer.StoreUpdate)
+	onUpdate func(peer.StoreUpdate)
 }
 
 // OnNews implements peer.RoutesHandler.
-func (l *listener) OnStoreUpdate(n peer.StoreUpdate) { l.news(n) }
+func (l *updateRecorder) OnStoreUpdate(n peer.StoreUpdate) { l.onUpdate(n) }
 
 // The same question, seen by a daemon that reads nothing as long as its reader tells it that
 // nothing is new. It must not be told anything younger than the store's last answer: only
 // then does it notice that news is late, and asks by itself.
-func TestUnansweredQuestionIsNoNews(t *testing.T) {
+func TestUnansweredLongPollConfirmsNothing(t *testing.T) {
 	r := newStoreReader(t, 2000)
-	r.loseQuestion()
+	r.losePoll()
 	other := newFleetNode(t, r.clock)
-	other.know()
-	r.clock.Advance(lateAge(other))
-	other.OnStoreUpdate(r.dated(peer.StoreUpdate{From: "127.0.1.1:1", List: noList}))
+	other.setKnownState()
+	r.clock.Advance(lateListAge(other))
+	other.OnStoreUpdate(r.withFreshness(peer.StoreUpdate{From: "127.0.1.1:1", List: noList}))
 	require.True(t, other.mustReadOperator())
 }
 
@@ -175,13 +175,13 @@
 // upstream instances that left without saying so.
 // Evidence: store.lost of a question asked 11.5 s before and store.regained 0.14 s later, with
 // the list read twice a second all the while.
-func TestOldQuestionTellsNothingOfTheStoreNow(t *testing.T) {
+func TestFailureOfAnOldCallIsNoStoreLoss(t *testing.T) {
 	r := newStoreReader(t, 2000)
-	r.loseQuestion()
-	r.pass(inForce)
+	r.losePoll()
+	r.advance(configDeadline)
 	r.store.RefuseLost()
-	r.until("the question has failed", func() bool { return r.store.Held() == 0 })
+	r.eventually("the question has failed", func() bool { return r.store.Held() == 0 })
 	require.NoError(t, r.clock.BlockUntilContext(t.Context(), 2), "it is to be asked again")
-	require.False(t, r.contact.away())
-	require.Zero(t, r.doubt())
+	require.False(t, r.storeHealth.isLost())
+	require.Zero(t, r.graceLeft())
 }
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -18,8 +18,8 @@
 const (
 	// beatInterval is the time between heartbeats, and beatTimeout what one may
 	// take: hundreds of times the way between failure domains.
-	beatInterval = 700 * time.Millisecond
-	beatTimeout  = 500 * time.Millisecond
+	heartbeatInterval = 700 * time.Millisecond
+	peerCallTimeout   = 500 * time.Millisecond
 	// suspectAfter is how many heartbeats in a row must go unanswered before a
 	// daemon is left out of what callers are told: 1.4 s, within the second
 	// that callers allow for a new connection plus the life of an answer.
@@ -28,13 +28,13 @@
 	// list of a peer is taken in place of it.
 	storeSilence = 1200 * time.Millisecond
 	// announcePause is the time between tries to write this daemon's row.
-	announcePause = 2 * time.Second
+	announceRetry = 2 * time.Second
 	// aloneTime is how long no peer must be known before the store is asked for
 	// some, and the time between two such questions.
-	aloneTime = 1500 * time.Millisecond
+	noPeersTime = 1500 * time.Millisecond
 	// kickPause gathers news that comes together into one round of heartbeats:
 	// when many daemons start at once each would otherwise set off many rounds.
-	kickPause = 30 * time.Millisecond
+	heartbeatBatchDelay = 30 * time.Millisecond
 )
 
 // daemonRow tells daemons that start later where to find this one.
@@ -51,9 +51,9 @@
 func (n *Node) announce(ctx context.Context) {
 	const never = -1
 	announced := int64(never)
-	for n.pause(ctx, announcePause) {
+	for n.sleep(ctx, announceRetry) {
 		era := n.store.Era()
-		if announced == era || !n.reader() {
+		if announced == era || !n.isReader() {
 			continue
 		}
 		if err := n.announceOnce(ctx); err != nil {
@@ -75,15 +75,15 @@
 // known for some time, the rows of other daemons.
 func (n *Node) findPeers(ctx context.Context) []string {
 	alone := len(n.registry.All()) == 1
-	if !alone || n.clock.Since(n.started) < aloneTime {
-		return n.unknown(*n.seeds.Load())
+	if !alone || n.clock.Since(n.lastPeerSearch) < noPeersTime {
+		return n.unknownAddresses(*n.seeds.Load())
 	}
-	n.started = n.clock.Now()
+	n.lastPeerSearch = n.clock.Now()
 	const most = 100
 	rows, err := n.kv.List(ctx, daemonPrefix, "", most)
 	if err != nil {
 		slog.Debug("daemons.not_read", "error", err)
-		return n.unknown(*n.seeds.Load())
+		return n.unknownAddresses(*n.seeds.Load())
 	}
 	addresses := slices.Clone(*n.seeds.Load())
 	for _, row := range rows {
@@ -94,11 +94,11 @@
 		}
 		addresses = append(addresses, d.PeerAddress)
 	}
-	return n.unknown(addresses)
+	return n.unknownAddresses(addresses)
 }
 
 // unknown returns the addresses at which no daemon is known.
-func (n *Node) unknown(addresses []string) []string {
+func (n *Node) unknownAddresses(addresses []string) []string {
 	known := map[string]bool{n.registry.Self().PeerAddress: true}
 	for _, d := range n.registry.All() {
 		if d.State != member.Left {
@@ -115,9 +115,9 @@
 	return out
 }
 
-func (n *Node) kickBeat() {
+func (n *Node) requestHeartbeat() {
 	select {
-	case n.kick <- struct{}{}:
+	case n.heartbeatNow <- struct{}{}:
 	default:
 	}
 }
@@ -127,9 +127,9 @@
 	for ctx.Err() == nil {
 		n.heartbeatRound(ctx)
 		select {
-		case <-n.kick:
-			n.pause(ctx, kickPause)
-		case <-n.clock.After(beatInterval):
+		case <-n.heartbeatNow:
+			n.sleep(ctx, heartbeatBatchDelay)
+		case <-n.clock.After(heartbeatInterval):
 		case <-ctx.Done():
 		}
 	}
@@ -138,10 +138,10 @@
 func (n *Node) heartbeatRound(ctx context.Context) {
 	var round sync.WaitGroup
 	for _, d := range n.registry.HeartbeatTargets() {
-		round.Go(func() { n.beat(ctx, d.PeerAddress, d.Incarnation) })
+		round.Go(func() { n.sendHeartbeat(ctx, d.PeerAddress, d.Incarnation) })
 	}
 	for _, address := range n.findPeers(ctx) {
-		round.Go(func() { n.beat(ctx, address, "") })
+		round.Go(func() { n.sendHeartbeat(ctx, address, "") })
 	}
 	round.Wait()
 }
@@ -158,14 +158,14 @@
 }
 
 // beliefs is what a heartbeat says of this daemon.
-func (n *Node) beliefs() peer.RoutesHeartbeat {
+func (n *Node) heartbeat() peer.RoutesHeartbeat {
 	b := peer.RoutesHeartbeat{
 		From: n.registry.Self(), News: n.registry.NextUpdates(), Digest: n.registry.Digest(),
 		Config: n.configVersion(), List: n.table.Revision(), Quarantine: n.quarantine.list.Checksum(), Left: n.table.RecentlyLeaving(),
 		Evacuated: n.evacuations.Checksum(), Limits: n.table.RecentLimits(),
 	}
 	_, b.Limited = n.table.LimitsInForce()
-	_, states := n.book.Orders()
+	_, states := n.rollouts.Orders()
 	for _, s := range states {
 		b.Shifts += max(s.Order, s.Restated) + int64(s.Step)
 		if s.Stopped {
@@ -175,43 +175,43 @@
 	return b
 }
 
-func (n *Node) beat(ctx context.Context, address, incarnation string) {
-	call, cancel := context.WithTimeout(ctx, beatTimeout)
+func (n *Node) sendHeartbeat(ctx context.Context, address, incarnation string) {
+	call, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
-	mine := n.beliefs()
+	mine := n.heartbeat()
 	reply, err := n.peers.RoutesHeartbeat(call, address, mine)
 	if err != nil || (incarnation != "" && reply.From.Incarnation != incarnation) {
 		if incarnation != "" && ctx.Err() == nil {
-			n.missed(incarnation, err)
+			n.recordMiss(incarnation, err)
 		}
 	}
 	if err != nil {
 		return
 	}
-	n.heard(reply)
-	if ask, lacking := n.lacks(reply, mine); lacking {
-		n.fetchBeliefs(ctx, address, ask)
+	n.applyHeartbeat(reply)
+	if ask, lacking := n.missingFrom(reply, mine); lacking {
+		n.syncFromPeer(ctx, address, ask)
 	}
 }
 
 // heard takes in a heartbeat.
-func (n *Node) heard(b peer.RoutesHeartbeat) {
-	n.missesMu.Lock()
-	delete(n.misses, b.From.Incarnation)
-	n.missesMu.Unlock()
+func (n *Node) applyHeartbeat(b peer.RoutesHeartbeat) {
+	n.missedMu.Lock()
+	delete(n.missedHeartbeats, b.From.Incarnation)
+	n.missedMu.Unlock()
 	n.store.NoteRevision(b.List)
-	n.heardLeaving(b)
-	n.heardLimits(b.Limits, b.From.PeerAddress)
+	n.mergeLeaving(b)
+	n.mergeLimits(b.Limits, b.From.PeerAddress)
 	before := n.registry.Epoch()
 	n.registry.Merge(append(b.News, b.From))
 	if n.registry.Epoch() != before {
 		slog.Info("daemons.changed", "live", len(n.registry.Live()), "from", b.From.PeerAddress)
-		n.kickBeat()
+		n.requestHeartbeat()
 	}
 }
 
 // heardLeaving takes in which instances a peer found to be leaving, and passes it on.
-func (n *Node) heardLeaving(b peer.RoutesHeartbeat) {
+func (n *Node) mergeLeaving(b peer.RoutesHeartbeat) {
 	news := false
 	for _, life := range b.Left {
 		if n.table.NoteLeaving(life) {
@@ -220,26 +220,26 @@
 		}
 	}
 	if news {
-		n.kickBeat()
+		n.requestHeartbeat()
 	}
 }
 
 // heardLimits takes in what a peer knows of the limits of instances, and passes it on.
-func (n *Node) heardLimits(limits []inventory.Limit, source string) {
+func (n *Node) mergeLimits(limits []inventory.Limit, source string) {
 	news := n.table.MergeLimits(limits)
 	for _, l := range news {
 		l.Log(source)
 	}
 	if len(news) > 0 {
-		n.kickBeat()
+		n.requestHeartbeat()
 	}
 }
 
 // lacks tells what the sender of a heartbeat knows that this daemon does not.
-func (n *Node) lacks(b, mine peer.RoutesHeartbeat) (ask peer.SyncRequest, lacking bool) {
+func (n *Node) missingFrom(b, mine peer.RoutesHeartbeat) (ask peer.SyncRequest, lacking bool) {
 	ask = peer.SyncRequest{
 		Config: mine.Config, List: mine.List,
-		Instances: b.List > mine.List && n.listFromPeers(),
+		Instances: b.List > mine.List && n.useListFromPeers(),
 		Shifts:    b.Shifts > mine.Shifts,
 		Members:   b.Digest != n.registry.Digest() && n.membersSettled(),
 		// An empty list is no news of any.
@@ -252,24 +252,24 @@
 
 // listFromPeers reports whether the list of a peer is to be taken: this daemon
 // has none, or the store is silent and no reader has told of a newer one.
-func (n *Node) listFromPeers() bool {
-	return !n.table.Loaded() || n.contact.silent(n.clock.Now(), storeSilence) && n.table.Age() > n.listPace()
+func (n *Node) useListFromPeers() bool {
+	return !n.table.Loaded() || n.storeHealth.silentFor(n.clock.Now(), storeSilence) && n.table.Age() > n.listInterval()
 }
 
 // settleTime is how long no news of daemons must have come before one that knows
 // others than its peer asks for all of them: most differences are news under
 // way, which two rounds of heartbeats bring.
-const settleTime = 2 * beatInterval
+const membershipSettleTime = 2 * heartbeatInterval
 
 // membersSettled reports whether what is known of daemons has not changed for
 // some time, or is nothing at all.
 func (n *Node) membersSettled() bool {
-	return len(n.registry.All()) <= 2 || n.clock.Since(n.registry.ChangedAt()) > settleTime
+	return len(n.registry.All()) <= 2 || n.clock.Since(n.registry.ChangedAt()) > membershipSettleTime
 }
 
 // fetchBeliefs takes over what a peer knows better.
-func (n *Node) fetchBeliefs(ctx context.Context, address string, ask peer.SyncRequest) {
-	call, cancel := context.WithTimeout(ctx, beatTimeout)
+func (n *Node) syncFromPeer(ctx context.Context, address string, ask peer.SyncRequest) {
+	call, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
 	b, err := n.peers.Sync(call, address, ask)
 	if err != nil {
@@ -278,28 +278,28 @@
 	}
 	n.registry.Merge(b.Members)
 	if b.EvacuationsKnown {
-		n.learnEvacuations(b.Evacuations, address)
+		n.mergeEvacuations(b.Evacuations, address)
 	}
-	n.heardLimits(b.Limits, address)
-	n.takeManifest(b.Manifest, address)
-	if b.Instances != nil && n.listFromPeers() {
-		doubted := n.doubts.bound(n.clock.Now().Add(b.Doubted), n.contact.lostSince())
+	n.mergeLimits(b.Limits, address)
+	n.applyManifest(b.Manifest, address)
+	if b.Instances != nil && n.useListFromPeers() {
+		doubted := n.readerGrace.limit(n.clock.Now().Add(b.Doubted), n.storeHealth.lastLostAt())
 		if n.table.Replace(*b.Instances, doubted) {
 			slog.Info("instances.from_peer", "peer", address, "revision", b.Instances.Revision, "count", len(b.Instances.Instances))
 		}
 	}
 	for _, o := range b.Orders {
-		n.ordered(o, address)
+		n.addOrder(o, address)
 	}
 	for _, s := range b.States {
-		n.learnState(s, address)
+		n.applyRolloutState(s, address)
 	}
-	n.quarantine.learnQuarantine(b.Quarantine, address)
-	n.offer()
+	n.quarantine.applyEntries(b.Quarantine, address)
+	n.publishCallerURL()
 }
 
 // takeManifest puts the configuration of a peer in force; none is nothing new.
-func (n *Node) takeManifest(manifest []byte, source string) {
+func (n *Node) applyManifest(manifest []byte, source string) {
 	if len(manifest) == 0 {
 		return
 	}
@@ -308,29 +308,29 @@
 		slog.Error("config.unreadable", "source", source, "error", err)
 		return
 	}
-	n.install(c, manifest, source)
-	n.offer()
+	n.installConfig(c, manifest, source)
+	n.publishCallerURL()
 }
 
-func (n *Node) learnState(s shift.State, source string) {
+func (n *Node) applyRolloutState(s shift.State, source string) {
 	if now, ok := n.store.Clock(); ok && s.OrderedMS > 0 {
 		age := time.Duration(now-s.OrderedMS) * time.Millisecond
-		if n.book.UpdateAge(s.Service, s.Order, age) {
+		if n.rollouts.UpdateAge(s.Service, s.Order, age) {
 			slog.Info("rollout.aged", "service", s.Service, "order", s.Order, "age_ms", age.Milliseconds(), "source", source)
 		}
 	}
-	if n.book.ApplyState(s) {
+	if n.rollouts.ApplyState(s) {
 		slog.Info("rollout.state", "service", s.Service, "to", s.To, "phase", string(s.Phase), "share", s.Share,
 			"stopped", s.Stopped, "step", s.Step, "held", len(s.Held), "source", source)
 	}
 }
 
 // missed suspects a daemon that did not answer several times in a row.
-func (n *Node) missed(incarnation string, err error) {
-	n.missesMu.Lock()
-	n.misses[incarnation]++
-	count := n.misses[incarnation]
-	n.missesMu.Unlock()
+func (n *Node) recordMiss(incarnation string, err error) {
+	n.missedMu.Lock()
+	n.missedHeartbeats[incarnation]++
+	count := n.missedHeartbeats[incarnation]
+	n.missedMu.Unlock()
 	if count != suspectAfter {
 		return
 	}
@@ -340,7 +340,7 @@
 	}
 	n.registry.Suspect(incarnation)
 	slog.Warn("daemon.suspected", "daemon", d.PeerAddress, "missed", count, "error", err)
-	n.kickBeat()
+	n.requestHeartbeat()
 }
 
 // stoppedSteps is what a stopped version counts for in a heartbeat: more steps than
@@ -349,8 +349,8 @@
 
 // OnBeat implements peer.RoutesHandler.
 func (n *Node) OnHeartbeat(b peer.RoutesHeartbeat) peer.RoutesHeartbeat {
-	n.heard(b)
-	return n.beliefs()
+	n.applyHeartbeat(b)
+	return n.heartbeat()
 }
 
 // OnBeliefs implements peer.RoutesHandler.
@@ -360,7 +360,7 @@
 		b.Members = n.registry.All()
 	}
 	if r.Shifts {
-		b.Orders, b.States = n.book.Orders()
+		b.Orders, b.States = n.rollouts.Orders()
 	}
 	if r.Quarantine {
 		b.Quarantine = n.quarantine.list.Entries()
@@ -378,7 +378,7 @@
 	n.configMu.Unlock()
 	if r.Instances {
 		if s := n.table.Snapshot(); s.Revision > r.List {
-			b.Instances, b.Doubted = &s, n.doubt()
+			b.Instances, b.Doubted = &s, n.graceLeft()
 		}
 	}
 	return b
@@ -387,10 +387,10 @@
 // OnEvidence implements peer.RoutesHandler.
 func (n *Node) OnEvidence(r peer.EvidenceRequest) shift.Evidence {
 	if r.Holder {
-		n.duties.heardHolder(r.Service)
+		n.duties.noteHolder(r.Service)
 	}
 	return n.ownEvidence(r.Service)
 }
 
 // OnState implements peer.RoutesHandler.
-func (n *Node) OnRolloutState(s shift.State) { n.learnState(s, "holder") }
+func (n *Node) OnRolloutState(s shift.State) { n.applyRolloutState(s, "holder") }
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -16,52 +16,52 @@
 const (
 	// settleEvidence is how long a judge waits after news of a crash for what the other
 	// daemons tell of it: each finds out within some milliseconds.
-	settleEvidence = 80 * time.Millisecond
+	crashSettleTime = 80 * time.Millisecond
 	// secondJudge is how much later the second judge decides. What the first one has
 	// decided by then is known.
-	secondJudge = 300 * time.Millisecond
+	judgeRankDelay = 300 * time.Millisecond
 	// inquiryTime bounds the question to all daemons before a request is quarantined.
-	inquiryTime = 250 * time.Millisecond
+	inquiryTimeout = 250 * time.Millisecond
 	// judgeAgain is the first pause until suspects that are not condemned are judged
 	// again. It doubles each time, up to judgeTimes: what clears a request beside the one
 	// at fault is that it runs to its end, after some hundred milliseconds or seconds.
-	judgeAgain = 100 * time.Millisecond
-	judgeTimes = 6
+	rejudgeDelay = 100 * time.Millisecond
+	maxRejudges  = 6
 	// maxFreed bounds the releases that wait; a request that runs again asks again.
-	maxFreed = 16
+	maxPendingReleases = 16
 	// inquiryWithin is how old the crashes are that daemons are asked for.
-	inquiryWithin = 30 * time.Second
+	inquiryWindow = 30 * time.Second
 )
 
 // quarantined refuses the requests that crash instances, and judges which do.
-type quarantined struct {
-	*crashes
+type quarantineManager struct {
+	*crashReporter
 	list     *quarantine.List
 	evidence *quarantine.Evidence
-	ran      *quarantine.Finished
-	refused  atomic.Int64
+	finished *quarantine.Finished
+	refusals atomic.Int64
 	// due is signalled when crashes were told.
-	due chan struct{}
+	judgeDue chan struct{}
 	// freed are quarantined requests that have run to their end.
-	freed chan quarantine.Digest
+	pendingReleases chan quarantine.Digest
 	// unsaved are decisions that the store does not have yet.
 	unsaved chan []quarantine.Entry
 }
 
-func newQuarantined(n *Node) *quarantined {
-	return &quarantined{
-		crashes: newCrashes(n), list: quarantine.NewList(n.clock), evidence: quarantine.NewEvidence(n.clock),
-		ran: quarantine.NewFinished(n.clock), due: make(chan struct{}, 1),
-		freed:   make(chan quarantine.Digest, maxFreed),
-		unsaved: make(chan []quarantine.Entry, maxUnsaved),
+func newQuarantineManager(n *Node) *quarantineManager {
+	return &quarantineManager{
+		crashReporter: newCrashReporter(n), list: quarantine.NewList(n.clock), evidence: quarantine.NewEvidence(n.clock),
+		finished: quarantine.NewFinished(n.clock), judgeDue: make(chan struct{}, 1),
+		pendingReleases: make(chan quarantine.Digest, maxPendingReleases),
+		unsaved:         make(chan []quarantine.Entry, maxUnsaved),
 	}
 }
 
 // Refused implements forward.Quarantine.
-func (q *quarantined) Refused(d quarantine.Digest) (time.Duration, bool) {
+func (q *quarantineManager) Refused(d quarantine.Digest) (time.Duration, bool) {
 	left, refused := q.list.Refused(d)
 	if refused {
-		q.refused.Add(1)
+		q.refusals.Add(1)
 	}
 	return left, refused
 }
@@ -71,13 +71,13 @@
 // A quarantined request that runs to its end, begun before it was refused or after its time
 // was over, crashes nothing, or nothing any more. Kept on the list, the next loss of power
 // under it would have it refused again.
-func (q *quarantined) Finished(d quarantine.Digest) {
-	q.ran.Record(d)
+func (q *quarantineManager) Finished(d quarantine.Digest) {
+	q.finished.Record(d)
 	if !q.list.Held(d) {
 		return
 	}
 	select {
-	case q.freed <- d:
+	case q.pendingReleases <- d:
 	default:
 	}
 }
@@ -88,40 +88,40 @@
 // Another request may be on the same ended instances as the one at fault, and run to its end
 // elsewhere a moment later. Judged with the next crash only, the one at fault ends one more
 // instance by then.
-func (q *quarantined) judgeLoop(ctx context.Context) {
+func (q *quarantineManager) judgeLoop(ctx context.Context) {
 	var again <-chan time.Time
 	tries := 0
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case d := <-q.freed:
+		case d := <-q.pendingReleases:
 			q.Release(ctx, d)
 			continue
-		case <-q.due:
-			q.pause(ctx, settleEvidence+time.Duration(q.judgeRank())*secondJudge)
+		case <-q.judgeDue:
+			q.sleep(ctx, crashSettleTime+time.Duration(q.judgeRank())*judgeRankDelay)
 			tries = 0
 		case <-again:
 		}
 		again = nil
-		if q.judge(ctx) && tries < judgeTimes {
-			again = q.clock.After(judgeAgain << tries)
+		if q.judge(ctx) && tries < maxRejudges {
+			again = q.clock.After(rejudgeDelay << tries)
 			tries++
 		}
 	}
 }
 
 // signalDue asks the judge's loop to look at what was told.
-func (q *quarantined) signalDue() {
+func (q *quarantineManager) signalJudge() {
 	select {
-	case q.due <- struct{}{}:
+	case q.judgeDue <- struct{}{}:
 	default:
 	}
 }
 
 // judgeRank is this daemon's place among the judges, from 0. One that is none was told by
 // a daemon that knows others, and comes last.
-func (q *quarantined) judgeRank() int {
+func (q *quarantineManager) judgeRank() int {
 	judges, own := q.judges(), q.registry.Self().Incarnation
 	for rank, d := range judges {
 		if d.Incarnation == own {
@@ -133,7 +133,7 @@
 
 // judge quarantines what is condemned by all that is known. It reports whether suspects are
 // left that may be, once more is known.
-func (q *quarantined) judge(ctx context.Context) (undecided bool) {
+func (q *quarantineManager) judge(ctx context.Context) (undecided bool) {
 	refused := func(d quarantine.Digest) bool {
 		_, yes := q.list.Refused(d)
 		return yes
@@ -142,15 +142,15 @@
 	if len(suspected) == 0 {
 		return false
 	}
-	complete := q.inquire(ctx, suspected)
+	complete := q.collectEvidence(ctx, suspected)
 	var decided []quarantine.Entry
 	for _, c := range q.evidence.Culprits(complete, refused, q.list.OnProbation) {
 		decided = append(decided, q.list.Quarantine(c))
-		q.goOn([]quarantine.Digest{c.Digest})
+		q.resumeWaiting([]quarantine.Digest{c.Digest})
 		slog.Warn("quarantine.decided", "digest", c.Digest, "route", c.Route, "organisation", c.Organisation,
 			"ended", strings.Join(c.Ended, ","), "since_ms", c.Since.Milliseconds(), "complete_ms", complete.Milliseconds())
 	}
-	q.tellQuarantine(ctx, decided)
+	q.sendDecisions(ctx, decided)
 	return len(q.evidence.Suspected(refused, q.list.OnProbation)) > 0
 }
 
@@ -159,10 +159,10 @@
 //
 // A request that was beside the one at fault is saved by the first of these, or by
 // knowing of the other one. A daemon that does not answer may have either.
-func (q *quarantined) inquire(ctx context.Context, suspected []quarantine.Digest) (complete time.Duration) {
-	ask := peer.QuarantineEvidenceRequest{Within: inquiryWithin, Digests: suspected}
+func (q *quarantineManager) collectEvidence(ctx context.Context, suspected []quarantine.Digest) (complete time.Duration) {
+	ask := peer.QuarantineEvidenceRequest{Within: inquiryWindow, Digests: suspected}
 	own := q.OnQuarantineEvidence(ask)
-	q.weigh(own)
+	q.addEvidence(own)
 	var mu sync.Mutex
 	complete = own.Up
 	atMost := func(d time.Duration) {
@@ -170,7 +170,7 @@
 		defer mu.Unlock()
 		complete = min(complete, d)
 	}
-	q.callEach(ctx, inquiryTime, q.everyOther(), func(call context.Context, address string) {
+	q.callEach(ctx, inquiryTimeout, q.otherRunningDaemons(), func(call context.Context, address string) {
 		answer, err := q.peers.QuarantineEvidence(call, address, ask)
 		if err != nil {
 			atMost(0)
@@ -178,12 +178,12 @@
 			return
 		}
 		atMost(answer.Up)
-		q.weigh(answer)
+		q.addEvidence(answer)
 	})
 	return complete
 }
 
-func (q *quarantined) weigh(answer peer.QuarantineEvidence) {
+func (q *quarantineManager) addEvidence(answer peer.QuarantineEvidence) {
 	for d, age := range answer.Finished {
 		q.evidence.Clear(d, age)
 	}
@@ -194,7 +194,7 @@
 
 // everyOther returns the daemons that may have requests: all that are not known to have
 // ended. At the address of one that was restarted its successor answers.
-func (n *Node) everyOther() []member.Daemon {
+func (n *Node) otherRunningDaemons() []member.Daemon {
 	own := n.registry.Self()
 	known := map[string]bool{own.PeerAddress: true}
 	var out []member.Daemon
@@ -208,7 +208,7 @@
 }
 
 // tellQuarantine tells all daemons what was decided. Who misses it learns it by heartbeats.
-func (q *quarantined) tellQuarantine(ctx context.Context, decided []quarantine.Entry) {
+func (q *quarantineManager) sendDecisions(ctx context.Context, decided []quarantine.Entry) {
 	if len(decided) == 0 {
 		return
 	}
@@ -218,7 +218,7 @@
 	default:
 		slog.Warn("quarantine.not_stored", "count", len(decided))
 	}
-	q.callEach(ctx, beatTimeout, q.everyOther(), func(call context.Context, address string) {
+	q.callEach(ctx, peerCallTimeout, q.otherRunningDaemons(), func(call context.Context, address string) {
 		if err := q.peers.SendQuarantineUpdate(call, address, news); err != nil {
 			slog.Debug("quarantine.not_told", "peer", address, "error", err)
 		}
@@ -226,27 +226,27 @@
 }
 
 // learnQuarantine takes in what a peer, or the store, tells.
-func (q *quarantined) learnQuarantine(told []quarantine.Entry, source string) {
+func (q *quarantineManager) applyEntries(told []quarantine.Entry, source string) {
 	for _, e := range q.list.Merge(told) {
 		if e.Released {
 			// What it had done before speaks against it no more.
 			q.evidence.Clear(e.Digest, 0)
 		}
-		q.goOn([]quarantine.Digest{e.Digest})
+		q.resumeWaiting([]quarantine.Digest{e.Digest})
 		slog.Info("quarantine.learned", "digest", e.Digest, "route", e.Route, "organisation", e.Organisation,
 			"ended", strings.Join(e.Ended, ","), "released", e.Released, "left_ms", e.Left.Milliseconds(), "source", source)
 	}
 }
 
 // Release ends the quarantine of a request; it reports false when there is none.
-func (q *quarantined) Release(ctx context.Context, d quarantine.Digest) bool {
+func (q *quarantineManager) Release(ctx context.Context, d quarantine.Digest) bool {
 	e, ok := q.list.Release(d)
 	if !ok {
 		return false
 	}
 	q.evidence.Clear(d, 0)
 	slog.Warn("quarantine.released", "digest", d, "route", e.Route, "organisation", e.Organisation)
-	q.tellQuarantine(ctx, []quarantine.Entry{e})
+	q.sendDecisions(ctx, []quarantine.Entry{e})
 	return true
 }
 
@@ -257,7 +257,7 @@
 		n.quarantine.evidence.Add(c)
 		reply.First = append(reply.First, n.quarantine.evidence.AtMostOneCrash(quarantine.Digests(c.Suspects))...)
 	}
-	n.quarantine.signalDue()
+	n.quarantine.signalJudge()
 	return reply
 }
 
@@ -265,7 +265,7 @@
 func (n *Node) OnQuarantineEvidence(r peer.QuarantineEvidenceRequest) peer.QuarantineEvidence {
 	answer := peer.QuarantineEvidence{Up: n.clock.Since(n.startedAt), Finished: map[quarantine.Digest]time.Duration{}, Crashes: n.quarantine.recent(r.Within)}
 	for _, d := range r.Digests {
-		if age, ok := n.quarantine.ran.Age(d); ok {
+		if age, ok := n.quarantine.finished.Age(d); ok {
 			answer.Finished[d] = age
 		}
 	}
@@ -274,5 +274,5 @@
 
 // OnQuarantine implements peer.RoutesHandler.
 func (n *Node) OnQuarantineUpdate(news peer.QuarantineUpdate) {
-	n.quarantine.learnQuarantine(news.Entries, news.From)
+	n.quarantine.applyEntries(news.Entries, news.From)
 }
--- a/internal/entry/quarantine_http.go
+++ b/internal/entry/quarantine_http.go
@@ -34,7 +34,7 @@
 }
 
 // quarantineFigures are counters for /debug/vars.
-type quarantineFigures struct {
+type quarantineVars struct {
 	// Requests is the number of quarantined requests, Refused how often one of them was
 	// refused here, and InstancesEnded how many instances ended under requests of this
 	// daemon.
@@ -43,15 +43,15 @@
 	InstancesEnded int64 `json:"instances_ended"`
 }
 
-func (q *quarantined) figures() quarantineFigures {
+func (q *quarantineManager) vars() quarantineVars {
 	q.mu.Lock()
-	ended := q.ended
+	ended := q.endedCount
 	q.mu.Unlock()
-	return quarantineFigures{Requests: len(q.list.Entries()), Refused: q.refused.Load(), InstancesEnded: ended}
+	return quarantineVars{Requests: len(q.list.Entries()), Refused: q.refusals.Load(), InstancesEnded: ended}
 }
 
 // show serves the list.
-func (q *quarantined) show(w http.ResponseWriter, _ *http.Request) {
+func (q *quarantineManager) serveList(w http.ResponseWriter, _ *http.Request) {
 	reply := QuarantineReply{Requests: []QuarantinedRequest{}}
 	for _, e := range q.list.Entries() {
 		reply.Requests = append(reply.Requests, QuarantinedRequest{
@@ -66,7 +66,7 @@
 }
 
 // release ends the quarantine of the request named in the path.
-func (q *quarantined) release(w http.ResponseWriter, r *http.Request) {
+func (q *quarantineManager) serveRelease(w http.ResponseWriter, r *http.Request) {
 	var d quarantine.Digest
 	if err := d.UnmarshalText([]byte(r.PathValue("digest"))); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
--- a/internal/entry/quarantine_store.go
+++ b/internal/entry/quarantine_store.go
@@ -13,15 +13,15 @@
 const (
 	quarantinePrefix = "quarantine/"
 	// maxStored bounds what a daemon reads at its start, one page.
-	maxStored = 500
+	maxLoadedRows = 500
 	// maxDeletes is how many rows that are over are removed then.
-	maxDeletes = 100
+	maxExpiredDeletes = 100
 	// storeTries and storeTryPause are how long a decision is tried to be stored: an
 	// outage of the store takes some ten seconds. Daemons that run know it anyway.
-	storeTries    = 30
-	storeTryPause = 2 * time.Second
+	maxSaveAttempts = 30
+	saveRetryPause  = 2 * time.Second
 	// maxPuts is how many rows one transaction writes.
-	maxPuts = 100
+	maxPutsPerTxn = 100
 	// maxUnsaved bounds the decisions that wait for the store.
 	maxUnsaved = 64
 )
@@ -34,7 +34,7 @@
 }
 
 // saveLoop writes what was decided for daemons that start after all others have ended.
-func (q *quarantined) saveLoop(ctx context.Context) {
+func (q *quarantineManager) saveLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -46,13 +46,13 @@
 }
 
 // saveAgain has what is quarantined written again, by one daemon of those that read the store.
-func (q *quarantined) saveAgain() {
-	first := q.readers(1, q.group())
+func (q *quarantineManager) saveAll() {
+	first := q.readers(1, q.readerGroup())
 	entries := q.list.Entries()
 	if len(entries) == 0 || len(first) == 0 || first[0].Incarnation != q.registry.Self().Incarnation {
 		return
 	}
-	for part := range slices.Chunk(entries, maxPuts) {
+	for part := range slices.Chunk(entries, maxPutsPerTxn) {
 		select {
 		case q.unsaved <- part:
 		default:
@@ -61,20 +61,20 @@
 	}
 }
 
-func (q *quarantined) save(ctx context.Context, decided []quarantine.Entry) {
-	for range storeTries {
+func (q *quarantineManager) save(ctx context.Context, decided []quarantine.Entry) {
+	for range maxSaveAttempts {
 		now, ok := q.store.Clock()
 		if ok && q.saveOnce(ctx, decided, now) == nil {
 			return
 		}
-		if !q.pause(ctx, storeTryPause) {
+		if !q.sleep(ctx, saveRetryPause) {
 			return
 		}
 	}
 	slog.Warn("quarantine.not_stored", "count", len(decided))
 }
 
-func (q *quarantined) saveOnce(ctx context.Context, decided []quarantine.Entry, nowMS int64) error {
+func (q *quarantineManager) saveOnce(ctx context.Context, decided []quarantine.Entry, nowMS int64) error {
 	var txn backing.Txn
 	for _, e := range decided {
 		row := storedEntry{Entry: e, UntilMS: nowMS + e.Left.Milliseconds()}
@@ -86,9 +86,9 @@
 
 // loadLoop reads what was decided before this daemon started, once, when it is one of those
 // that read the store for the others. These have it from their peers, or from it.
-func (q *quarantined) loadLoop(ctx context.Context) {
-	for q.pause(ctx, announcePause) {
-		if !q.reader() {
+func (q *quarantineManager) loadLoop(ctx context.Context) {
+	for q.sleep(ctx, announceRetry) {
+		if !q.isReader() {
 			continue
 		}
 		if err := q.load(ctx); err != nil {
@@ -99,8 +99,8 @@
 	}
 }
 
-func (q *quarantined) load(ctx context.Context) error {
-	rows, err := q.kv.List(ctx, quarantinePrefix, "", maxStored)
+func (q *quarantineManager) load(ctx context.Context) error {
+	rows, err := q.kv.List(ctx, quarantinePrefix, "", maxLoadedRows)
 	if err != nil {
 		return err
 	}
@@ -120,10 +120,10 @@
 			over = append(over, row.Key)
 		}
 	}
-	q.learnQuarantine(told, "store")
+	q.applyEntries(told, "store")
 	if len(over) == 0 {
 		return nil
 	}
-	_, err = q.kv.Commit(ctx, backing.Txn{Deletes: over[:min(len(over), maxDeletes)]})
+	_, err = q.kv.Commit(ctx, backing.Txn{Deletes: over[:min(len(over), maxExpiredDeletes)]})
 	return err
 }
--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -17,7 +17,7 @@
 
 // A request was refused for what others had done, and a run of it that had begun before
 // comes to its end. It is let run again: no request that runs well crashes instances.
-func TestQuarantinedRequestThatRunsToItsEndIsReleased(t *testing.T) {
+func TestQuarantinedRequestIsReleasedWhenItFinishes(t *testing.T) {
 	n := newTestNode(clockwork.NewRealClock(), nil)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -31,7 +31,7 @@
 
 // A daemon that has just been chosen to judge is told of three crashes, all at once and not
 // in their order. What ended beside them counts by when it ended.
-func TestJudgeIsToldOfCrashesOutOfOrder(t *testing.T) {
+func TestJudgeHandlesCrashesOutOfOrder(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	n := newTestNode(clock, nil)
 	clock.Advance(time.Hour)
@@ -50,14 +50,14 @@
 
 // Requests that broke off with an instance that has ended wait for the judges; one that was on
 // a single ended instance goes on as soon as it is told of.
-func TestFirstCrashHoldsNobodyBack(t *testing.T) {
+func TestFirstCrashDoesNotDelayRetry(t *testing.T) {
 	n := newTestNode(clockwork.NewRealClock(), nil)
 	decided := n.quarantine.Broken(inventory.Instance{ID: "i", Address: "127.0.0.1:1"}, suspect)
-	<-n.quarantine.news
+	<-n.quarantine.pending
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	n.quarantine.signal()
-	go n.quarantine.tellLoop(ctx)
+	go n.quarantine.reportLoop(ctx)
 	<-decided
 	require.True(t, n.quarantine.Ended(inventory.Instance{ID: "i"}))
 }
@@ -65,7 +65,7 @@
 // A request and another one were on the same three instances that ended, so neither is
 // refused. Then the other one runs to its end elsewhere, and no instance ends any more: the
 // first one is refused at the next look. It was refused with the next crash only.
-func TestJudgeLooksAgainAtSuspects(t *testing.T) {
+func TestJudgeReconsidersSuspects(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	n := newTestNode(clock, nil)
 	clock.Advance(time.Hour)
@@ -79,12 +79,12 @@
 	go n.quarantine.judgeLoop(ctx)
 	n.OnCrashes(report)
 	require.NoError(t, clock.BlockUntilContext(ctx, 1))
-	clock.Advance(settleEvidence)
+	clock.Advance(crashSettleTime)
 	require.NoError(t, clock.BlockUntilContext(ctx, 1), "it is to look again")
 	_, refused := n.quarantine.Refused(suspect.Digest)
 	require.False(t, refused)
 	n.quarantine.Finished(beside.Digest)
-	clock.Advance(judgeAgain)
+	clock.Advance(rejudgeDelay)
 	require.Eventually(t, func() bool { _, yes := n.quarantine.Refused(suspect.Digest); return yes }, 20*time.Second, time.Millisecond)
 	_, refused = n.quarantine.Refused(beside.Digest)
 	require.False(t, refused)
--- a/internal/entry/readers_test.go
+++ b/internal/entry/readers_test.go
@@ -14,7 +14,7 @@
 // One instance in ten has a link of 200 Mbit/s, the others one of 20. Callers of a
 // daemon that tells 30 others what it read wait behind that news on a thin link, so the
 // readers are those with wide links. When these are gone, all at once, others read.
-func TestReadersHaveWideLinks(t *testing.T) {
+func TestReadersHaveFastLinks(t *testing.T) {
 	n := newFleetNode(t, clockwork.NewFakeClock())
 	var all []member.Daemon
 	for i := range 30 {
@@ -47,7 +47,7 @@
 
 // 24 daemons in six failure domains: two of them read the store for all, not two in each
 // domain, which half of them would be.
-func TestFewReadersOfAMiddlingFleet(t *testing.T) {
+func TestMediumFleetHasOneReaderGroup(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	var nodes []*Node
 	var all []member.Daemon
@@ -61,7 +61,7 @@
 	readers := 0
 	for _, n := range nodes {
 		n.registry.Merge(all)
-		if n.reader() {
+		if n.isReader() {
 			readers++
 		}
 	}
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -20,11 +20,11 @@
 	// relayPeers is how many peers are asked in turn to make a call: where the
 	// store turns a third of the daemons away, all three of them in 4 cases of
 	// 100.
-	relayPeers = 3
+	maxRelayAttempts = 3
 	// relayTime is how long the store is not tried directly after it failed this
 	// daemon, unless it has answered another call since; a try at a silent one
 	// takes a second and a half.
-	relayTime = 6 * time.Second
+	directRetryDelay = 6 * time.Second
 )
 
 // relayedTable is the product's rows as the holder of a duty uses them: through a
@@ -42,7 +42,7 @@
 
 	mu sync.Mutex
 	// failed is when the store last failed this daemon.
-	failed time.Time
+	failedAt time.Time
 }
 
 var _ backing.Table = (*relayedTable)(nil)
@@ -65,25 +65,25 @@
 }
 
 // publish tells the operator how a roll-out stands.
-func (r *relayedTable) publish(ctx context.Context, service, to string, phase shift.Phase, guard backing.Check) error {
+func (r *relayedTable) publishStatus(ctx context.Context, service, to string, phase shift.Phase, guard backing.Check) error {
 	return replyError(r.do(ctx, peer.StoreCall{Publish: &peer.RolloutStatusWrite{Service: service, To: to, Phase: phase, Guard: guard}}))
 }
 
 // do makes a call, by itself or through a peer.
 func (r *relayedTable) do(ctx context.Context, call peer.StoreCall) peer.StoreReply {
 	why := "the store failed lately"
-	if !r.failedLately() {
+	if !r.failedRecently() {
 		reply := r.storeCall(ctx, call)
 		if reply.Outcome == peer.StoreNotDone || reply.Outcome == peer.StoreUnknown {
-			r.noteFailed()
+			r.recordFailure()
 		}
 		if reply.Outcome != peer.StoreNotDone {
 			return reply
 		}
 		why = reply.Why
 	}
-	for _, helper := range r.helpers() {
-		reply, err := r.ask(ctx, helper.PeerAddress, call)
+	for _, helper := range r.relayCandidates() {
+		reply, err := r.relayCall(ctx, helper.PeerAddress, call)
 		switch {
 		case err != nil && call.Get == "":
 			return peer.StoreReply{Outcome: peer.StoreUnknown, Why: err.Error()}
@@ -97,40 +97,40 @@
 	return peer.StoreReply{Outcome: peer.StoreNotDone, Why: why}
 }
 
-func (r *relayedTable) ask(ctx context.Context, address string, call peer.StoreCall) (peer.StoreReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, beatTimeout)
+func (r *relayedTable) relayCall(ctx context.Context, address string, call peer.StoreCall) (peer.StoreReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
 	return r.peers.Store(ctx, address, call)
 }
 
-func (r *relayedTable) failedLately() bool {
+func (r *relayedTable) failedRecently() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !r.failed.IsZero() && r.clock.Since(r.failed) < relayTime && !r.contact.answeredAfter(r.failed)
+	return !r.failedAt.IsZero() && r.clock.Since(r.failedAt) < directRetryDelay && !r.storeHealth.answeredAfter(r.failedAt)
 }
 
-func (r *relayedTable) noteFailed() {
+func (r *relayedTable) recordFailure() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.failed = r.clock.Now()
+	r.failedAt = r.clock.Now()
 }
 
 // helpers are some peers in random order: which of them the store serves is not
 // known.
-func (r *relayedTable) helpers() []member.Daemon {
+func (r *relayedTable) relayCandidates() []member.Daemon {
 	own := r.registry.Self().Incarnation
 	peers := slices.DeleteFunc(r.registry.Live(), func(d member.Daemon) bool { return d.Incarnation == own })
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
-	return peers[:min(relayPeers, len(peers))]
+	return peers[:min(maxRelayAttempts, len(peers))]
 }
 
 // OnStoreCall implements peer.RoutesHandler.
 func (n *Node) OnStoreCall(call peer.StoreCall) peer.StoreReply {
-	if n.contact.away() {
+	if n.storeHealth.isLost() {
 		return peer.StoreReply{Outcome: peer.StoreNotDone, Why: "the store does not answer here either"}
 	}
 	// The asker waits for a heartbeat's time. What takes longer is unknown to it.
-	ctx, cancel := context.WithTimeout(context.Background(), beatTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), peerCallTimeout)
 	defer cancel()
 	return n.storeCall(ctx, call)
 }
--- a/internal/entry/restore_test.go
+++ b/internal/entry/restore_test.go
@@ -29,51 +29,51 @@
 	n.table.Replace(inventory.Snapshot{Revision: secondEra, Instances: []inventory.Instance{
 		{ID: "i-1", Service: "s", Version: "v1", FailureDomain: "a"}, {ID: "i-2", Service: "s", Version: "v1", FailureDomain: "a"},
 	}}, clock.Now())
-	n.evacuated(n.evacuations.MergeAll([]evacuation.Order{{FailureDomain: "b", Revision: secondEra}}), "store")
-	n.ordered(shift.Order{ID: secondEra, Era: 1, Service: "s", To: "v2", Allowed: time.Minute}, "store")
-	require.False(t, n.isSettling())
+	n.enforceEvacuations(n.evacuations.MergeAll([]evacuation.Order{{FailureDomain: "b", Revision: secondEra}}), "store")
+	n.addOrder(shift.Order{ID: secondEra, Era: 1, Service: "s", To: "v2", Allowed: time.Minute}, "store")
+	require.False(t, n.storeMayBeStale())
 	return n, clock
 }
 
 // Guards against daemons that drop live servers because a reader tells them a whole list that
 // it has read from an older copy.
-func TestWholeListOfAReaderIsDoubted(t *testing.T) {
+func TestRestoredWholeListKeepsMissingInstances(t *testing.T) {
 	n, clock := newRestoredNode(t)
 	whole := inventory.Snapshot{Revision: thirdEra, Instances: []inventory.Instance{{ID: "i-1", Service: "s", Version: "v1"}}}
-	n.OnStoreUpdate(peer.StoreUpdate{Whole: &whole, List: thirdEra, Doubted: doubtTime})
+	n.OnStoreUpdate(peer.StoreUpdate{Whole: &whole, List: thirdEra, Doubted: missingEntryGrace})
 	require.Equal(t, int64(2), n.store.Era())
 	require.Len(t, n.table.Usable("s"), 2)
-	clock.Advance(doubtTime + time.Millisecond)
+	clock.Advance(missingEntryGrace + time.Millisecond)
 	n.table.Expire()
 	require.Len(t, n.table.Usable("s"), 1)
 }
 
 // Guards against a copy that undoes what the operator has ordered, for as long as the
 // operator may still write it again, and against one that never counts.
-func TestCopyUndoesNoOrders(t *testing.T) {
+func TestRestoredCopyDoesNotUndoOrders(t *testing.T) {
 	n, clock := newRestoredNode(t)
 	n.store.NoteRevision(thirdEra)
-	require.True(t, n.isSettling())
+	require.True(t, n.storeMayBeStale())
 	older := shift.Order{ID: thirdEra, Era: 2, Service: "s", To: "v1", Allowed: time.Minute}
 	read := platform.OperatorNews{Whole: true, Revision: thirdEra, Orders: []shift.Order{older}}
 	require.Empty(t, n.withoutStale(read).Orders)
-	n.takeEvacuations(read)
+	n.applyEvacuations(read)
 	require.Len(t, n.evacuations.InForce(), 1)
-	require.False(t, n.settling.takeOperatorDue(clock.Now()))
+	require.False(t, n.staleWindow.takeOperatorDue(clock.Now()))
 
-	clock.Advance(restoreTime)
-	require.True(t, n.settling.takeOperatorDue(clock.Now()))
-	require.False(t, n.settling.takeOperatorDue(clock.Now()), "once")
+	clock.Advance(staleAfterRestore)
+	require.True(t, n.staleWindow.takeOperatorDue(clock.Now()))
+	require.False(t, n.staleWindow.takeOperatorDue(clock.Now()), "once")
 	require.Len(t, n.withoutStale(read).Orders, 1)
-	n.takeEvacuations(read)
+	n.applyEvacuations(read)
 	require.Empty(t, n.evacuations.InForce())
 }
 
 // Guards against an order of the new era that waits until the copy has settled.
-func TestOrdersOfTheNewEraCountAtOnce(t *testing.T) {
+func TestOrdersOfTheNewEraApplyAtOnce(t *testing.T) {
 	n, _ := newRestoredNode(t)
 	n.store.NoteRevision(thirdEra)
-	n.takeEvacuations(platform.OperatorNews{Revision: thirdEra + 1, Evacuations: []evacuation.Order{
+	n.applyEvacuations(platform.OperatorNews{Revision: thirdEra + 1, Evacuations: []evacuation.Order{
 		{FailureDomain: "b", Revision: thirdEra + 1, Lifted: true}, {FailureDomain: "c", Revision: thirdEra + 1},
 	}})
 	inForce := n.evacuations.InForce()
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -43,14 +43,14 @@
 	if err := app.Start(context.Background()); err != nil {
 		return trace.Wrap(err)
 	}
-	node.followSettings(path, f, signals, hangups)
+	node.watchSettings(path, f, signals, hangups)
 	ctx, cancel := context.WithTimeout(context.Background(), app.StopTimeout())
 	defer cancel()
 	return trace.NewAggregate(app.Stop(ctx), flush(ctx))
 }
 
 // followSettings reloads the settings until a signal to stop.
-func (n *Node) followSettings(path string, f settings.RoutesFile, stop, hangups <-chan os.Signal) {
+func (n *Node) watchSettings(path string, f settings.RoutesFile, stop, hangups <-chan os.Signal) {
 	for {
 		select {
 		case <-stop:
--- a/internal/entry/spread_test.go
+++ b/internal/entry/spread_test.go
@@ -13,16 +13,16 @@
 )
 
 // fleet is daemons that exchange heartbeats in memory, a round at a time.
-type fleet struct {
+type testFleet struct {
 	clock     *clockwork.FakeClock
 	nodes     []*Node
 	byAddress map[string]*Node
 	// lists counts the times that all daemons were sent.
-	lists int
+	memberLists int
 }
 
-func newFleet(size int) *fleet {
-	f := &fleet{clock: clockwork.NewFakeClock(), byAddress: map[string]*Node{}}
+func newTestFleet(size int) *testFleet {
+	f := &testFleet{clock: clockwork.NewFakeClock(), byAddress: map[string]*Node{}}
 	for i := range size {
 		address := fmt.Sprint("10.0.0.", i, ":1")
 		n := newTestNode(f.clock, func(r *settings.Routes) {
@@ -35,36 +35,36 @@
 }
 
 // round lets every daemon send its heartbeats.
-func (f *fleet) round() {
+func (f *testFleet) round() {
 	for _, n := range f.nodes {
 		var addresses []string
 		for _, d := range n.registry.HeartbeatTargets() {
 			addresses = append(addresses, d.PeerAddress)
 		}
-		for _, address := range append(addresses, n.unknown(*n.seeds.Load())...) {
-			f.beat(n, f.byAddress[address])
+		for _, address := range append(addresses, n.unknownAddresses(*n.seeds.Load())...) {
+			f.sendHeartbeat(n, f.byAddress[address])
 		}
 	}
-	f.clock.Advance(beatInterval)
+	f.clock.Advance(heartbeatInterval)
 }
 
-func (f *fleet) beat(from, to *Node) {
-	mine := from.beliefs()
+func (f *testFleet) sendHeartbeat(from, to *Node) {
+	mine := from.heartbeat()
 	reply := to.OnHeartbeat(mine)
-	from.heard(reply)
-	ask, lacking := from.lacks(reply, mine)
+	from.applyHeartbeat(reply)
+	ask, lacking := from.missingFrom(reply, mine)
 	if !lacking {
 		return
 	}
 	if ask.Members {
-		f.lists++
+		f.memberLists++
 	}
 	b := to.OnSync(peer.SyncRequest{Config: ask.Config, Members: ask.Members, Instances: ask.Instances, List: ask.List})
 	from.registry.Merge(b.Members)
 }
 
 // until runs rounds until all daemons see something, and returns how many.
-func (f *fleet) until(t *testing.T, most int, seen func(n *Node) bool) int {
+func (f *testFleet) runUntil(t *testing.T, most int, seen func(n *Node) bool) int {
 	t.Helper()
 	for round := 1; round <= most; round++ {
 		f.round()
@@ -85,23 +85,23 @@
 // stops as planned, all leave it out of what callers are told within a second, in
 // two rounds beyond its own, though news is passed on less often than would do by
 // itself.
-func TestNewsReachesALargeFleet(t *testing.T) {
+func TestMembershipReachesALargeFleet(t *testing.T) {
 	const size = 88
-	f := newFleet(size)
-	f.until(t, 12, func(n *Node) bool { return len(n.registry.Live()) == size })
+	f := newTestFleet(size)
+	f.runUntil(t, 12, func(n *Node) bool { return len(n.registry.Live()) == size })
 	for range 10 {
 		f.round()
 	}
-	require.Less(t, f.lists, 3*size)
-	lists := f.lists
+	require.Less(t, f.memberLists, 3*size)
+	lists := f.memberLists
 	gone := f.nodes[5].registry.Self().Incarnation
 	f.nodes[5].registry.SetSelf(func(d *member.Daemon) {
 		d.State = member.Leaving
 		d.Version++
 	})
-	f.until(t, 4, func(n *Node) bool {
+	f.runUntil(t, 4, func(n *Node) bool {
 		d, _ := n.registry.Get(gone)
 		return d.State == member.Leaving
 	})
-	require.Less(t, f.lists-lists, size/10, "news tells it to nearly all")
+	require.Less(t, f.memberLists-lists, size/10, "news tells it to nearly all")
 }
--- a/internal/entry/work.go
+++ b/internal/entry/work.go
@@ -19,16 +19,16 @@
 	workInterval = 100 * time.Millisecond
 	// workPerInstance is the least time between two rounds for each instance told of:
 	// at some 7 bytes each, a daemon of a large fleet gets 7 kB a second.
-	workPerInstance = 1 * time.Millisecond
+	workIntervalPerInstance = 1 * time.Millisecond
 	// domainTime is how long the sum of another failure domain is relied on.
-	domainTime = 4 * time.Second
+	domainWorkTTL = 4 * time.Second
 	// readingsPerSecond bounds the readings that each daemon is told of: 3 kB a second
 	// at 8 bytes each, whatever the size of the fleet. Daemons whose callers ask for more
 	// than that in a second place the rest by what they sent themselves.
-	readingsPerSecond = 375
+	prefixesPerSecond = 375
 	// maxUntold bounds the readings that wait to be told: some seconds of them. Older
 	// ones are told no more, since what an engine read lately it most likely keeps.
-	maxUntold = 4 * readingsPerSecond
+	maxPendingPrefixes = 4 * prefixesPerSecond
 )
 
 // workSums add up what daemons have under way at upstream instances, and collect
@@ -37,39 +37,39 @@
 // request or two in a minute.
 //
 // Lock order: mu is taken alone.
-type workSums struct {
+type workTotals struct {
 	mu      sync.Mutex
 	group   *inventory.WorkSum
-	domains map[string]domainSum
+	domains map[string]domainWork
 	// forGroup and forDomains are readings that were not told to them yet.
-	forGroup, forDomains []inventory.CachedPrefix
+	pendingForGroup, pendingForDomains []inventory.CachedPrefix
 }
 
-type domainSum struct {
+type domainWork struct {
 	work inventory.Work
 	at   time.Time
 }
 
-func newWorkSums() *workSums {
-	return &workSums{group: inventory.NewWorkSum(), domains: map[string]domainSum{}}
+func newWorkTotals() *workTotals {
+	return &workTotals{group: inventory.NewWorkSum(), domains: map[string]domainWork{}}
 }
 
 // add takes in the work of a daemon of the group.
-func (w *workSums) add(own peer.DaemonWork, now time.Time) {
+func (w *workTotals) add(own peer.DaemonWork, now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.group.Add(own.Incarnation, peer.UnpackWork(own.Amounts), now)
 	read := peer.UnpackReadings(own.Readings)
-	w.forGroup = newest(append(w.forGroup, read...), maxUntold)
-	w.forDomains = newest(append(w.forDomains, read...), maxUntold)
+	w.pendingForGroup = newest(append(w.pendingForGroup, read...), maxPendingPrefixes)
+	w.pendingForDomains = newest(append(w.pendingForDomains, read...), maxPendingPrefixes)
 }
 
 // addDomain takes in the work of another failure domain.
-func (w *workSums) addDomain(d peer.DomainWork, now time.Time) {
+func (w *workTotals) addDomain(d peer.DomainWork, now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.domains[d.Domain] = domainSum{work: peer.UnpackWork(d.Amounts), at: now}
-	w.forGroup = newest(append(w.forGroup, peer.UnpackReadings(d.Readings)...), maxUntold)
+	w.domains[d.Domain] = domainWork{work: peer.UnpackWork(d.Amounts), at: now}
+	w.pendingForGroup = newest(append(w.pendingForGroup, peer.UnpackReadings(d.Readings)...), maxPendingPrefixes)
 }
 
 // newest returns the last n readings, or all if there are fewer.
@@ -78,38 +78,38 @@
 }
 
 // split takes the last n readings off and returns them and the rest.
-func split(all []inventory.CachedPrefix, n int) (taken, rest []inventory.CachedPrefix) {
+func takeNewest(all []inventory.CachedPrefix, n int) (taken, rest []inventory.CachedPrefix) {
 	at := max(len(all)-n, 0)
 	return all[at:], all[:at:at]
 }
 
 // readingsIn is how many readings may be told after some time without.
-func readingsIn(pause time.Duration) int { return int(readingsPerSecond * pause.Seconds()) }
+func prefixesIn(pause time.Duration) int { return int(prefixesPerSecond * pause.Seconds()) }
 
 // tellGroup returns the sum over all groups, and at most some readings to tell.
-func (w *workSums) tellGroup(now time.Time, most int) (inventory.Work, []inventory.CachedPrefix) {
+func (w *workTotals) fleetWork(now time.Time, most int) (inventory.Work, []inventory.CachedPrefix) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	out := w.group.Total(now)
 	for _, d := range w.domains {
-		if now.Sub(d.at) > domainTime {
+		if now.Sub(d.at) > domainWorkTTL {
 			continue
 		}
 		for instance, amount := range d.work {
 			out.Add(instance, amount)
 		}
 	}
-	read, rest := split(w.forGroup, most)
-	w.forGroup = rest
+	read, rest := takeNewest(w.pendingForGroup, most)
+	w.pendingForGroup = rest
 	return out, read
 }
 
 // tellDomains returns the sum of this group, and at most some readings to tell others.
-func (w *workSums) tellDomains(now time.Time, most int) (inventory.Work, []inventory.CachedPrefix) {
+func (w *workTotals) groupWork(now time.Time, most int) (inventory.Work, []inventory.CachedPrefix) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	read, rest := split(w.forDomains, most)
-	w.forDomains = rest
+	read, rest := takeNewest(w.pendingForDomains, most)
+	w.pendingForDomains = rest
 	return w.group.Total(now), read
 }
 
@@ -117,46 +117,46 @@
 // its group's readers.
 func (n *Node) workLoop(ctx context.Context) {
 	pause := workInterval
-	for n.pause(ctx, pause) {
+	for n.sleep(ctx, pause) {
 		first := n.readers(1, n.workGroup())
 		if len(first) == 0 || first[0].Incarnation != n.registry.Self().Incarnation {
 			continue
 		}
-		pause = workPause(n.tellWork(ctx, readingsIn(pause)))
-		if len(n.registry.Live()) > wholeWork {
-			n.tellDomainWork(ctx, readingsIn(pause))
+		pause = workRoundInterval(n.sendFleetWork(ctx, prefixesIn(pause)))
+		if len(n.registry.Live()) > maxFleetWorkGroup {
+			n.sendDomainWork(ctx, prefixesIn(pause))
 		}
 	}
 }
 
 // workPause is the time to the next round after one that told of some instances.
-func workPause(instances int) time.Duration {
-	return max(workInterval, time.Duration(instances)*workPerInstance)
+func workRoundInterval(instances int) time.Duration {
+	return max(workInterval, time.Duration(instances)*workIntervalPerInstance)
 }
 
 // tellWork tells the group what all daemons have under way and at most some readings,
 // and collects what each of them has. It returns the number of instances told of.
-func (n *Node) tellWork(ctx context.Context, readings int) int {
-	n.work.add(n.ownWork(), n.clock.Now())
-	work, read := n.work.tellGroup(n.clock.Now(), readings)
+func (n *Node) sendFleetWork(ctx context.Context, readings int) int {
+	n.workTotals.add(n.ownWork(), n.clock.Now())
+	work, read := n.workTotals.fleetWork(n.clock.Now(), readings)
 	n.table.SetFleetWork(work)
-	n.prompts.Merge(read)
+	n.prefixes.Merge(read)
 	told := peer.FleetWork{Amounts: peer.PackWork(work), Readings: peer.PackReadings(read)}
-	n.callEach(ctx, beatTimeout, n.others(n.workGroup()), func(call context.Context, address string) {
+	n.callEach(ctx, peerCallTimeout, n.otherDaemons(n.workGroup()), func(call context.Context, address string) {
 		own, err := n.peers.SendFleetWork(call, address, told)
 		if err != nil {
 			slog.Debug("work.not_told", "peer", address, "error", err)
 			return
 		}
-		n.work.add(own, n.clock.Now())
+		n.workTotals.add(own, n.clock.Now())
 	})
 	return len(work)
 }
 
 // tellDomainWork tells the readers of other groups the sum of this one, and at most
 // some readings.
-func (n *Node) tellDomainWork(ctx context.Context, readings int) {
-	work, read := n.work.tellDomains(n.clock.Now(), readings)
+func (n *Node) sendDomainWork(ctx context.Context, readings int) {
+	work, read := n.workTotals.groupWork(n.clock.Now(), readings)
 	mine := peer.DomainWork{
 		Domain: n.settings.FailureDomain, Amounts: peer.PackWork(work), Readings: peer.PackReadings(read),
 	}
@@ -166,7 +166,7 @@
 			readers = append(readers, n.readers(1, inDomain(domain))...)
 		}
 	}
-	n.callEach(ctx, beatTimeout, readers, func(call context.Context, address string) {
+	n.callEach(ctx, peerCallTimeout, readers, func(call context.Context, address string) {
 		if err := n.peers.SendDomainWork(call, address, mine); err != nil {
 			slog.Debug("work.not_told", "peer", address, "error", err)
 		}
@@ -180,16 +180,16 @@
 func (n *Node) ownWork() peer.DaemonWork {
 	return peer.DaemonWork{
 		Incarnation: n.registry.Self().Incarnation,
-		Amounts:     peer.PackWork(n.table.OwnWork()), Readings: peer.PackReadings(n.prompts.TakePending()),
+		Amounts:     peer.PackWork(n.table.OwnWork()), Readings: peer.PackReadings(n.prefixes.TakePending()),
 	}
 }
 
 // OnGroupWork implements peer.RoutesHandler.
 func (n *Node) OnFleetWork(w peer.FleetWork) peer.DaemonWork {
 	n.table.SetFleetWork(peer.UnpackWork(w.Amounts))
-	n.prompts.Merge(peer.UnpackReadings(w.Readings))
+	n.prefixes.Merge(peer.UnpackReadings(w.Readings))
 	return n.ownWork()
 }
 
 // OnDomainWork implements peer.RoutesHandler.
-func (n *Node) OnDomainWork(w peer.DomainWork) { n.work.addDomain(w, n.clock.Now()) }
+func (n *Node) OnDomainWork(w peer.DomainWork) { n.workTotals.addDomain(w, n.clock.Now()) }
--- a/internal/entry/work_test.go
+++ b/internal/entry/work_test.go
@@ -14,9 +14,9 @@
 // A reader hears what its group and another failure domain have under way, and which
 // prompts they sent. It tells each group the sum, each prompt once, and forgets a
 // domain from which nothing came for some time.
-func TestWorkOfGroupsIsAddedUp(t *testing.T) {
+func TestWorkTotalsAddAllGroups(t *testing.T) {
 	now := time.Now()
-	w := newWorkSums()
+	w := newWorkTotals()
 	one, two := inventory.CachedPrefix{Key: 1, Instance: 5}, inventory.CachedPrefix{Key: 2, Instance: 5}
 	own := peer.DaemonWork{
 		Incarnation: "a", Amounts: peer.PackWork(inventory.Work{5: {Waiting: 1000, Open: 1}}),
@@ -27,53 +27,53 @@
 		Domain: "far", Amounts: peer.PackWork(inventory.Work{5: {Waiting: 500, Open: 2}}),
 		Readings: peer.PackReadings([]inventory.CachedPrefix{two}),
 	}, now)
-	work, read := w.tellGroup(now, 10)
+	work, read := w.fleetWork(now, 10)
 	require.Equal(t, inventory.Work{5: {Waiting: 1500, Open: 3}}, work)
 	require.Equal(t, []inventory.CachedPrefix{one, two}, read)
-	_, read = w.tellGroup(now, 10)
+	_, read = w.fleetWork(now, 10)
 	require.Empty(t, read)
-	work, read = w.tellDomains(now, 10)
+	work, read = w.groupWork(now, 10)
 	require.Equal(t, inventory.Work{5: {Waiting: 1000, Open: 1}}, work, "only this group's own")
 	require.Equal(t, []inventory.CachedPrefix{one}, read, "what another domain told is not told back")
 
-	later := now.Add(domainTime + time.Second)
+	later := now.Add(domainWorkTTL + time.Second)
 	w.add(own, later)
-	work, _ = w.tellGroup(later, 10)
+	work, _ = w.fleetWork(later, 10)
 	require.Equal(t, 1, work[5].Open)
 }
 
 // Callers ask for more prompts than daemons can tell each other of. The newest are told
 // first, the others later, and what has waited for seconds no more.
-func TestReadingsWaitTheirTurn(t *testing.T) {
-	w := newWorkSums()
+func TestPendingPrefixesAreSentNewestFirst(t *testing.T) {
+	w := newWorkTotals()
 	var all []inventory.CachedPrefix
-	for key := range inventory.PrefixHash(maxUntold + 100) {
+	for key := range inventory.PrefixHash(maxPendingPrefixes + 100) {
 		all = append(all, inventory.CachedPrefix{Key: key, Instance: 5})
 	}
 	w.add(peer.DaemonWork{Incarnation: "a", Readings: peer.PackReadings(all)}, time.Now())
-	_, read := w.tellGroup(time.Now(), 40)
+	_, read := w.fleetWork(time.Now(), 40)
 	require.Equal(t, all[len(all)-40:], read)
-	_, read = w.tellGroup(time.Now(), maxUntold)
+	_, read = w.fleetWork(time.Now(), maxPendingPrefixes)
 	require.Equal(t, all[100:len(all)-40], read)
-	_, read = w.tellGroup(time.Now(), maxUntold)
+	_, read = w.fleetWork(time.Now(), maxPendingPrefixes)
 	require.Empty(t, read)
 }
 
 // News of work takes the same bytes a second however many instances there are.
-func TestRoundsOfWorkFollowTheSize(t *testing.T) {
-	require.Equal(t, workInterval, workPause(0))
-	require.Equal(t, workInterval, workPause(36))
-	require.Equal(t, 10*time.Second, workPause(10_000))
+func TestWorkRoundIntervalGrowsWithInstances(t *testing.T) {
+	require.Equal(t, workInterval, workRoundInterval(0))
+	require.Equal(t, workInterval, workRoundInterval(36))
+	require.Equal(t, 10*time.Second, workRoundInterval(10_000))
 }
 
 // A daemon that is told the work of all answers with its own, and with the prompts
 // that it sent since it was asked last.
-func TestDaemonsTellTheirWork(t *testing.T) {
+func TestFleetWorkReplyHasOwnWork(t *testing.T) {
 	n := newFleetNode(t, clockwork.NewFakeClock())
-	n.know()
+	n.setKnownState()
 	i := inventory.Instance{ID: "i", Service: "s"}
 	n.table.Begin(i, 500)
-	n.prompts.NoteSent(i, []inventory.Prefix{{Key: 7, Work: 1000}})
+	n.prefixes.NoteSent(i, []inventory.Prefix{{Key: 7, Work: 1000}})
 	told := peer.FleetWork{
 		Amounts:  peer.PackWork(inventory.Work{i.Hash(): {Waiting: 2000, Open: 3}}),
 		Readings: peer.PackReadings([]inventory.CachedPrefix{{Key: 9, Instance: i.Hash()}}),
@@ -82,6 +82,6 @@
 	require.Equal(t, inventory.Work{i.Hash(): {Waiting: 500, Open: 1}}, peer.UnpackWork(own.Amounts))
 	require.Equal(t, []inventory.CachedPrefix{{Key: 7, Instance: i.Hash()}}, peer.UnpackReadings(own.Readings))
 	require.Empty(t, n.OnFleetWork(told).Readings)
-	require.Equal(t, 1, n.prompts.CachedCount(i.Hash(), []inventory.Prefix{{Key: 9}}))
+	require.Equal(t, 1, n.prefixes.CachedCount(i.Hash(), []inventory.Prefix{{Key: 9}}))
 	require.InDelta(t, 2000, n.table.Usable("s")[0].Waiting, 0.01)
 }
