--- a/internal/entry/crashes.go
+++ b/internal/entry/crashes.go
@@ -14,46 +14,47 @@
 )
 
 const (
-	// lookAgain is when an instance whose connections broke is looked at a second time:
-	// a process that ends closes its sockets one after the other, the one it listens at
-	// among them.
+	// secondProbeDelay is the time between the two probes of an instance whose connections
+	// broke. A process that exits closes its sockets one after the other, the listening socket
+	// among them, so the first probe may still succeed.
 	secondProbeDelay = 40 * time.Millisecond
-	// keptReports and maxReports bound the crashes that a daemon can still tell of: to
-	// judges that were chosen since, or have missed it.
+	// reportTTL and maxReports limit the crash reports that a daemon keeps, for judges that
+	// have been chosen since or have missed a report.
 	reportTTL  = quarantine.EvidenceTTL
 	maxReports = 256
-	// judgeDuty names the order in which daemons are chosen to judge.
+	// judgeRankKey is the key of the rendezvous order in which judges are chosen.
 	judgeRankKey = "judge"
-	// judgeCount is two, so that the loss of one is not noticed.
+	// judgeCount is two, so that the failure of one judge has no effect.
 	judgeCount = 2
 )
 
-// crashes finds out which instances have ended under requests of this daemon, and tells
-// the judges.
+// crashReporter detects which instances have crashed under requests of this daemon and reports
+// them to the judges, the daemons that decide which requests to quarantine.
 //
-// Lock order: mu is taken alone.
+// Lock order: no other lock is taken while mu is held.
 type crashReporter struct {
 	*Node
-	// news is signalled when there is something to tell.
+	// pending is signalled when there is something to report.
 	pending chan struct{}
 
 	mu sync.Mutex
-	// broken are instances whose connections broke, until they have been looked at.
+	// broken are the requests whose connections to an instance broke, until the instance has
+	// been probed.
 	broken  map[inventory.InstanceHash][]quarantine.Suspect
 	reports []*report
-	// waiting are requests whose next attempt waits for what is decided.
+	// waiting are the requests whose next attempt waits for a decision.
 	waiting map[quarantine.Digest][]chan struct{}
-	// telling are the judges that are being told, by incarnation.
+	// reporting has the incarnations of the judges to which a report is being sent.
 	reporting  map[string]bool
 	endedCount int64
 }
 
-// report is an instance that ended.
+// report is the report of an instance that ended.
 type report struct {
 	instance inventory.Instance
 	at       time.Time
 	suspects []quarantine.Suspect
-	// told has the number of suspects that a judge was told of, by incarnation.
+	// sent is the number of suspects already reported to each judge, by incarnation.
 	sent map[string]int
 }
 
@@ -91,7 +92,7 @@
 	return c.reportOf(i) != nil
 }
 
-// goOn lets the next attempts of some requests begin.
+// resumeWaiting allows the next attempts of the given requests.
 func (c *crashReporter) resumeWaiting(all []quarantine.Digest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -103,7 +104,7 @@
 	}
 }
 
-// report returns what is known of the end of an instance. The lock is held.
+// reportOf returns the report of an instance that ended, or nil. The caller holds mu.
 func (c *crashReporter) reportOf(i inventory.Instance) *report {
 	for _, r := range c.reports {
 		if r.instance.ID == i.ID && r.instance.Born == i.Born {
@@ -113,8 +114,8 @@
 	return nil
 }
 
-// examine looks whether an instance whose connections broke has ended. One that was
-// leaving ends as planned, whatever is under way there.
+// probe checks whether an instance whose connections broke has ended. The end of an instance
+// that was leaving is planned and not reported.
 func (c *crashReporter) probe(i inventory.Instance) {
 	at := c.clock.Now()
 	ended := c.pool.Ended(context.Background(), i.Address)
@@ -137,14 +138,14 @@
 	slog.Warn("instance.ended", "instance", i.ID, "address", i.Address, "version", i.Version, "requests", len(suspects))
 }
 
-// suspects returns the requests whose connections to an instance broke.
+// brokenSuspects returns the requests whose connections to an instance broke.
 func (c *crashReporter) brokenSuspects(i inventory.Instance) []quarantine.Digest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return quarantine.Digests(c.broken[i.Hash()])
 }
 
-// looked ends the look at an instance and returns the requests whose connections broke.
+// takeBroken returns and removes the requests whose connections to an instance broke.
 func (c *crashReporter) takeBroken(i inventory.Instance) []quarantine.Suspect {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -160,7 +161,7 @@
 	}
 }
 
-// recent returns the crashes of this daemon that are not older than within.
+// recent returns the crashes that this daemon detected within the given time.
 func (c *crashReporter) recent(within time.Duration) []quarantine.Crash {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -179,8 +180,8 @@
 	}
 }
 
-// tellLoop tells the judges what they do not know yet, each by itself: one that does not
-// answer must not keep the other from deciding.
+// reportLoop sends unsent reports to each judge in a goroutine of its own, so that a judge
+// that does not answer does not delay the decision of the other.
 func (c *crashReporter) reportLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
@@ -198,7 +199,8 @@
 	}
 }
 
-// beginTelling reports whether a judge is not being told yet, and notes that it is.
+// beginReporting marks that a report is being sent to a judge. It returns false if one already
+// is.
 func (c *crashReporter) beginReporting(judge member.Daemon) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -209,7 +211,8 @@
 	return true
 }
 
-// inform tells a judge all that it does not know, and what comes meanwhile.
+// reportAll sends all unsent suspects to a judge, including those that are added in the
+// meantime.
 func (c *crashReporter) reportAll(ctx context.Context, judge member.Daemon) {
 	answered := c.reportUnsent(ctx, judge)
 	c.mu.Lock()
@@ -220,7 +223,7 @@
 	}
 }
 
-// forget drops old reports. No attempt waits for what is decided of them any more.
+// dropExpired drops expired reports and lets the requests that wait for them continue.
 func (c *crashReporter) dropExpired() {
 	c.mu.Lock()
 	var over []quarantine.Digest
@@ -235,14 +238,16 @@
 	c.resumeWaiting(over)
 }
 
-// judges are the daemons that weigh the crashes of all.
+// judges returns the daemons that evaluate the crashes of the whole fleet.
 func (n *Node) judges() []member.Daemon {
 	return n.registry.TopRanked(judgeRankKey, judgeCount, func(member.Daemon) bool { return true })
 }
 
-// tellJudge tells a judge what it does not know. Requests that were on no other ended
-// instance go on at once; that they are many, and the one at fault is among them, is
-// found out by the next crash. It reports whether the judge knows all that there was.
+// reportUnsent sends to a judge what it does not have yet, and reports whether the judge now
+// has all of that.
+//
+// Requests that were on no other ended instance may continue at once. If one of them is the
+// culprit, the next crash shows it.
 func (c *crashReporter) reportUnsent(ctx context.Context, judge member.Daemon) bool {
 	told, counts := c.unsent(judge.Incarnation)
 	if len(told) == 0 {
@@ -270,8 +275,8 @@
 	return true
 }
 
-// untold returns what a judge has not been told, and how many suspects of each report it
-// then has.
+// unsent returns the crashes with suspects that were not sent to a judge yet, and the number
+// of suspects of each report after sending them.
 func (c *crashReporter) unsent(judge string) ([]quarantine.Crash, map[*report]int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/entry/duty.go
+++ b/internal/entry/duty.go
@@ -18,68 +18,70 @@
 )
 
 const (
-	// dutyInterval is the time between two looks at a roll-out. A bad version
-	// must be gone five seconds after its fiftieth bad answer.
+	// rolloutInterval is the interval at which the holder of a duty checks a roll-out. A bad
+	// version must be withdrawn within five seconds of its fiftieth bad answer.
 	rolloutInterval = 300 * time.Millisecond
-	// dutyCallTime is what a question to another daemon may take then: a hundred
-	// times the way between failure domains. While a daemon is frozen each look takes
-	// all of it, and little time is left after all sessions have moved.
+	// rolloutCallTimeout limits the calls to other daemons in such a check. It is a hundred
+	// times the latency between failure domains. A check takes the whole timeout while a
+	// daemon is frozen, and little time is left once all sessions have moved.
 	rolloutCallTimeout = 150 * time.Millisecond
-	// leaseTime is how long a daemon keeps the duty without renewing it, and
-	// renewInterval how often it does.
+	// leaseTTL is how long a lease is valid without renewal, and leaseRenewInterval how often
+	// it is renewed.
 	leaseTTL           = 4 * time.Second
 	leaseRenewInterval = 1 * time.Second
-	// holderSilence is how long no holder must have been heard of before a
-	// daemon that is not next in line tries for the duty.
+	// holderTimeout is how long no holder must have been seen before a daemon that does not
+	// rank first tries to take the duty.
 	holderTimeout = 2500 * time.Millisecond
-	// takers is how many daemons, the next in line, try for the duty then. The
-	// others wait for as long again as one of these needs to take it, so that
-	// not all daemons ask for the lease of a holder that the store turns away.
+	// takeoverCandidates is how many daemons, by rank, try to take the duty after
+	// holderTimeout. The others wait until one of these has had the time to do so
+	// (lastTakeoverTimeout); otherwise all daemons would request the lease when the store
+	// rejects its holder.
 	takeoverCandidates  = 6
 	lastTakeoverTimeout = holderTimeout + leaseTTL + leaseRenewInterval
 	rolloutStatePrefix  = "shift/"
 )
 
-// duty is one service's roll-out as this daemon takes part in it.
+// rolloutDuty is this daemon's part in the roll-out of one service. The duty of a roll-out is
+// to decide about its steps; the daemon with the lease holds it.
 type rolloutDuty struct {
 	lease *lease.Lease
-	// began is when this daemon first looked at the roll-out.
+	// firstSeen is when this daemon first processed the roll-out.
 	firstSeen time.Time
-	// renewed is when the lease was last tried for.
+	// renewedAt is when this daemon last tried to get or renew the lease.
 	renewedAt time.Time
-	// loaded is set once the stored state was read under the present lease.
+	// loaded is set once the stored state has been read under the current lease.
 	loaded bool
-	// revision is that of the stored state, and step its step.
+	// revision is the revision of the stored state, and step its step.
 	revision int64
 	step     int
-	// told is the last phase that the operator was told.
+	// reportedPhase is the last phase that was reported to the operator.
 	reportedPhase shift.Phase
-	// order is the order that the above is about, and era that of the store.
+	// order is the ID of the order to which the other fields belong, and era the era of the
+	// store.
 	order int64
 	era   int64
-	// tally is what daemons have seen, as far as this one has heard. stored is
-	// the sum that the last holder stored, resumed is set once it is in the
-	// tally, and seenAt is when this daemon last stored it.
+	// tally adds up the evidence that this daemon has collected. storedTotals are the totals
+	// that the previous holder stored; resumed is set once they are part of the tally.
+	// totalsStoredAt is when this daemon last stored the totals.
 	tally          *shift.Tally
 	storedTotals   shift.Totals
 	resumed        bool
 	totalsStoredAt time.Time
-	// guarded is when this daemon last looked at the evidence without holding
-	// the duty.
+	// guardedAt is when this daemon last checked the evidence without holding the duty.
 	guardedAt time.Time
 }
 
-// duties moves services to new versions when it is this daemon's turn.
+// rolloutDuties moves services to new versions while this daemon holds the duty.
 //
-// Lock order: mu is taken alone.
+// Lock order: no other lock is taken while mu is held.
 type rolloutDuties struct {
 	*Node
-	// table is the store, reached through peers if need be.
+	// table is the store, accessed through peers if necessary.
 	table *relayedTable
 
 	mu            sync.Mutex
 	holderContact map[string]time.Time
-	// byService is used by run only.
+	// byService is only used by run.
 	byService map[string]*rolloutDuty
 }
 
@@ -118,15 +120,15 @@
 	}
 }
 
-// finishAll gives all duties up: this daemon is leaving. The next in line takes
-// them at once instead of after the life of the lease, four seconds.
+// releaseAll gives up all duties because this daemon is leaving. The next daemon then takes
+// them at once instead of after leaseTTL.
 func (d *rolloutDuties) releaseAll(ctx context.Context) {
 	for service, one := range d.byService {
 		d.release(ctx, service, one)
 	}
 }
 
-// finish gives a duty up once its roll-out has ended.
+// release gives up the duty of a roll-out, when it has ended or this daemon is leaving.
 func (d *rolloutDuties) release(ctx context.Context, service string, one *rolloutDuty) {
 	delete(d.byService, service)
 	if err := one.lease.Release(ctx); err != nil {
@@ -134,7 +136,7 @@
 	}
 }
 
-// look does what is due for one roll-out.
+// process performs what is due for one roll-out.
 func (d *rolloutDuties) process(ctx context.Context, active shift.UnfinishedRollout) {
 	service := active.Order.Service
 	one, ok := d.byService[service]
@@ -143,7 +145,7 @@
 		d.byService[service] = one
 	}
 	if era := d.store.Era(); one.era != era {
-		// The lease, the state and what the operator was told may be lost.
+		// The restored store may lack the lease, the state and the reported status.
 		one.era, one.loaded, one.reportedPhase, one.renewedAt = era, false, "", time.Time{}
 	}
 	if !d.holdLease(ctx, service, one) {
@@ -153,7 +155,7 @@
 	if !one.loaded && !d.loadState(ctx, one, active) {
 		return
 	}
-	// What was read may have brought a newer state and the time of the order.
+	// loadState may have brought a newer state and the age of the order.
 	running := d.rollouts.Unfinished()
 	now := slices.IndexFunc(running, func(a shift.UnfinishedRollout) bool { return a.Order.Service == service })
 	if now >= 0 {
@@ -171,7 +173,7 @@
 	return one
 }
 
-// vacant reports whether the duty's holder has been silent for so long that this
+// holderSilent reports whether the holder of the duty has been silent for so long that this
 // daemon should act in its place.
 func (d *rolloutDuties) holderSilent(service string, one *rolloutDuty) bool {
 	heard := d.lastHolderContact(service)
@@ -181,8 +183,7 @@
 	return d.clock.Since(heard) > d.takeOverAfter(service)
 }
 
-// mine reports whether this daemon holds the duty, and tries for it when it is
-// its turn.
+// holdLease reports whether this daemon holds the duty. It takes or renews the lease if due.
 func (d *rolloutDuties) holdLease(ctx context.Context, service string, one *rolloutDuty) bool {
 	now := d.clock.Now()
 	inLine := d.registry.RanksFirst("shift/"+service) || d.holderSilent(service, one)
@@ -205,8 +206,8 @@
 	return held
 }
 
-// takeOverAfter is how long the holder of a duty must be silent before this daemon
-// tries for it.
+// takeOverAfter returns how long the holder of a duty must be silent before this daemon tries
+// to take it.
 func (d *rolloutDuties) takeOverAfter(service string) time.Duration {
 	own := d.registry.Self().Incarnation
 	next := d.registry.TopRanked("duty/shift/"+service, takeoverCandidates, func(member.Daemon) bool { return true })
@@ -216,7 +217,7 @@
 	return lastTakeoverTimeout
 }
 
-// load reads the stored state, from which a new holder goes on.
+// loadState reads the stored state, from which a new holder continues.
 func (d *rolloutDuties) loadState(ctx context.Context, one *rolloutDuty, active shift.UnfinishedRollout) bool {
 	row, err := d.table.Get(ctx, rolloutStatePrefix+active.Order.Service)
 	switch {
@@ -242,8 +243,8 @@
 	return true
 }
 
-// decide looks at the evidence of all daemons, and writes and spreads what
-// follows from it.
+// decide evaluates the evidence of all daemons, then stores and broadcasts the resulting
+// states.
 func (d *rolloutDuties) decide(ctx context.Context, one *rolloutDuty, active shift.UnfinishedRollout) {
 	order, state, began := active.Order, active.State, d.clock.Now()
 	known, missing := d.collectEvidence(ctx, one, order)
@@ -253,12 +254,11 @@
 		seen := one.tally.Totals()
 		known.Fresh, known.Old = seen.Fresh, seen.Old
 	}
-	// A live daemon that does not answer may still have requests at old
-	// instances.
+	// A live daemon that does not answer may still have requests on old instances.
 	known.OldInFlight += missing
 	for {
-		// Near the end of its time two steps may be due from one look: the next
-		// look, which waits for daemons that do not answer, would come late.
+		// Near the deadline two steps may be due in one check. The next check would be too
+		// late, since it waits for daemons that do not answer.
 		known.Elapsed = active.Elapsed + d.clock.Since(began)
 		next := shift.NextState(state, order, known, shift.ExposureLimit(d.settings.ExposureShare))
 		if next.Step == state.Step {
@@ -266,7 +266,7 @@
 		}
 		d.logDecision(one, order, next, known, missing)
 		if next.Phase == shift.RolledBack {
-			// Stopping a bad version does not wait for the store.
+			// A bad version is stopped before the state is stored.
 			d.broadcastState(ctx, next)
 		}
 		if !d.writeState(ctx, one, &next, known.Elapsed) {
@@ -287,11 +287,11 @@
 	d.conclude(ctx, one, order, state, known.Elapsed)
 }
 
-// conclude stores the state of a roll-out that has ended, tells the operator, and stores that
-// the operator has been told.
+// conclude stores the state of a roll-out that has ended, reports it to the operator, and
+// stores that it has been reported.
 //
-// In this order: told of what is not stored, the operator ends instances that daemons which
-// all start anew would still bring in.
+// The order matters: if the state were reported before it is stored, the operator could end
+// old instances although a restart of all daemons would continue the roll-out.
 func (d *rolloutDuties) conclude(ctx context.Context, one *rolloutDuty, order shift.Order, state shift.State, elapsed time.Duration) {
 	if one.step < state.Step && !d.writeState(ctx, one, &state, elapsed) {
 		return
@@ -312,7 +312,7 @@
 		"old", old.Requests, "old_bad", old.Bad, "pace", shift.PaceRatio(known.Fresh, known.Old), "old_in_flight", known.OldInFlight, "missing", missing, "fence", one.lease.Fence())
 }
 
-// write stores a state, with the time of its order.
+// writeState stores a state with the time of its order.
 func (d *rolloutDuties) writeState(ctx context.Context, one *rolloutDuty, next *shift.State, elapsed time.Duration) bool {
 	if now, ok := d.store.Clock(); ok && next.OrderedMS == 0 {
 		next.OrderedMS = now - elapsed.Milliseconds()
@@ -324,7 +324,8 @@
 	})
 	if err != nil {
 		slog.Warn("rollout.not_written", "service", next.Service, "step", next.Step, "error", err)
-		// What is stored now is not known; it is read before the next try.
+		// The write may or may not have been applied. The state is read again before the next
+		// attempt.
 		one.loaded = false
 		return false
 	}
@@ -343,12 +344,12 @@
 	return true
 }
 
-// evidence asks every live daemon what it has seen. missing is how many did not
-// answer.
+// collectEvidence asks every live daemon for its evidence. missing is the number of daemons
+// that did not answer.
 func (d *rolloutDuties) collectEvidence(ctx context.Context, one *rolloutDuty, order shift.Order) (known shift.DecisionInput, missing int) {
 	all := []shift.Evidence{d.ownEvidence(order.Service)}
 	var mu sync.Mutex
-	// Only its holder says that the duty has one.
+	// Only the holder may count as a sign that the duty has a holder.
 	ask := peer.EvidenceRequest{Service: order.Service, Holder: one.lease.Held()}
 	d.callPeers(ctx, func(call context.Context, address string) {
 		e, err := d.peers.Evidence(call, address, ask)
@@ -372,7 +373,7 @@
 	return e
 }
 
-// spread takes a state in and tells it to every live daemon.
+// broadcastState applies a state and sends it to every live daemon.
 func (d *rolloutDuties) broadcastState(ctx context.Context, s shift.State) {
 	d.applyRolloutState(s, "own")
 	d.callPeers(ctx, func(call context.Context, address string) {
--- a/internal/entry/evacuate.go
+++ b/internal/entry/evacuate.go
@@ -8,8 +8,8 @@
 	"github.com/hornbeamsill/hornbeamsill/platform"
 )
 
-// takeEvacuations takes in what was read of the operator's orders about failure domains,
-// and reports whether it is news.
+// applyEvacuations applies the evacuation orders of a read of the operator's rows and reports
+// whether the active evacuations changed.
 func (n *Node) applyEvacuations(news platform.OperatorNews) bool {
 	before := n.evacuations.Checksum()
 	switch {
@@ -23,8 +23,8 @@
 	return n.evacuations.Checksum() != before
 }
 
-// learnEvacuations takes in the orders about failure domains that a peer knows, which may
-// have them from an older copy of the store.
+// mergeEvacuations merges the evacuation orders of a peer, which may have them from an older
+// copy of the store.
 func (n *Node) mergeEvacuations(orders []evacuation.Order, source string) {
 	if n.storeMayBeStale() {
 		n.enforceEvacuations(n.evacuations.MergeStale(orders), source)
@@ -33,7 +33,7 @@
 	n.enforceEvacuations(n.evacuations.MergeAll(orders), source)
 }
 
-// evacuated puts orders about failure domains in force.
+// enforceEvacuations applies changed evacuation orders to the instance table.
 func (n *Node) enforceEvacuations(orders []evacuation.Order, source string) {
 	for _, o := range orders {
 		n.table.Evacuate(o.FailureDomain, !o.Lifted)
@@ -47,10 +47,11 @@
 	n.publishCallerURL()
 }
 
-// servable is the configuration in force once this daemon knows where it may send.
+// servableConfig returns the configuration in force once the evacuations are known, or else
+// nil.
 //
-// A daemon that knows the configuration and not the evacuations would send to a failure
-// domain that the operator has emptied.
+// With the configuration but without the evacuations, this daemon would send requests to a
+// failure domain that the operator has evacuated.
 func (n *Node) servableConfig() *catalog.Catalog {
 	if !n.evacuations.Loaded() {
 		return nil
--- a/internal/entry/guard.go
+++ b/internal/entry/guard.go
@@ -9,22 +9,22 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/shift"
 )
 
-// seenInterval is the time between two writes of what daemons have seen of a
-// roll-out, for the next holder. Each is a call to the store.
+// totalsWriteInterval is the interval at which the holder stores the totals of the evidence
+// for the next holder. Each write is a call to the store.
 const totalsWriteInterval = 1500 * time.Millisecond
 
-// guardInterval is the time between two looks of a daemon that does not hold the
-// duty: six do so in a fleet, and each asks all others.
+// guardInterval is the interval at which a daemon without the duty checks the evidence. Six
+// daemons of a fleet do so, and each asks all others.
 const guardInterval = 1 * time.Second
 
-// storedState is the row of a roll-out: its state, and what daemons had seen when
-// it was written.
+// storedState is the stored row of a roll-out: its state and the totals of the evidence at the
+// time of writing.
 type storedState struct {
 	shift.State
 	Seen shift.Totals `json:"seen"`
 }
 
-// seen is what was seen of an order; nothing of another one.
+// totalsFor returns the stored totals if they belong to the order, or else none.
 func (s storedState) totalsFor(order int64) shift.Totals {
 	if s.Order != order {
 		return shift.Totals{}
@@ -32,13 +32,14 @@
 	return s.Seen
 }
 
-// guard stops a bad version while nobody holds the duty.
+// stopIfRegressed stops a bad version while no daemon holds the duty.
 //
-// A holder was restarted while the store was away for eight seconds. Nobody could
-// take its lease for thirteen, and a version that failed a third of its requests
-// went on meanwhile: each daemon's own evidence was too thin to stop it. Stopping
-// needs no lease, since it can only lessen the damage; the daemons next in line
-// therefore add up the evidence of all, and tell all when it condemns the version.
+// If a holder restarts while the store is unavailable, no other daemon can take its lease
+// until the store is back and the lease has expired. In this time, thirteen seconds in an
+// outage of eight, a version that fails a third of its requests would go on: the evidence of
+// each single daemon is too little to stop it. Stopping needs no lease because it can only
+// limit the damage. The next daemons by rank therefore collect the evidence of all and
+// broadcast the stop if the version has regressed.
 func (d *rolloutDuties) stopIfRegressed(ctx context.Context, one *rolloutDuty, active shift.UnfinishedRollout) {
 	state := active.State
 	if state.Phase != shift.Running || state.Stopped || !d.holderSilent(active.Order.Service, one) ||
@@ -57,16 +58,16 @@
 	d.broadcastState(ctx, state)
 }
 
-// holderSeparator stands between the incarnation and the address of a lease's
-// holder. Neither contains it.
+// holderSeparator separates the incarnation and the address in the holder of a lease. Neither
+// contains it.
 const holderSeparator = "@"
 
-// holderName is what a daemon's lease says of it.
+// holderName is the holder of a lease as this daemon's incarnation and peer address.
 func holderName(incarnation, address string) string { return incarnation + holderSeparator + address }
 
-// holderGone reports whether the process of a lease's holder has certainly ended:
-// another one answers at its address. A holder that does not answer may be frozen or
-// cut off, and still hold the lease.
+// holderEnded reports whether the process that holds a lease has certainly ended: another
+// process answers at its address. A holder that does not answer may be frozen or cut off and
+// still hold the lease.
 func (d *rolloutDuties) holderEnded(ctx context.Context, holder string) bool {
 	incarnation, address, ok := strings.Cut(holder, holderSeparator)
 	if !ok {
--- a/internal/entry/module.go
+++ b/internal/entry/module.go
@@ -24,8 +24,8 @@
 	"github.com/hornbeamsill/hornbeamsill/platform"
 )
 
-// Module provides a Process and runs it between the start and stop of the app.
-// Settings are supplied from outside.
+// Module provides a Process and runs it from the start to the stop of the app. The settings
+// are supplied by the app.
 var Module = fx.Module("entry",
 	fx.Provide(
 		clockwork.NewRealClock,
@@ -41,19 +41,18 @@
 )
 
 const (
-	// entriesTTL is how long callers keep an answer of the directory. It is
-	// short, so that a daemon that stops is not used for long: callers keep
-	// one up to three times as long.
+	// entriesTTL is how long callers cache an answer of the directory. Callers use an answer
+	// for up to three times as long, so a short TTL keeps a stopped daemon from being used for
+	// long.
 	entriesTTL = 1 * time.Second
-	// servePart is the part of the time for a stop in which new requests are
-	// still taken: the three seconds for which callers may use an old answer
-	// of the directory, of eight.
+	// acceptFraction is the fraction of the stop time in which new requests are still
+	// accepted: of eight seconds, the three in which callers may use an old directory answer.
 	acceptFraction = 0.41
-	// finishPart is the part of the time for a stop after which the process
-	// ends, whatever still runs.
+	// stopFraction is the fraction of the stop time after which the process ends even if
+	// requests are still running.
 	stopFraction = 0.93
-	// memoryPart is the part of the memory at which the runtime collects
-	// harder.
+	// memoryLimitFraction is the fraction of the memory that is set as the soft limit of the
+	// Go runtime, above which garbage is collected more often.
 	memoryLimitFraction = 0.7
 )
 
@@ -111,7 +110,8 @@
 	return nil
 }
 
-// listenOther serves one of the small interfaces; no address is none.
+// listenAuxiliary serves one of the internal interfaces and returns its address. It does
+// nothing if address is empty.
 func (p *Process) listenAuxiliary(address string, handler http.Handler) (string, error) {
 	if address == "" {
 		return "", nil
@@ -125,7 +125,7 @@
 	return serve(server, l), nil
 }
 
-// listenCallers serves callers.
+// listenCallers serves callers and returns the address.
 func (p *Process) listenCallers() (string, error) {
 	l, err := net.Listen("tcp", p.settings.CallerListen)
 	if err != nil {
@@ -139,16 +139,16 @@
 }
 
 const (
-	// reservedDescriptors are kept for files and for peers.
+	// reservedDescriptors are reserved for files and peers.
 	reservedDescriptors = 300
-	// callerPart is the part of the rest for callers; each of their requests
-	// may need a connection to an upstream instance.
+	// callerFraction is the fraction of the other descriptors for callers' connections; each
+	// of their requests may need a connection to an upstream instance.
 	callerFraction = 0.6
 )
 
-// callerConnections is how many connections callers may have open at once; 0 is
-// no bound. Without it a flood of them would leave none for upstream instances
-// and the store, and what is being served would fail.
+// maxCallerConns returns how many connections callers may have open at once; 0 means no limit.
+// Without a limit a flood of connections would leave no descriptors for upstream instances and
+// the store, and requests in progress would fail.
 func maxCallerConns(descriptors int) int {
 	if descriptors == 0 {
 		return 0
@@ -156,7 +156,7 @@
 	return max(int(callerFraction*float64(descriptors-reservedDescriptors)), 1)
 }
 
-// serve serves what a listener accepts and returns its address with the port.
+// serve starts to serve connections of a listener and returns its address with the port.
 func serve(server *http.Server, l net.Listener) string {
 	address := l.Addr().String()
 	go func() {
@@ -167,8 +167,8 @@
 	return address
 }
 
-// closing asks callers to close their connections once this daemon is leaving,
-// so that they do so between two requests instead of meeting our close.
+// closeWhenLeaving asks callers to close their connections once this daemon is leaving. They
+// then close them between two requests rather than find them closed by the server.
 func (p *Process) closeWhenLeaving(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if p.node.leaving.Load() {
@@ -178,8 +178,8 @@
 	})
 }
 
-// stop ends the daemon as planned: it leaves what callers are told, serves
-// until they have noticed, takes nothing new, finishes what runs, and ends.
+// stop performs a planned stop: it removes this daemon from the directory, serves requests
+// until callers have noticed, refuses new ones, finishes the running ones and ends.
 func (p *Process) stop(context.Context) error {
 	began := p.clock.Now()
 	total := settings.Seconds(p.settings.StopS)
@@ -207,18 +207,18 @@
 	return nil
 }
 
-// lateStream is the time after the beginning of a planned stop from which streams are
-// refused: callers that go by the directory know by then, and what comes later may not end
-// in the time for the stop.
+// refuseStreamsAfter is how long after the start of a planned stop new streams are refused. By
+// then callers that use the directory have switched, and a later stream might not finish in
+// the stop time.
 const refuseStreamsAfter = 3*entriesTTL - 100*time.Millisecond
 
-// refusesStreams reports whether a planned stop has gone on for lateStream.
+// refusesStreams reports whether a planned stop began at least refuseStreamsAfter ago.
 func (n *Node) refusesStreams() bool {
 	since := n.leavingSince.Load()
 	return since != nil && n.clock.Since(*since) >= refuseStreamsAfter
 }
 
-// leave tells the peers that this daemon is on its way out.
+// leave informs the peers that this daemon is leaving or has left.
 func (n *Node) leave(state member.State) {
 	now := n.clock.Now()
 	n.leavingSince.CompareAndSwap(nil, &now)
@@ -233,14 +233,14 @@
 	n.requestHeartbeat()
 }
 
-// figures are the numbers shown in /debug/vars.
+// debugVars are the variables in /debug/vars.
 type debugVars struct {
 	Config int64 `json:"config_version"`
-	// Operator is the store's revision up to which the operator's rows are known, and
-	// OperatorAgeMS for how long nothing has shown that they are still the newest.
+	// Operator is the store revision up to which the operator's rows are known, and
+	// OperatorAgeMS the time since they were last known to be the newest.
 	Operator      int64 `json:"operator_revision"`
 	OperatorAgeMS int64 `json:"operator_age_ms"`
-	// Reader is true while this daemon reads the store for others.
+	// Reader is set while this daemon reads the store on behalf of its group.
 	Reader     bool  `json:"reader"`
 	List       int64 `json:"list_revision"`
 	ListAgeMS  int64 `json:"list_age_ms"`
@@ -249,20 +249,20 @@
 	Dials      int64 `json:"upstream_connections"`
 	Goroutines int   `json:"goroutines"`
 	Requests   any   `json:"requests"`
-	// PeerCalls is what this daemon tells its peers, PeerServed what it answers
-	// them.
+	// PeerCalls is the traffic of this daemon's calls to its peers, and PeerServed that of the
+	// calls it serves.
 	PeerCalls  *peer.Traffic `json:"peer_calls"`
 	PeerServed *peer.Traffic `json:"peer_served"`
-	// Evacuated is the number of evacuated failure domains, and Withdrawn how often a
-	// request was stopped because its instance was withdrawn when it was about to go out.
+	// Evacuated is the number of evacuated failure domains, and Withdrawn the number of
+	// requests that were stopped because their instance was withdrawn just before sending.
 	Evacuated int   `json:"evacuated"`
 	Withdrawn int64 `json:"withdrawn"`
-	// Limited is the number of upstream instances that name a limit, and NoTurn how many
-	// requests were refused because no turn at an instance that warms up or names a limit
-	// came in time.
+	// Limited is the number of upstream instances with a rate limit, and NoTurn the number of
+	// requests refused because an instance that is warming up or rate-limited had no free slot
+	// in its rate in time.
 	Limited int   `json:"instances_limited"`
 	NoTurn  int64 `json:"no_turn"`
-	// Quarantine is about requests that crash upstream instances.
+	// Quarantine has the counters of the quarantine.
 	Quarantine quarantineVars `json:"quarantine"`
 }
 
--- a/internal/entry/node.go
+++ b/internal/entry/node.go
@@ -1,7 +1,7 @@
-// Package entry is the daemon that serves plain HTTP callers on a platform that
-// holds the operator's declarations: it follows the declarations and the list
-// of upstream instances, knows its peers, tells callers which daemons to use,
-// and takes its turn at moving services to new versions.
+// Package entry is the daemon that serves plain HTTP callers on a platform that holds the
+// operator's declarations. It follows the declarations and the list of upstream instances,
+// exchanges state with its peers, serves the directory from which callers choose daemons, and
+// takes part in moving services to new versions.
 package entry
 
 import (
@@ -30,21 +30,21 @@
 )
 
 const (
-	// watchedPeers and randomPeers are how many peers get each heartbeat. In a
-	// fleet of up to seven every daemon hears of a leaving one directly.
+	// ringTargets and randomTargets are how many peers get each heartbeat. With them every
+	// daemon of a fleet of up to seven learns directly that another one is leaving.
 	ringTargets   = 2
 	randomTargets = 4
-	// newsPerBeat bounds the news of daemons in one heartbeat.
+	// maxUpdatesPerHeartbeat limits the membership updates in one heartbeat.
 	maxUpdatesPerHeartbeat = 16
-	// newsRepeats is two thirds of what reaches all daemons with high
-	// probability: one that missed something sees it by the digest in its peers'
-	// heartbeats. With fewer, daemons that start at once know too few of each other
-	// for some rounds, and take more than their share of the budget of repeats.
+	// retransmitFactor is two thirds of the value that reaches all daemons with high
+	// probability. A daemon that missed an update notices it by the digest in its peers'
+	// heartbeats. With a lower factor, daemons that start together know too few of each other
+	// for some rounds and use more than their share of the retry budget.
 	retransmitFactor = 2
-	// forgetDaemons is how long daemons that are gone are remembered, so that
-	// late news of them is not taken for new.
+	// forgetAfter is how long daemons that have left are remembered, so that late updates
+	// about them do not count as new.
 	forgetAfter = 60 * time.Second
-	// bodyShare is the part of the memory for request bodies.
+	// bodyMemoryDivisor is the divisor of the memory that gives the budget for request bodies.
 	bodyMemoryDivisor = 8
 )
 
@@ -53,7 +53,7 @@
 	settings settings.Routes
 	clock    clockwork.Clock
 	store    *platform.Store
-	// kv has this product's own rows of the store.
+	// kv is the table with this product's own rows in the store.
 	kv backing.Table
 
 	registry *member.Registry
@@ -66,59 +66,58 @@
 	peers    *peer.Client
 	duties   *rolloutDuties
 
-	// current is the configuration in force; manifest is its encoded form.
+	// current is the configuration in force, and manifest its encoded form.
 	configMu sync.Mutex
 	current  atomic.Pointer[catalog.Catalog]
 	manifest []byte
 
-	// seeds are peer addresses from the settings.
+	// seeds are the peer addresses from the settings.
 	seeds atomic.Pointer[[]string]
-	// started is when this daemon began to look for peers. Only the heartbeat
-	// loop uses it.
+	// lastPeerSearch is when this daemon started or last searched the store for peers. Only
+	// the heartbeat loop uses it.
 	lastPeerSearch time.Time
 	// startedAt is when this daemon started.
 	startedAt time.Time
-	// callerAddress is where callers reach this daemon.
+	// callerAddress is the address of the listener for callers.
 	callerAddress string
-	// ready is closed once this daemon can serve.
+	// ready is closed once this daemon can serve requests.
 	ready     chan struct{}
 	readyOnce sync.Once
-	// kick asks for a heartbeat round at once.
+	// heartbeatNow triggers a round of heartbeats.
 	heartbeatNow chan struct{}
 	// leaving is set when a planned stop begins, at leavingSince.
 	leaving      atomic.Bool
 	leavingSince atomic.Pointer[time.Time]
-	// work is what this daemon, as a reader, knows of the work of others, and
-	// prompts which upstream instances hold which parts of prompts.
+	// workTotals is the work of other daemons that this daemon has collected as a reader, and
+	// prefixes which upstream instances have which prompt prefixes cached.
 	workTotals *workTotals
 	prefixes   *inventory.PrefixIndex
-	// quarantine refuses the requests that crash upstream instances.
+	// quarantine refuses requests that crash upstream instances.
 	quarantine *quarantineManager
-	// evacuations are the operator's orders about failure domains.
+	// evacuations are the operator's orders to evacuate failure domains.
 	evacuations *evacuation.Registry
-	// fresh is how new the operator's rows are, and question the one for newer ones
-	// that the store holds.
+	// freshness tracks how new this daemon's operator rows are, and operatorPoll is the long
+	// poll for newer ones.
 	freshness    freshness
 	operatorPoll longPoll
-	// behind is set when a peer told of operator's rows that this daemon has
-	// not got.
+	// behind is set when a peer has operator rows that this daemon lacks.
 	behind atomic.Bool
-	// lostHistory asks for all of the operator's rows, which were last read at
-	// readWholeAt. Only watchOperator uses them.
+	// wholeReadDue requests a read of all operator rows, which were last read in full at
+	// lastWholeRead. Only watchOperator uses them.
 	wholeReadDue  bool
 	lastWholeRead time.Time
-	// doubts are those that readers told of the list.
+	// readerGrace tracks the grace periods of readers for entries missing from the list.
 	readerGrace readerGrace
-	// settling is on after the store has come back from an older copy.
+	// staleWindow is open after the store has been restored from an older copy.
 	staleWindow staleWindow
-	// contact is when the store last answered and when it last did not.
+	// storeHealth tracks when the store last answered and last failed.
 	storeHealth storeHealth
 
 	missedMu         sync.Mutex
 	missedHeartbeats map[string]int
 }
 
-// NewNode builds a daemon. It does nothing until its loops run.
+// NewNode builds a daemon. It does nothing until Run is called.
 func NewNode(s settings.Routes, clock clockwork.Clock, store *platform.Store, codec platform.Headers) *Node {
 	n := &Node{
 		settings: s, clock: clock, store: store, kv: platform.Table{Store: store},
@@ -147,8 +146,8 @@
 	return n
 }
 
-// sharers is the number of daemons that may send to upstream instances. Those
-// that are leaving or not heard of lately may still do so.
+// senderCount returns the number of daemons that may send requests to upstream instances. This
+// includes daemons that are leaving or suspected.
 func (n *Node) senderCount() int {
 	count := 0
 	for _, d := range n.registry.All() {
@@ -159,27 +158,27 @@
 	return max(count, 1)
 }
 
-// Ready reports whether callers may be sent here.
+// Ready reports whether callers may be sent to this daemon.
 func (n *Node) Ready() bool {
 	return n.servableConfig() != nil && n.table.Revision() > 0 && !n.leaving.Load()
 }
 
 const (
-	// startTime is how long a daemon takes from its start until it can serve,
-	// when store or peers answer.
+	// startupTime is how long a daemon needs after its start to become ready if the store or
+	// peers answer.
 	startupTime = 300 * time.Millisecond
-	// awayTime is when callers return to a daemon that has nothing to start from
-	// because the store does not answer. Callers come back once or twice only,
-	// and outages of the store last seconds.
+	// storeLostRetryAfter is the Retry-After of a daemon that cannot start because the store
+	// does not answer. Callers retry only once or twice, and outages of the store last
+	// seconds.
 	storeLostRetryAfter = 2 * time.Second
 )
 
-// awaitReady waits until this daemon can serve, at most for the time that it takes
-// after a start when the store answers.
+// awaitReady waits until this daemon can serve requests, for at most startupTime. It returns
+// at once if the store does not answer.
 //
-// A caller whose daemons were all killed finds the first one that is back some
-// milliseconds before it has read the configuration. Told to come back it had used its
-// last try; held for these milliseconds it is served.
+// After all daemons of a caller were killed, the first one that is back may get a request some
+// milliseconds before it has read the configuration. If it refused the request, the caller
+// would have used its last attempt.
 func (n *Node) awaitReady(ctx context.Context) {
 	if n.storeHealth.isLost() {
 		return
@@ -191,7 +190,7 @@
 	}
 }
 
-// readyIn is when a daemon that knows no configuration likely has one.
+// readyRetryAfter returns when a daemon without a configuration will likely have one.
 func (n *Node) readyRetryAfter() time.Duration {
 	if n.storeHealth.isLost() {
 		return storeLostRetryAfter
@@ -199,7 +198,7 @@
 	return startupTime
 }
 
-// install puts a configuration in force unless a newer one is.
+// installConfig puts a configuration in force unless it is not newer than the current one.
 func (n *Node) installConfig(c *catalog.Catalog, manifest []byte, source string) {
 	n.configMu.Lock()
 	defer n.configMu.Unlock()
@@ -212,7 +211,7 @@
 	slog.Info("config.in_force", "version", c.Version, "routes", c.RouteCount(), "source", source)
 }
 
-// limits are the declared bounds on callers; none are zero.
+// limits returns the declared limits for callers, all zero without a configuration.
 func (n *Node) limits() catalog.Limits {
 	if c := n.current.Load(); c != nil {
 		return c.Limits
@@ -220,7 +219,7 @@
 	return catalog.Limits{}
 }
 
-// configVersion is the version in force, 0 before the first.
+// configVersion returns the version in force, or 0 if there is none.
 func (n *Node) configVersion() int64 {
 	if c := n.current.Load(); c != nil {
 		return c.Version
@@ -228,14 +227,14 @@
 	return 0
 }
 
-// offer tells the peers where callers reach this daemon, once it is ready.
+// publishCallerURL publishes the address for callers to the peers once this daemon is ready.
 func (n *Node) publishCallerURL() {
 	if n.registry.Self().CallerURL != "" || !n.Ready() {
 		return
 	}
 	n.registry.SetSelf(func(d *member.Daemon) {
 		d.CallerURL = n.callerAddress
-		// A higher version makes the news replace what others know.
+		// The higher version makes the entry replace the one that peers have.
 		d.Version++
 	})
 	n.readyOnce.Do(func() { close(n.ready) })
@@ -243,8 +242,8 @@
 	n.requestHeartbeat()
 }
 
-// entries returns the daemons for a caller, those of its failure domain first:
-// of a large fleet an answer has no room for all.
+// entries returns the daemons for a caller with those of its failure domain first, since an
+// answer cannot list all daemons of a large fleet.
 func (n *Node) entries(_, failureDomain string) []string {
 	var near, far []string
 	for _, d := range n.registry.Live() {
@@ -271,10 +270,10 @@
 	loops.Wait()
 }
 
-// tidyInterval is the time between two rounds of forgetting.
+// cleanupInterval is the interval at which expired state is removed.
 const cleanupInterval = 500 * time.Millisecond
 
-// tidyLoop forgets what has lapsed and closes what is not needed.
+// cleanupLoop removes expired state and closes unused connections.
 func (n *Node) cleanupLoop(ctx context.Context) {
 	for n.sleep(ctx, cleanupInterval) {
 		n.table.Expire()
@@ -286,7 +285,7 @@
 	}
 }
 
-// pause waits, and reports whether ctx still runs.
+// sleep waits for d and returns false if ctx ends first.
 func (n *Node) sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -16,38 +16,39 @@
 )
 
 const (
-	// beatInterval is the time between heartbeats, and beatTimeout what one may
-	// take: hundreds of times the way between failure domains.
+	// heartbeatInterval is the time between heartbeats. peerCallTimeout limits a heartbeat and
+	// other calls to peers; it is hundreds of times the latency between failure domains.
 	heartbeatInterval = 700 * time.Millisecond
 	peerCallTimeout   = 500 * time.Millisecond
-	// suspectAfter is how many heartbeats in a row must go unanswered before a
-	// daemon is left out of what callers are told: 1.4 s, within the second
-	// that callers allow for a new connection plus the life of an answer.
+	// suspectAfter is how many consecutive heartbeats must fail before a daemon is suspected
+	// and left out of the directory. That takes 1.4 s, less than the second that callers allow
+	// for a new connection plus the TTL of a directory answer.
 	suspectAfter = 2
-	// storeSilence is how long the store must not have answered before the
-	// list of a peer is taken in place of it.
+	// storeSilence is how long the store must not have answered before a peer's instance list
+	// is used instead.
 	storeSilence = 1200 * time.Millisecond
-	// announcePause is the time between tries to write this daemon's row.
+	// announceRetry is the interval between attempts to write this daemon's row or to load the
+	// quarantine.
 	announceRetry = 2 * time.Second
-	// aloneTime is how long no peer must be known before the store is asked for
-	// some, and the time between two such questions.
+	// noPeersTime is how long this daemon must know no peers before it looks for some in the
+	// store, and the interval between such reads.
 	noPeersTime = 1500 * time.Millisecond
-	// kickPause gathers news that comes together into one round of heartbeats:
-	// when many daemons start at once each would otherwise set off many rounds.
+	// heartbeatBatchDelay combines the changes of a short time into one round of heartbeats.
+	// Otherwise each of many daemons that start at the same time would trigger many rounds.
 	heartbeatBatchDelay = 30 * time.Millisecond
 )
 
-// daemonRow tells daemons that start later where to find this one.
+// daemonRow is the row through which daemons that start later find this one.
 type daemonRow struct {
 	PeerAddress string `json:"peer_address"`
 }
 
 const daemonPrefix = "daemon/"
 
-// announce writes this daemon's row once it is one of those that read the store
-// for the others: a few rows are enough to find everybody.
+// announce writes this daemon's row once it is a reader; a few rows are enough to find all
+// daemons.
 //
-// The row is written again after the store has come back from a copy that may lack it.
+// It writes the row again after the store has been restored from a copy that may lack it.
 func (n *Node) announce(ctx context.Context) {
 	const never = -1
 	announced := int64(never)
@@ -71,8 +72,8 @@
 	return err
 }
 
-// findPeers returns addresses to ask for peers: the seeds, and while no peer is
-// known for some time, the rows of other daemons.
+// findPeers returns addresses at which to look for peers: the seeds and, if no peer has been
+// known for noPeersTime, the addresses in the rows of other daemons.
 func (n *Node) findPeers(ctx context.Context) []string {
 	alone := len(n.registry.All()) == 1
 	if !alone || n.clock.Since(n.lastPeerSearch) < noPeersTime {
@@ -97,7 +98,7 @@
 	return n.unknownAddresses(addresses)
 }
 
-// unknown returns the addresses at which no daemon is known.
+// unknownAddresses returns those addresses at which no daemon is known.
 func (n *Node) unknownAddresses(addresses []string) []string {
 	known := map[string]bool{n.registry.Self().PeerAddress: true}
 	for _, d := range n.registry.All() {
@@ -122,7 +123,7 @@
 	}
 }
 
-// heartbeatLoop exchanges heartbeats, on time and when there is news.
+// heartbeatLoop sends heartbeats at the regular interval and when there are changes to spread.
 func (n *Node) heartbeatLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		n.heartbeatRound(ctx)
@@ -146,7 +147,7 @@
 	round.Wait()
 }
 
-// callEach calls daemons at once and waits for all of them, at most for some time.
+// callEach calls f for all daemons in parallel with a common timeout and waits for all calls.
 func (n *Node) callEach(ctx context.Context, most time.Duration, daemons []member.Daemon, f func(ctx context.Context, address string)) {
 	call, cancel := context.WithTimeout(ctx, most)
 	defer cancel()
@@ -157,7 +158,7 @@
 	all.Wait()
 }
 
-// beliefs is what a heartbeat says of this daemon.
+// heartbeat returns a heartbeat with the current state of this daemon.
 func (n *Node) heartbeat() peer.RoutesHeartbeat {
 	b := peer.RoutesHeartbeat{
 		From: n.registry.Self(), News: n.registry.NextUpdates(), Digest: n.registry.Digest(),
@@ -194,7 +195,7 @@
 	}
 }
 
-// heard takes in a heartbeat.
+// applyHeartbeat applies a heartbeat or a reply to one.
 func (n *Node) applyHeartbeat(b peer.RoutesHeartbeat) {
 	n.missedMu.Lock()
 	delete(n.missedHeartbeats, b.From.Incarnation)
@@ -210,7 +211,8 @@
 	}
 }
 
-// heardLeaving takes in which instances a peer found to be leaving, and passes it on.
+// mergeLeaving merges the instances that a peer found to be leaving, and triggers heartbeats
+// if there are new ones.
 func (n *Node) mergeLeaving(b peer.RoutesHeartbeat) {
 	news := false
 	for _, life := range b.Left {
@@ -224,7 +226,8 @@
 	}
 }
 
-// heardLimits takes in what a peer knows of the limits of instances, and passes it on.
+// mergeLimits merges a peer's rate limits of instances, and triggers heartbeats if there are
+// new ones.
 func (n *Node) mergeLimits(limits []inventory.Limit, source string) {
 	news := n.table.MergeLimits(limits)
 	for _, l := range news {
@@ -235,14 +238,15 @@
 	}
 }
 
-// lacks tells what the sender of a heartbeat knows that this daemon does not.
+// missingFrom compares a peer's heartbeat b with this daemon's heartbeat mine and returns a
+// request for the state that only the peer has. lacking is false if there is none.
 func (n *Node) missingFrom(b, mine peer.RoutesHeartbeat) (ask peer.SyncRequest, lacking bool) {
 	ask = peer.SyncRequest{
 		Config: mine.Config, List: mine.List,
 		Instances: b.List > mine.List && n.useListFromPeers(),
 		Shifts:    b.Shifts > mine.Shifts,
 		Members:   b.Digest != n.registry.Digest() && n.membersSettled(),
-		// An empty list is no news of any.
+		// The checksum 0 stands for an empty list, which has nothing to fetch.
 		Quarantine:  b.Quarantine != 0 && b.Quarantine != mine.Quarantine,
 		Evacuations: b.Evacuated != 0 && b.Evacuated != mine.Evacuated,
 		Limits:      b.Limited != mine.Limited,
@@ -250,24 +254,24 @@
 	return ask, b.Config > mine.Config || ask.Instances || ask.Shifts || ask.Members || ask.Quarantine || ask.Evacuations || ask.Limits
 }
 
-// listFromPeers reports whether the list of a peer is to be taken: this daemon
-// has none, or the store is silent and no reader has told of a newer one.
+// useListFromPeers reports whether this daemon uses instance lists of peers: it has none, or
+// the store is silent and no reader has confirmed the list recently.
 func (n *Node) useListFromPeers() bool {
 	return !n.table.Loaded() || n.storeHealth.silentFor(n.clock.Now(), storeSilence) && n.table.Age() > n.listInterval()
 }
 
-// settleTime is how long no news of daemons must have come before one that knows
-// others than its peer asks for all of them: most differences are news under
-// way, which two rounds of heartbeats bring.
+// membershipSettleTime is how long the known daemons must not have changed before a daemon
+// that differs from a peer requests all of the peer's daemons. Most differences are updates in
+// transit, which arrive within two rounds of heartbeats.
 const membershipSettleTime = 2 * heartbeatInterval
 
-// membersSettled reports whether what is known of daemons has not changed for
-// some time, or is nothing at all.
+// membersSettled reports whether the known daemons have not changed for membershipSettleTime,
+// or this daemon knows at most one other.
 func (n *Node) membersSettled() bool {
 	return len(n.registry.All()) <= 2 || n.clock.Since(n.registry.ChangedAt()) > membershipSettleTime
 }
 
-// fetchBeliefs takes over what a peer knows better.
+// syncFromPeer requests the state that a peer has and this daemon lacks, and applies it.
 func (n *Node) syncFromPeer(ctx context.Context, address string, ask peer.SyncRequest) {
 	call, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
@@ -298,7 +302,7 @@
 	n.publishCallerURL()
 }
 
-// takeManifest puts the configuration of a peer in force; none is nothing new.
+// applyManifest puts an encoded configuration from a peer in force; an empty one is ignored.
 func (n *Node) applyManifest(manifest []byte, source string) {
 	if len(manifest) == 0 {
 		return
@@ -325,7 +329,8 @@
 	}
 }
 
-// missed suspects a daemon that did not answer several times in a row.
+// recordMiss counts a failed heartbeat and suspects the daemon after suspectAfter consecutive
+// failures.
 func (n *Node) recordMiss(incarnation string, err error) {
 	n.missedMu.Lock()
 	n.missedHeartbeats[incarnation]++
@@ -343,17 +348,18 @@
 	n.requestHeartbeat()
 }
 
-// stoppedSteps is what a stopped version counts for in a heartbeat: more steps than
-// a roll-out ever takes, so that whoever has not heard of it asks.
+// stoppedSteps is what a stopped roll-out adds to the sum of steps in a heartbeat: more steps
+// than a roll-out ever takes, so that a daemon that does not know of the stop requests the
+// states.
 const stoppedSteps = 1 << 20
 
-// OnBeat implements peer.RoutesHandler.
+// OnHeartbeat implements peer.RoutesHandler.
 func (n *Node) OnHeartbeat(b peer.RoutesHeartbeat) peer.RoutesHeartbeat {
 	n.applyHeartbeat(b)
 	return n.heartbeat()
 }
 
-// OnBeliefs implements peer.RoutesHandler.
+// OnSync implements peer.RoutesHandler.
 func (n *Node) OnSync(r peer.SyncRequest) peer.SyncReply {
 	var b peer.SyncReply
 	if r.Members {
@@ -392,5 +398,5 @@
 	return n.ownEvidence(r.Service)
 }
 
-// OnState implements peer.RoutesHandler.
+// OnRolloutState implements peer.RoutesHandler.
 func (n *Node) OnRolloutState(s shift.State) { n.applyRolloutState(s, "holder") }
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -14,37 +14,41 @@
 )
 
 const (
-	// settleEvidence is how long a judge waits after news of a crash for what the other
-	// daemons tell of it: each finds out within some milliseconds.
+	// crashSettleTime is how long a judge waits after a crash report for the reports of other
+	// daemons, each of which detects the crash within some milliseconds.
 	crashSettleTime = 80 * time.Millisecond
-	// secondJudge is how much later the second judge decides. What the first one has
-	// decided by then is known.
+	// judgeRankDelay is how much later the second judge decides. By then it knows the
+	// decisions of the first.
 	judgeRankDelay = 300 * time.Millisecond
-	// inquiryTime bounds the question to all daemons before a request is quarantined.
+	// inquiryTimeout limits the request to all daemons for evidence before a request is
+	// quarantined.
 	inquiryTimeout = 250 * time.Millisecond
-	// judgeAgain is the first pause until suspects that are not condemned are judged
-	// again. It doubles each time, up to judgeTimes: what clears a request beside the one
-	// at fault is that it runs to its end, after some hundred milliseconds or seconds.
+	// rejudgeDelay is the delay before the first of maxRejudges further decisions about
+	// suspects that have not been quarantined; it doubles each time. A request that only ran
+	// beside the culprit is cleared when it finishes, which takes some hundred milliseconds to
+	// seconds.
 	rejudgeDelay = 100 * time.Millisecond
 	maxRejudges  = 6
-	// maxFreed bounds the releases that wait; a request that runs again asks again.
+	// maxPendingReleases limits the releases that are queued. A dropped one is queued again
+	// when the request next finishes.
 	maxPendingReleases = 16
-	// inquiryWithin is how old the crashes are that daemons are asked for.
+	// inquiryWindow is the maximum age of the crashes that daemons are asked for.
 	inquiryWindow = 30 * time.Second
 )
 
-// quarantined refuses the requests that crash instances, and judges which do.
+// quarantineManager refuses quarantined requests and, on a judge, decides which requests to
+// quarantine.
 type quarantineManager struct {
 	*crashReporter
 	list     *quarantine.List
 	evidence *quarantine.Evidence
 	finished *quarantine.Finished
 	refusals atomic.Int64
-	// due is signalled when crashes were told.
+	// judgeDue is signalled when a crash report has arrived.
 	judgeDue chan struct{}
-	// freed are quarantined requests that have run to their end.
+	// pendingReleases are quarantined requests that have finished without a crash.
 	pendingReleases chan quarantine.Digest
-	// unsaved are decisions that the store does not have yet.
+	// unsaved are decisions that are not stored yet.
 	unsaved chan []quarantine.Entry
 }
 
@@ -68,9 +72,10 @@
 
 // Finished implements forward.Quarantine.
 //
-// A quarantined request that runs to its end, begun before it was refused or after its time
-// was over, crashes nothing, or nothing any more. Kept on the list, the next loss of power
-// under it would have it refused again.
+// A quarantined request can still finish if it began before the quarantine or after its time
+// was over. It then does not crash instances, or no longer does, so it is released. If it
+// stayed on the list, a single unrelated crash under it, such as a power failure, would
+// quarantine it again.
 func (q *quarantineManager) Finished(d quarantine.Digest) {
 	q.finished.Record(d)
 	if !q.list.Held(d) {
@@ -82,12 +87,11 @@
 	}
 }
 
-// judgeLoop weighs what daemons tell of crashes, and again while suspects are left that
-// nothing is decided of.
+// judgeLoop decides after crash reports, and again later while there are undecided suspects.
 //
-// Another request may be on the same ended instances as the one at fault, and run to its end
-// elsewhere a moment later. Judged with the next crash only, the one at fault ends one more
-// instance by then.
+// Another request may have run on the same ended instances as the culprit and finish elsewhere
+// a moment later, which clears it. If the judge waited for the next crash report to decide
+// again, the culprit would have crashed one more instance by then.
 func (q *quarantineManager) judgeLoop(ctx context.Context) {
 	var again <-chan time.Time
 	tries := 0
@@ -111,7 +115,7 @@
 	}
 }
 
-// signalDue asks the judge's loop to look at what was told.
+// signalJudge triggers a decision in judgeLoop.
 func (q *quarantineManager) signalJudge() {
 	select {
 	case q.judgeDue <- struct{}{}:
@@ -119,8 +123,8 @@
 	}
 }
 
-// judgeRank is this daemon's place among the judges, from 0. One that is none was told by
-// a daemon that knows others, and comes last.
+// judgeRank returns this daemon's rank among the judges, starting at 0. A daemon that is not a
+// judge, but got a report from a daemon that considers it one, decides last.
 func (q *quarantineManager) judgeRank() int {
 	judges, own := q.judges(), q.registry.Self().Incarnation
 	for rank, d := range judges {
@@ -131,8 +135,8 @@
 	return len(judges)
 }
 
-// judge quarantines what is condemned by all that is known. It reports whether suspects are
-// left that may be, once more is known.
+// judge quarantines the requests that the evidence of all daemons convicts. It reports whether
+// suspects are left that more evidence may convict.
 func (q *quarantineManager) judge(ctx context.Context) (undecided bool) {
 	refused := func(d quarantine.Digest) bool {
 		_, yes := q.list.Refused(d)
@@ -154,11 +158,12 @@
 	return len(q.evidence.Suspected(refused, q.list.OnProbation)) > 0
 }
 
-// inquire asks all daemons which of the requests have run to their end, and for crashes
-// that they may not have been able to tell. It returns for how long back all know.
+// collectEvidence asks all daemons which of the suspected requests have finished, and for
+// crashes that they may have been unable to report. It returns how far back the evidence is
+// complete.
 //
-// A request that was beside the one at fault is saved by the first of these, or by
-// knowing of the other one. A daemon that does not answer may have either.
+// A request that only ran beside the culprit is cleared by having finished, or by a crash it
+// had no part in. A daemon that does not answer may know of either, so the result is 0 then.
 func (q *quarantineManager) collectEvidence(ctx context.Context, suspected []quarantine.Digest) (complete time.Duration) {
 	ask := peer.QuarantineEvidenceRequest{Within: inquiryWindow, Digests: suspected}
 	own := q.OnQuarantineEvidence(ask)
@@ -192,8 +197,9 @@
 	}
 }
 
-// everyOther returns the daemons that may have requests: all that are not known to have
-// ended. At the address of one that was restarted its successor answers.
+// otherRunningDaemons returns the other daemons that may have requests: all that are not known
+// to have ended. It has one daemon per address, since a restarted daemon answers at the
+// address of its predecessor.
 func (n *Node) otherRunningDaemons() []member.Daemon {
 	own := n.registry.Self()
 	known := map[string]bool{own.PeerAddress: true}
@@ -207,7 +213,8 @@
 	return out
 }
 
-// tellQuarantine tells all daemons what was decided. Who misses it learns it by heartbeats.
+// sendDecisions sends decisions to all daemons and queues them to be stored. A daemon that
+// misses them gets them after a heartbeat.
 func (q *quarantineManager) sendDecisions(ctx context.Context, decided []quarantine.Entry) {
 	if len(decided) == 0 {
 		return
@@ -225,11 +232,11 @@
 	})
 }
 
-// learnQuarantine takes in what a peer, or the store, tells.
+// applyEntries merges entries from a peer or the store.
 func (q *quarantineManager) applyEntries(told []quarantine.Entry, source string) {
 	for _, e := range q.list.Merge(told) {
 		if e.Released {
-			// What it had done before speaks against it no more.
+			// Crashes before the release no longer count against the request.
 			q.evidence.Clear(e.Digest, 0)
 		}
 		q.resumeWaiting([]quarantine.Digest{e.Digest})
@@ -238,7 +245,8 @@
 	}
 }
 
-// Release ends the quarantine of a request; it reports false when there is none.
+// Release ends the quarantine of a request. It returns false if the request is not
+// quarantined.
 func (q *quarantineManager) Release(ctx context.Context, d quarantine.Digest) bool {
 	e, ok := q.list.Release(d)
 	if !ok {
@@ -261,7 +269,7 @@
 	return reply
 }
 
-// OnInquiry implements peer.RoutesHandler.
+// OnQuarantineEvidence implements peer.RoutesHandler.
 func (n *Node) OnQuarantineEvidence(r peer.QuarantineEvidenceRequest) peer.QuarantineEvidence {
 	answer := peer.QuarantineEvidence{Up: n.clock.Since(n.startedAt), Finished: map[quarantine.Digest]time.Duration{}, Crashes: n.quarantine.recent(r.Within)}
 	for _, d := range r.Digests {
@@ -272,7 +280,7 @@
 	return answer
 }
 
-// OnQuarantine implements peer.RoutesHandler.
+// OnQuarantineUpdate implements peer.RoutesHandler.
 func (n *Node) OnQuarantineUpdate(news peer.QuarantineUpdate) {
 	n.quarantine.applyEntries(news.Entries, news.From)
 }
--- a/internal/entry/quarantine_http.go
+++ b/internal/entry/quarantine_http.go
@@ -8,36 +8,36 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/quarantine"
 )
 
-// Paths of the metrics listener for quarantined requests.
+// Paths of the quarantine API, served by the metrics listener.
 const (
 	QuarantinePath = "/debug/quarantine"
-	// ReleasePath takes the digest as its last element.
+	// ReleasePath is followed by the digest of the request.
 	ReleasePath = QuarantinePath + "/release/"
 )
 
-// QuarantineReply is the list of quarantined requests, newest first.
+// QuarantineReply lists the quarantined requests, newest first.
 type QuarantineReply struct {
 	Requests []QuarantinedRequest `json:"requests"`
 }
 
-// QuarantinedRequest is a request that is refused, or was until a short time ago.
+// QuarantinedRequest is a request that is refused, or was until recently.
 type QuarantinedRequest struct {
 	Digest       quarantine.Digest `json:"digest"`
 	Route        string            `json:"route"`
 	Organisation string            `json:"organisation"`
-	// Ended are the IDs of the upstream instances that ended under it.
+	// Ended are the IDs of the upstream instances that ended under the request.
 	Ended    []string `json:"ended"`
 	Released bool     `json:"released"`
-	// LeftMS is for how long it is still refused, in milliseconds. When it is not
-	// positive, one more crash is enough to refuse it again.
+	// LeftMS is how much longer the request is refused, in milliseconds. If it is not
+	// positive, one more crash quarantines the request again.
 	LeftMS int64 `json:"left_ms"`
 }
 
-// quarantineFigures are counters for /debug/vars.
+// quarantineVars are the counters of the quarantine in /debug/vars.
 type quarantineVars struct {
-	// Requests is the number of quarantined requests, Refused how often one of them was
-	// refused here, and InstancesEnded how many instances ended under requests of this
-	// daemon.
+	// Requests is the number of quarantined requests, Refused the number of times that this
+	// daemon refused one, and InstancesEnded the number of instances that ended under requests
+	// of this daemon.
 	Requests       int   `json:"requests"`
 	Refused        int64 `json:"refused"`
 	InstancesEnded int64 `json:"instances_ended"`
@@ -50,7 +50,7 @@
 	return quarantineVars{Requests: len(q.list.Entries()), Refused: q.refusals.Load(), InstancesEnded: ended}
 }
 
-// show serves the list.
+// serveList serves the list of quarantined requests.
 func (q *quarantineManager) serveList(w http.ResponseWriter, _ *http.Request) {
 	reply := QuarantineReply{Requests: []QuarantinedRequest{}}
 	for _, e := range q.list.Entries() {
@@ -65,7 +65,7 @@
 	}
 }
 
-// release ends the quarantine of the request named in the path.
+// serveRelease ends the quarantine of the request whose digest is in the path.
 func (q *quarantineManager) serveRelease(w http.ResponseWriter, r *http.Request) {
 	var d quarantine.Digest
 	if err := d.UnmarshalText([]byte(r.PathValue("digest"))); err != nil {
--- a/internal/entry/quarantine_store.go
+++ b/internal/entry/quarantine_store.go
@@ -12,28 +12,28 @@
 
 const (
 	quarantinePrefix = "quarantine/"
-	// maxStored bounds what a daemon reads at its start, one page.
+	// maxLoadedRows limits the rows that a daemon loads at its start to one page.
 	maxLoadedRows = 500
-	// maxDeletes is how many rows that are over are removed then.
+	// maxExpiredDeletes limits the expired rows that are deleted when the rows are loaded.
 	maxExpiredDeletes = 100
-	// storeTries and storeTryPause are how long a decision is tried to be stored: an
-	// outage of the store takes some ten seconds. Daemons that run know it anyway.
+	// maxSaveAttempts and saveRetryPause determine for how long storing a decision is retried.
+	// An outage of the store lasts some ten seconds. Running daemons know the decision anyway.
 	maxSaveAttempts = 30
 	saveRetryPause  = 2 * time.Second
-	// maxPuts is how many rows one transaction writes.
+	// maxPutsPerTxn limits the rows written in one transaction.
 	maxPutsPerTxn = 100
-	// maxUnsaved bounds the decisions that wait for the store.
+	// maxUnsaved limits the queued decisions that are not stored yet.
 	maxUnsaved = 64
 )
 
-// storedEntry is the row of a quarantined request. Its time is that of the store's clock,
-// which no restart and no wrong time of day changes.
+// storedEntry is the row of a quarantined request. UntilMS is a time of the store's clock, so
+// that restarts and wrong clocks of daemons do not change it.
 type storedEntry struct {
 	quarantine.Entry
 	UntilMS int64 `json:"until_ms"`
 }
 
-// saveLoop writes what was decided for daemons that start after all others have ended.
+// saveLoop stores decisions, for daemons that start after all others have ended.
 func (q *quarantineManager) saveLoop(ctx context.Context) {
 	for {
 		select {
@@ -45,7 +45,8 @@
 	}
 }
 
-// saveAgain has what is quarantined written again, by one daemon of those that read the store.
+// saveAll queues all quarantined requests to be stored again. Only the first reader of the
+// group does so.
 func (q *quarantineManager) saveAll() {
 	first := q.readers(1, q.readerGroup())
 	entries := q.list.Entries()
@@ -84,8 +85,8 @@
 	return err
 }
 
-// loadLoop reads what was decided before this daemon started, once, when it is one of those
-// that read the store for the others. These have it from their peers, or from it.
+// loadLoop loads the stored decisions once, when this daemon is a reader. Other daemons get
+// them from their peers.
 func (q *quarantineManager) loadLoop(ctx context.Context) {
 	for q.sleep(ctx, announceRetry) {
 		if !q.isReader() {
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -17,12 +17,12 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/telemetry"
 )
 
-// reloadInterval is how often the settings file is looked at without a signal.
+// reloadInterval is how often the settings file is checked for changes.
 const reloadInterval = 2 * time.Second
 
-// Run runs a daemon with the settings in a file until SIGTERM or SIGINT and
-// stops it as planned. SIGHUP, or a change of the file, reloads what can change
-// in a running daemon.
+// Run runs a daemon with the settings in f, read from path, until SIGTERM or SIGINT and then
+// performs a planned stop. SIGHUP or a change of the file reloads the settings that can change
+// at run time.
 func Run(path string, f settings.RoutesFile) error {
 	var node *Node
 	app := fx.New(fx.Supply(f), Module, fx.Populate(&node), fx.NopLogger, fx.StopTimeout(settings.Seconds(f.Routes.StopS)))
@@ -32,7 +32,7 @@
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(signals)
-	// Without a handler a SIGHUP ends the process and cuts what it serves.
+	// Without a handler, SIGHUP would end the process and cut its running requests.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
@@ -49,7 +49,7 @@
 	return trace.NewAggregate(app.Stop(ctx), flush(ctx))
 }
 
-// followSettings reloads the settings until a signal to stop.
+// watchSettings reloads the settings until a stop signal arrives.
 func (n *Node) watchSettings(path string, f settings.RoutesFile, stop, hangups <-chan os.Signal) {
 	for {
 		select {
@@ -63,8 +63,8 @@
 	}
 }
 
-// reload reads the settings file and puts in force what can change while the
-// daemon runs. A file that cannot be used leaves the settings as they are.
+// reload reads the settings file and applies the settings that can change at run time. If the
+// file is invalid, the settings stay as they are.
 func (n *Node) reload(path string, old settings.RoutesFile, why string) settings.RoutesFile {
 	f, ok, err := settings.LoadRoutes(path)
 	if err == nil && !ok {
--- a/internal/entry/work.go
+++ b/internal/entry/work.go
@@ -12,36 +12,37 @@
 )
 
 const (
-	// workInterval is the least time between two rounds in which a reader collects and
-	// tells what waits at upstream instances: a tenth of what a long prompt takes to be
-	// read by a large model. Between two rounds all daemons choose by the same list, and
-	// an instance that looks idle there gets more than it can begin in time.
+	// workInterval is the minimum interval between two rounds in which a reader collects and
+	// sends the outstanding work at upstream instances. It is a tenth of the prefill time of a
+	// long prompt on a large model. Between two rounds all daemons choose by the same data, so
+	// an instance that looks idle gets more than it can start in time.
 	workInterval = 100 * time.Millisecond
-	// workPerInstance is the least time between two rounds for each instance told of:
-	// at some 7 bytes each, a daemon of a large fleet gets 7 kB a second.
+	// workIntervalPerInstance is the minimum interval for each instance in a round. At some 7
+	// bytes per instance, a daemon of a large fleet receives 7 kB per second.
 	workIntervalPerInstance = 1 * time.Millisecond
-	// domainTime is how long the sum of another failure domain is relied on.
+	// domainWorkTTL is how long the work reported by another failure domain is used.
 	domainWorkTTL = 4 * time.Second
-	// readingsPerSecond bounds the readings that each daemon is told of: 3 kB a second
-	// at 8 bytes each, whatever the size of the fleet. Daemons whose callers ask for more
-	// than that in a second place the rest by what they sent themselves.
+	// prefixesPerSecond limits the cached prefixes sent to each daemon: 3 kB per second at 8
+	// bytes each, whatever the size of the fleet. If callers send more prompts than that,
+	// daemons place the rest by the prefixes that they sent themselves.
 	prefixesPerSecond = 375
-	// maxUntold bounds the readings that wait to be told: some seconds of them. Older
-	// ones are told no more, since what an engine read lately it most likely keeps.
+	// maxPendingPrefixes limits the prefixes that wait to be sent to what can be sent in some
+	// seconds. The oldest are dropped, since engines most likely still cache what they
+	// processed last.
 	maxPendingPrefixes = 4 * prefixesPerSecond
 )
 
-// workSums add up what daemons have under way at upstream instances, and collect
-// which beginnings of prompts they sent where. Each daemon by itself sees too little of
-// it to tell a busy instance from an idle one: in a large fleet it sends an instance a
-// request or two in a minute.
+// workTotals add up the outstanding work of daemons at upstream instances and collect which
+// prompt prefixes they sent to which instance. A single daemon cannot tell a busy instance
+// from an idle one: in a large fleet it sends an instance one or two requests per minute.
 //
-// Lock order: mu is taken alone.
+// Lock order: no other lock is taken while mu is held.
 type workTotals struct {
 	mu      sync.Mutex
 	group   *inventory.WorkSum
 	domains map[string]domainWork
-	// forGroup and forDomains are readings that were not told to them yet.
+	// pendingForGroup and pendingForDomains are prefixes that were not sent to the group and
+	// to other failure domains yet.
 	pendingForGroup, pendingForDomains []inventory.CachedPrefix
 }
 
@@ -54,7 +55,7 @@
 	return &workTotals{group: inventory.NewWorkSum(), domains: map[string]domainWork{}}
 }
 
-// add takes in the work of a daemon of the group.
+// add records the work of a daemon of the group.
 func (w *workTotals) add(own peer.DaemonWork, now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -64,7 +65,7 @@
 	w.pendingForDomains = newest(append(w.pendingForDomains, read...), maxPendingPrefixes)
 }
 
-// addDomain takes in the work of another failure domain.
+// addDomain records the work of another failure domain.
 func (w *workTotals) addDomain(d peer.DomainWork, now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -72,21 +73,22 @@
 	w.pendingForGroup = newest(append(w.pendingForGroup, peer.UnpackReadings(d.Readings)...), maxPendingPrefixes)
 }
 
-// newest returns the last n readings, or all if there are fewer.
+// newest returns the last n prefixes, or all if there are fewer.
 func newest(all []inventory.CachedPrefix, n int) []inventory.CachedPrefix {
 	return all[max(len(all)-n, 0):]
 }
 
-// split takes the last n readings off and returns them and the rest.
+// takeNewest splits off the last n prefixes and returns them and the rest.
 func takeNewest(all []inventory.CachedPrefix, n int) (taken, rest []inventory.CachedPrefix) {
 	at := max(len(all)-n, 0)
 	return all[at:], all[:at:at]
 }
 
-// readingsIn is how many readings may be told after some time without.
+// prefixesIn returns how many prefixes may be sent after a pause.
 func prefixesIn(pause time.Duration) int { return int(prefixesPerSecond * pause.Seconds()) }
 
-// tellGroup returns the sum over all groups, and at most some readings to tell.
+// fleetWork returns the work of all groups and removes and returns up to most prefixes to send
+// to the group.
 func (w *workTotals) fleetWork(now time.Time, most int) (inventory.Work, []inventory.CachedPrefix) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -104,7 +106,8 @@
 	return out, read
 }
 
-// tellDomains returns the sum of this group, and at most some readings to tell others.
+// groupWork returns the work of this group and removes and returns up to most prefixes to send
+// to other failure domains.
 func (w *workTotals) groupWork(now time.Time, most int) (inventory.Work, []inventory.CachedPrefix) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -113,8 +116,8 @@
 	return w.group.Total(now), read
 }
 
-// workLoop tells what waits at upstream instances, when this daemon is the first of
-// its group's readers.
+// workLoop exchanges the outstanding work at upstream instances while this daemon is the first
+// reader of its group.
 func (n *Node) workLoop(ctx context.Context) {
 	pause := workInterval
 	for n.sleep(ctx, pause) {
@@ -129,13 +132,15 @@
 	}
 }
 
-// workPause is the time to the next round after one that told of some instances.
+// workRoundInterval returns the time to the next round after one with the given number of
+// instances.
 func workRoundInterval(instances int) time.Duration {
 	return max(workInterval, time.Duration(instances)*workIntervalPerInstance)
 }
 
-// tellWork tells the group what all daemons have under way and at most some readings,
-// and collects what each of them has. It returns the number of instances told of.
+// sendFleetWork sends the outstanding work of all daemons and up to the given number of
+// prefixes to the group, and collects the work of each daemon from the replies. It returns the
+// number of instances sent.
 func (n *Node) sendFleetWork(ctx context.Context, readings int) int {
 	n.workTotals.add(n.ownWork(), n.clock.Now())
 	work, read := n.workTotals.fleetWork(n.clock.Now(), readings)
@@ -153,8 +158,8 @@
 	return len(work)
 }
 
-// tellDomainWork tells the readers of other groups the sum of this one, and at most
-// some readings.
+// sendDomainWork sends the work of this group and up to the given number of prefixes to the
+// readers of other groups.
 func (n *Node) sendDomainWork(ctx context.Context, readings int) {
 	work, read := n.workTotals.groupWork(n.clock.Now(), readings)
 	mine := peer.DomainWork{
@@ -184,7 +189,7 @@
 	}
 }
 
-// OnGroupWork implements peer.RoutesHandler.
+// OnFleetWork implements peer.RoutesHandler.
 func (n *Node) OnFleetWork(w peer.FleetWork) peer.DaemonWork {
 	n.table.SetFleetWork(peer.UnpackWork(w.Amounts))
 	n.prefixes.Merge(peer.UnpackReadings(w.Readings))
