--- a/internal/entry/budget_test.go
+++ b/internal/entry/budget_test.go
@@ -10,8 +10,8 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/member"
 )
 
-// Guards against a fleet that is cut in two and sends an instance twice what it takes, since
-// each side takes itself for the whole.
+// Guards against the two sides of a network partition together sending an instance twice its
+// rate, because the daemons of each side take it for the whole fleet.
 func TestPartitionedFleetSharesOneBudget(t *testing.T) {
 	const daemons, rate = 8, 2.0
 	fleet := make([]*Node, daemons)
@@ -39,8 +39,8 @@
 	}
 }
 
-// Guards against a fleet whose daemons were killed and started again at their addresses, and
-// that leaves a part of each budget to those that are gone.
+// Guards against restarted daemons that leave a part of each budget to their predecessors at
+// the same addresses.
 func TestRestartedDaemonsUseTheWholeBudget(t *testing.T) {
 	n := newTestNode(clockwork.NewFakeClock(), nil)
 	const rate = 2.0
--- a/internal/entry/crashes.go
+++ b/internal/entry/crashes.go
@@ -16,7 +16,7 @@
 const (
 	// secondProbeDelay is the time between the two probes of an instance whose connections
 	// broke. A process that exits closes its sockets one after the other, the listening socket
-	// among them, so the first probe may still succeed.
+	// among them, so the first probe may find it still listening.
 	secondProbeDelay = 40 * time.Millisecond
 	// reportTTL and maxReports limit the crash reports that a daemon keeps, for judges that
 	// have been chosen since or have missed a report.
--- a/internal/entry/duty_test.go
+++ b/internal/entry/duty_test.go
@@ -21,7 +21,7 @@
 
 const rolloutService = "s"
 
-// stateStore is a store that may refuse to write the states of roll-outs.
+// stateStore is a store that can refuse to write the states of roll-outs.
 type stateStore struct {
 	*platformtest.Store
 	refuses atomic.Bool
@@ -49,15 +49,15 @@
 	s.Handler().ServeHTTP(w, r)
 }
 
-// state is the stored state of the roll-out.
+// state returns the stored state of the roll-out.
 func (s *stateStore) state(t *testing.T) shift.State {
 	var state shift.State
 	require.NoError(t, json.Unmarshal(s.Value("hornbeamsill", rolloutStatePrefix+rolloutService), &state))
 	return state
 }
 
-// newBadRollout returns a daemon that holds the duty of a roll-out whose version has shown
-// itself to be bad.
+// newRegressedRollout returns a daemon that holds the duty of a roll-out whose new version has
+// already shown too many bad answers, the store, and a function that processes the roll-out.
 func newRegressedRollout(t *testing.T) (n *Node, store *stateStore, look func()) {
 	store = &stateStore{Store: platformtest.NewStore()}
 	server := httptest.NewServer(store)
@@ -68,7 +68,7 @@
 	n.addOrder(order, "store")
 	look = func() {
 		clock.Advance(time.Millisecond)
-		// Other calls are answered, so that the store is asked again at once.
+		// Other calls are answered, so that the next call goes directly to the store.
 		n.storeHealth.record(clock.Now(), clock.Now(), nil)
 		for _, active := range n.rollouts.Unfinished() {
 			n.duties.process(context.Background(), active)
@@ -85,8 +85,8 @@
 	return n, store, look
 }
 
-// Guards against an operator who is told that a version was rolled back while the store still
-// says that it is being brought in: daemons that all start anew would bring it in.
+// Guards against reporting a rollback to the operator while the stored state still says that
+// the version is being rolled out: after a restart of all daemons the roll-out would continue.
 func TestRollbackIsStoredBeforeItIsReported(t *testing.T) {
 	_, store, look := newRegressedRollout(t)
 	store.refuses.Store(true)
@@ -100,7 +100,8 @@
 	require.Equal(t, shift.RolledBack, store.state(t).Phase)
 }
 
-// Guards against a state that is never stored because the operator has been told already.
+// Guards against a state that is never stored because its phase has already been reported to
+// the operator.
 func TestStateIsStoredAfterTheOperatorWasInformed(t *testing.T) {
 	n, store, look := newRegressedRollout(t)
 	n.duties.byService[rolloutService].reportedPhase = shift.RolledBack
--- a/internal/entry/guard.go
+++ b/internal/entry/guard.go
@@ -62,7 +62,8 @@
 // contains it.
 const holderSeparator = "@"
 
-// holderName is the holder of a lease as this daemon's incarnation and peer address.
+// holderName returns the name under which a daemon holds a lease: its incarnation and its peer
+// address.
 func holderName(incarnation, address string) string { return incarnation + holderSeparator + address }
 
 // holderEnded reports whether the process that holds a lease has certainly ended: another
--- a/internal/entry/helpers_test.go
+++ b/internal/entry/helpers_test.go
@@ -7,8 +7,8 @@
 	"github.com/hornbeamsill/hornbeamsill/platform"
 )
 
-// newTestNode returns a daemon whose loops do not run and whose store, by itself, cannot be
-// reached. change, which may be nil, alters its settings.
+// newTestNode returns a daemon whose loops do not run and whose store is unreachable unless
+// change sets another one. change modifies the settings and may be nil.
 func newTestNode(clock clockwork.Clock, change func(*settings.Routes)) *Node {
 	r := settings.Routes{
 		Instance: "self", FailureDomain: "a", Site: "s", Platform: "127.0.0.1:1", PeerListen: "127.0.0.1:1",
--- a/internal/entry/link_test.go
+++ b/internal/entry/link_test.go
@@ -16,9 +16,8 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/settings"
 )
 
-// The load that news over thin links answers: 80 daemons in 4 failure domains before 140
-// engines, 430 prompts a second that each go to any of the engines, each about
-// one of 600 subjects and with one of 4 common beginnings.
+// The load of the test: 80 daemons in 4 failure domains and 140 engines, with 430 prompts per
+// second to random engines, each with one of 600 subjects and one of 4 shared prefixes.
 const (
 	linkDomains          = 4
 	linkDaemonsPerDomain = 20
@@ -30,13 +29,13 @@
 	linkBitsPerSecond    = 10_000_000
 )
 
-// linkPause is the time between two rounds of news of that many engines.
+// linkRoundInterval is the interval between two rounds of work updates for that many engines.
 var linkRoundInterval = workRoundInterval(linkEngines)
 
-// domainOfDaemons is the daemons of one failure domain; the first one is the reader.
+// testDomain is the daemons of one failure domain; the first one is the reader.
 type testDomain struct {
 	nodes []*Node
-	// sent is the bytes that the reader has sent.
+	// sent is the number of bytes that the reader has sent.
 	sent int
 }
 
@@ -52,8 +51,8 @@
 	return d
 }
 
-// round is one round of the reader, with what it sends counted as gob sends it. It
-// returns what the readers of other domains are told.
+// round runs one round of the reader and counts the bytes it sends in gob encoding. It returns
+// the update for the readers of other domains.
 func (d *testDomain) round(t *testing.T) peer.DomainWork {
 	t.Helper()
 	reader := d.nodes[0]
@@ -69,7 +68,8 @@
 	return peer.DomainWork{Amounts: peer.PackWork(work), Readings: peer.PackReadings(read)}
 }
 
-// frame is the length of v as net/rpc sends it on a connection in use.
+// frameSize returns the size of v as net/rpc sends it on a connection that has already sent
+// the type.
 func frameSize(t *testing.T, v any) int {
 	t.Helper()
 	var out bytes.Buffer
@@ -80,7 +80,7 @@
 	return out.Len() - types
 }
 
-// prompt sends a prompt from one daemon to one engine.
+// sendPrompt records that a daemon sent a random prompt to an engine.
 func (n *Node) sendPrompt(random *rand.Rand, to inventory.Instance) {
 	common := random.IntN(linkSharedPrefixes)
 	n.table.Begin(to, 5000)
@@ -90,12 +90,10 @@
 	})
 }
 
-// Callers of daemons on links of 10 Mbit/s wait ten times as often for plain answers as
-// they should, though no engine is late: a daemon that tells the others of its failure
-// domain which engines read which prompts fills its own link, and its callers' answers
-// wait behind the news. A round of news must leave the link within 35 ms, a quarter of
-// the time between two rounds. It takes 21 ms; unbounded, and with IDs and keys as gob
-// sends them, it took 148 ms of 200 ms.
+// Guards against work updates that fill the link of a reader. On a link of 10 Mbit/s,
+// unbounded updates with IDs and keys in gob encoding took 148 ms of every 200 ms; the answers
+// of the reader's callers waited behind them and were late ten times as often as they should
+// be. A round must take less than 35 ms, a quarter of the interval; it takes 21 ms.
 func TestWorkUpdatesLeaveRoomOnSlowLinks(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	random := rand.New(rand.NewPCG(1, 1))
--- a/internal/entry/module.go
+++ b/internal/entry/module.go
@@ -253,13 +253,13 @@
 	// calls it serves.
 	PeerCalls  *peer.Traffic `json:"peer_calls"`
 	PeerServed *peer.Traffic `json:"peer_served"`
-	// Evacuated is the number of evacuated failure domains, and Withdrawn the number of
-	// requests that were stopped because their instance was withdrawn just before sending.
+	// Evacuated is the number of evacuated failure domains, and Withdrawn the number of times
+	// a request was stopped because its instance was withdrawn just before it was sent.
 	Evacuated int   `json:"evacuated"`
 	Withdrawn int64 `json:"withdrawn"`
 	// Limited is the number of upstream instances with a rate limit, and NoTurn the number of
-	// requests refused because an instance that is warming up or rate-limited had no free slot
-	// in its rate in time.
+	// requests refused because their turn at an instance that is warming up or rate-limited
+	// would have come too late.
 	Limited int   `json:"instances_limited"`
 	NoTurn  int64 `json:"no_turn"`
 	// Quarantine has the counters of the quarantine.
--- a/internal/entry/node_test.go
+++ b/internal/entry/node_test.go
@@ -23,11 +23,11 @@
 	"github.com/hornbeamsill/hornbeamsill/platform"
 )
 
-// daemons is the number of daemons in these tests: more than one group.
+// daemons is the number of other daemons in these tests: more than fit into one group.
 const daemons = 40
 
-// newFleetNode returns a daemon that knows a fleet, of which it is not one of
-// those that read the store for the others. Its loops do not run.
+// newFleetNode returns a daemon that knows a fleet and is not a reader in it. Its loops do not
+// run.
 func newFleetNode(t *testing.T, clock clockwork.Clock) *Node {
 	t.Helper()
 	for {
@@ -45,8 +45,8 @@
 	}
 }
 
-// know gives a daemon a configuration, a list and a confirmed state of the
-// operator's rows, as if it had read them just now.
+// setKnownState gives a daemon a configuration, a list and confirmed operator rows as if it
+// had just read them.
 func (n *Node) setKnownState() {
 	n.installConfig(&catalog.Catalog{Version: 3}, []byte("{}"), "test")
 	n.evacuations.Replace(nil, 5)
@@ -55,9 +55,8 @@
 	n.storeHealth.record(n.clock.Now(), n.clock.Now(), nil)
 }
 
-// On a calm day 88 daemons sent each other 41 MB of lists between failure
-// domains: whenever two differed in anything, the one that lacked something was
-// sent all that the other knew.
+// Guards against sync replies that contain all state whenever two daemons differ in anything,
+// which sent 41 MB of lists between the failure domains of an idle fleet of 88 daemons.
 func TestSyncReplyHasOnlyWhatWasRequested(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	n := newFleetNode(t, clock)
@@ -75,9 +74,9 @@
 	require.Nil(t, n.OnSync(peer.SyncRequest{Config: 3, Instances: true, List: 5}).Instances)
 }
 
-// A peer knows of other daemons and of a newer list. While news of daemons still
-// comes in, and the reader's news of the list is not late, nothing is asked for;
-// what stays different is.
+// A peer knows other daemons and a newer list. Guards against requesting state whose update is
+// still on its way: nothing is requested while membership still changes and the reader's
+// updates are not late, but lasting differences are.
 func TestSyncRequestAsksOnlyForMissingState(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	n := newFleetNode(t, clock)
@@ -111,9 +110,9 @@
 	require.True(t, ask.Instances, "a daemon that has just started has no list")
 }
 
-// The store was away for seven seconds and 88 daemons asked it 1,700 times, each
-// of them for list and operator's rows by itself. Only readers need to find out
-// quickly that it is back; any other daemon asks for the list, seldom.
+// Guards against overloading a store that is unavailable: in an outage of seven seconds, 88
+// daemons that each retried both reads made 1,700 calls. Only readers must notice quickly that
+// the store is back; other daemons only read the list, and seldom.
 func TestOnlyReadersPollALostStore(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	n := newFleetNode(t, clock)
@@ -134,9 +133,8 @@
 	require.False(t, started.mustReadList())
 }
 
-// The list is empty when the first daemons start, and has the revision 0. It is
-// known all the same: the daemons took it for unknown and read it again and again
-// instead of waiting for their readers' news.
+// The list is empty, at revision 0, when the first daemons start. Guards against daemons that
+// take it for missing and read it repeatedly instead of waiting for their readers' updates.
 func TestEmptyListCountsAsLoaded(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	n := newFleetNode(t, clock)
@@ -148,8 +146,8 @@
 	require.Equal(t, int64(2), n.table.Revision())
 }
 
-// The holder of a duty is turned away by the store. A few daemons take their turn
-// first; all others wait until these have had the time to take it.
+// Guards against all daemons trying to take a duty whose holder is rejected by the store. A
+// few daemons try first; the others wait until these have had the time to take it.
 func TestFewDaemonsTryToTakeOverADuty(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	first := 0
@@ -164,9 +162,9 @@
 	require.Less(t, first, 100)
 }
 
-// All daemons have lost power and the store is away when they start again. A
-// caller that returns too soon is refused a second time and gives up; one that
-// meets a daemon about to learn its configuration need not wait long.
+// Guards against a bad Retry-After when all daemons restart while the store is unavailable. A
+// caller that retries too early is refused again and gives up; one whose daemon is about to
+// get its configuration need not wait long.
 func TestRetryAfterMatchesExpectedReadiness(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	n := newFleetNode(t, clock)
@@ -192,9 +190,9 @@
 	return w
 }
 
-// All daemons were killed. A caller, on its last try, meets one that is back and reads
-// its configuration in the next moment. It is held for that moment: refused, it would
-// not come again.
+// After all daemons were killed, a caller on its last attempt reaches a daemon that is just
+// about to get its configuration. Guards against refusing the request, after which the caller
+// would not retry.
 func TestRequestWaitsForADaemonAboutToBeReady(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	n := newFleetNode(t, clock)
@@ -207,11 +205,11 @@
 	require.Equal(t, http.StatusNotFound, (<-answer).Code, "by the configuration, not refused for want of one")
 }
 
-// One of two readers was cut off from the store while servers left. When it is
-// back it doubts that they are gone, and told all daemons of its failure domain
-// so, which used them for three seconds. They had the other reader's news all the
-// while. After an outage of the store itself, when nobody had news, doubt counts,
-// also for entries that lapse a moment after the store's return.
+// Guards against spreading the grace period of a reader that was cut off from the store while
+// instances left. If the other daemons adopted it although they had the other reader's
+// updates, they would use these instances for three seconds more. After an outage of the store
+// itself, in which no daemon had updates, the grace period applies, also to entries that
+// expire shortly after the outage.
 func TestGraceOfAReaderThatWasCutOff(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	n := newFleetNode(t, clock)
@@ -237,11 +235,11 @@
 	require.Empty(t, n.table.Usable("s"))
 }
 
-// Two daemons read the list for the others. While one of them waits for its
-// answer, the other tells it that a server leaves; a third daemon misses that
-// news. The answer has the leaving too, which is not new any more to the first
-// and is left out of what it tells: the third must not take this for all that
-// there is, or it uses the server until its entry vanishes.
+// Guards against a skipped change. A reader learns from the other reader that an instance is
+// leaving while it waits for its own read; a third daemon misses that update. The read
+// contains the change too, but it is not new to the reader and is left out of the reader's
+// update. The third daemon must not take this update for complete, or it uses the instance
+// until its entry expires.
 func TestMissedUpdateIsNotSkipped(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	reader, third := newFleetNode(t, clock), newFleetNode(t, clock)
@@ -260,15 +258,14 @@
 	require.True(t, third.mustReadList(), "it reads the list itself")
 }
 
-// lateAge is the age of the list at which a daemon reads it itself.
+// lateListAge is the age of the list at which a daemon reads it itself.
 func lateListAge(n *Node) time.Duration {
 	return n.listInterval() + lateUpdateMargin + time.Millisecond
 }
 
-// What became of a call to the store must be the same to the holder of a duty
-// whether it made the call itself or a peer did: a check that failed taken for a
-// lost answer, or the other way round, would have it write on what it no longer
-// holds.
+// Guards against a call whose outcome changes when it is relayed. If a failed check were taken
+// for an unknown outcome, or the reverse, the holder of a duty would continue to write without
+// its lease.
 func TestRelayedCallsKeepTheirOutcome(t *testing.T) {
 	for _, err := range []error{
 		nil, trace.NotFound("x"), trace.CompareFailed("x"), trace.ConnectionProblem(nil, "x"),
@@ -283,18 +280,18 @@
 	}
 }
 
-// A daemon that the store does not answer either says so at once, so that the
-// asker goes on to the next peer.
+// A daemon that has no access to the store either refuses to relay at once, so that the caller
+// tries the next peer.
 func TestPeerWithoutStoreDoesNotRelay(t *testing.T) {
 	n := newFleetNode(t, clockwork.NewFakeClock())
 	n.storeHealth.record(n.clock.Now(), n.clock.Now(), errors.New("no answer"))
 	require.Equal(t, peer.StoreNotDone, n.OnStoreCall(peer.StoreCall{Get: "x"}).Outcome)
 }
 
-// The store was away. A reader found it back at once and told so; a daemon that is no
-// reader notices two seconds later, with its own read or with the list of a peer that
-// has not noticed yet. A server that left meanwhile must not be doubted from then on
-// for two seconds more: it got a request 3.5 s after it had left.
+// Guards against a grace period that outlasts that of the readers. After an outage a reader
+// notices at once that the store is back and sends an update. Another daemon notices two
+// seconds later, by its own read or by a peer's list, and must not then keep missing entries
+// for two seconds more: an instance would get requests 3.5 s after it has left.
 func TestGraceEndsWithThatOfTheReader(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	n := newFleetNode(t, clock)
@@ -315,8 +312,8 @@
 	require.Equal(t, clock.Now().Add(missingEntryGrace), n.graceEnd(clock.Now()), "no reader has told since a later outage")
 }
 
-// Guards against streams that a stopping daemon takes from callers with an old answer of the
-// directory, and cuts when its process ends. Short requests are served to the end.
+// Guards against streams that a stopping daemon accepts from callers with an old directory
+// answer and cuts when its process ends. Short requests are served to the end.
 func TestStoppingDaemonRefusesLateStreams(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	n := newFleetNode(t, clock)
--- a/internal/entry/operator_test.go
+++ b/internal/entry/operator_test.go
@@ -16,11 +16,11 @@
 	"github.com/hornbeamsill/hornbeamsill/platform/wire"
 )
 
-// inForce is the time in which an accepted configuration must be in force.
+// configDeadline is the time within which an accepted configuration must be in force.
 const configDeadline = 2 * time.Second
 
-// storeReader is a daemon that reads a stand-in of the store, with its loops for the
-// operator's rows and the list. It knows no other daemon, so it reads for all.
+// storeReader is a daemon that reads a test store with its loops for the operator's rows and
+// the list. It knows no other daemons, so it is a reader.
 type storeReader struct {
 	*Node
 	t     *testing.T
@@ -28,7 +28,7 @@
 	store *platformtest.Store
 }
 
-// newStoreReader returns one before instances that may take some time to leave.
+// newStoreReader returns a storeReader whose instances may take drainMS milliseconds to leave.
 func newStoreReader(t *testing.T, drainMS int64) *storeReader {
 	t.Helper()
 	r := &storeReader{t: t, clock: clockwork.NewFakeClock(), store: platformtest.NewStore()}
@@ -48,7 +48,7 @@
 	return r
 }
 
-// routeTo is a configuration with one route.
+// routeTo returns a configuration with one route.
 func routeTo(version int64, prefix string) wire.Manifest {
 	return wire.Manifest{
 		Version: version,
@@ -61,14 +61,14 @@
 	}
 }
 
-// until waits for a condition that needs no time to pass on the daemon's clock.
+// eventually waits for a condition that does not need the daemon's clock to advance.
 func (r *storeReader) eventually(why string, ok func() bool) {
 	r.t.Helper()
 	require.Eventually(r.t, ok, 20*time.Second, time.Millisecond, why)
 }
 
-// pass lets time pass in steps of a read of the list, each of which ends before the next
-// one begins.
+// advance advances the clock in steps of one read of the list, and waits for the end of each
+// read.
 func (r *storeReader) advance(d time.Duration) {
 	r.t.Helper()
 	for ; d > 0; d -= r.listInterval() {
@@ -82,14 +82,14 @@
 	}
 }
 
-// listRead waits until no read of the list is under way.
+// awaitListRead waits until no read of the list is in progress.
 func (r *storeReader) awaitListRead() {
 	r.t.Helper()
 	require.NoError(r.t, r.clock.BlockUntilContext(r.t.Context(), 1))
 }
 
-// loseQuestion waits until the store holds this daemon's question for the operator's news,
-// which then is never answered.
+// losePoll waits until the store holds this daemon's long poll for operator rows, which the
+// store then never answers.
 func (r *storeReader) losePoll() {
 	r.t.Helper()
 	r.eventually("the store holds the question", func() bool { return r.store.Held() == 1 })
@@ -97,13 +97,11 @@
 	r.store.LoseHeld()
 }
 
-// After an outage of the store callers were refused with 404 at every daemon, on a route
-// that the operator had been told was accepted seconds before. The daemon that reads the
-// store for the others had asked for news during the outage. The store never answered that
-// question and did not close its connection either; until the question was given up, eleven
-// seconds after it had been asked, silence was taken for "nothing new".
-// Evidence: all calls for the list were answered meanwhile, and the store's revision in
-// these answers was one ahead of that of the configuration in force.
+// Guards against a silent store that counts as unchanged. A long poll that a reader sends
+// during an outage may never be answered although its connection stays open. Until it timed
+// out, after eleven seconds, all daemons answered 404 on routes that the operator had been
+// told were accepted, although every read of the list showed a newer revision of the store
+// than that of the configuration in force.
 func TestLongPollThatIsNeverAnswered(t *testing.T) {
 	r := newStoreReader(t, 2000)
 	r.losePoll()
@@ -112,8 +110,8 @@
 	require.Equal(t, int64(2), r.configVersion(), "in force in time")
 }
 
-// Where instances may take ten seconds to leave, the list need not be read often. It is all
-// the same, since nothing else shows that the question was lost.
+// Guards against seldom reads of the list where instances may take ten seconds to leave:
+// nothing else shows that the long poll was lost.
 func TestLostLongPollWithSlowListReads(t *testing.T) {
 	r := newStoreReader(t, 10_000)
 	r.losePoll()
@@ -122,10 +120,10 @@
 	require.Equal(t, int64(2), r.configVersion(), "in force in time")
 }
 
-// A server leaves. In the same moment the store answers no question for the operator's
-// rows, and one is asked because the list is newer than these are known to be. Other
-// daemons must hear of the server all the same, before that question has failed: told
-// only then, they went on sending to it for as long as a call may take.
+// Guards against an update of the list that waits for a read of the operator's rows. An
+// instance leaves while the store does not answer reads of these rows, one of which starts
+// because the list has a newer revision. If other daemons got the update only after that read
+// has failed, they would send requests to the instance until its timeout.
 func TestListChangesAreSentBeforeOperatorRowsAreConfirmed(t *testing.T) {
 	r := newStoreReader(t, 2000)
 	other := newTestNode(r.clock, func(s *settings.Routes) { s.PeerListen = "127.0.0.1:0" })
@@ -147,18 +145,18 @@
 	require.False(t, <-heard, "told after the question for the operator's rows had failed")
 }
 
-// listener is a daemon whose news is looked at.
+// updateRecorder is a daemon that passes the updates it receives to a function.
 type updateRecorder struct {
 	*Node
 	onUpdate func(peer.StoreUpdate)
 }
 
-// OnNews implements peer.RoutesHandler.
+// OnStoreUpdate implements peer.RoutesHandler.
 func (l *updateRecorder) OnStoreUpdate(n peer.StoreUpdate) { l.onUpdate(n) }
 
-// The same question, seen by a daemon that reads nothing as long as its reader tells it that
-// nothing is new. It must not be told anything younger than the store's last answer: only
-// then does it notice that news is late, and asks by itself.
+// Guards against a reader whose long poll is lost and that confirms the operator's rows to
+// other daemons. Its updates must not be newer than the last answer of the store, so that
+// another daemon notices that they are late and reads the rows itself.
 func TestUnansweredLongPollConfirmsNothing(t *testing.T) {
 	r := newStoreReader(t, 2000)
 	r.losePoll()
@@ -169,12 +167,10 @@
 	require.True(t, other.mustReadOperator())
 }
 
-// A question for the operator's news was lost, and failed eleven seconds after it had been
-// asked. The daemon took that for a loss of the store, although the store had answered every
-// call that was made since, and doubted the list once more: for two seconds it went on using
-// upstream instances that left without saying so.
-// Evidence: store.lost of a question asked 11.5 s before and store.regained 0.14 s later, with
-// the list read twice a second all the while.
+// Guards against the late failure of a lost long poll that counts as an outage of the store.
+// The poll failed 11.5 s after it was sent, while the list was read twice a second. Counted as
+// an outage, it started a grace period of two seconds in which requests went to instances that
+// had left unannounced.
 func TestFailureOfAnOldCallIsNoStoreLoss(t *testing.T) {
 	r := newStoreReader(t, 2000)
 	r.losePoll()
--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -15,8 +15,8 @@
 
 var suspect = quarantine.Suspect{Digest: quarantine.NewDigest("POST", "shop.example", "/notes/one", "visrad", nil), Route: "notes"}
 
-// A request was refused for what others had done, and a run of it that had begun before
-// comes to its end. It is let run again: no request that runs well crashes instances.
+// Guards against a request that stays quarantined for the crashes of others: a run of it that
+// began before the quarantine finishes, so it does not crash instances and is released.
 func TestQuarantinedRequestIsReleasedWhenItFinishes(t *testing.T) {
 	n := newTestNode(clockwork.NewRealClock(), nil)
 	ctx, stop := context.WithCancel(context.Background())
@@ -29,8 +29,9 @@
 	require.Eventually(t, func() bool { return !n.quarantine.list.Held(suspect.Digest) }, 10*time.Second, time.Millisecond)
 }
 
-// A daemon that has just been chosen to judge is told of three crashes, all at once and not
-// in their order. What ended beside them counts by when it ended.
+// A newly chosen judge gets the reports of several crashes at once and not in order of time.
+// Guards against evaluating them in the order of arrival: the crash of an instance without the
+// request clears it by the time of that crash.
 func TestJudgeHandlesCrashesOutOfOrder(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	n := newTestNode(clock, nil)
@@ -48,8 +49,9 @@
 	require.False(t, refused, "an instance has ended without it")
 }
 
-// Requests that broke off with an instance that has ended wait for the judges; one that was on
-// a single ended instance goes on as soon as it is told of.
+// Guards against delaying the next attempt of requests after a single crash. Requests whose
+// instance ended wait for the judges; one that was on only one ended instance continues as
+// soon as a judge has the report.
 func TestFirstCrashDoesNotDelayRetry(t *testing.T) {
 	n := newTestNode(clockwork.NewRealClock(), nil)
 	decided := n.quarantine.Broken(inventory.Instance{ID: "i", Address: "127.0.0.1:1"}, suspect)
@@ -62,9 +64,9 @@
 	require.True(t, n.quarantine.Ended(inventory.Instance{ID: "i"}))
 }
 
-// A request and another one were on the same three instances that ended, so neither is
-// refused. Then the other one runs to its end elsewhere, and no instance ends any more: the
-// first one is refused at the next look. It was refused with the next crash only.
+// Two requests were on the same three instances that ended, so neither is quarantined. Then
+// one of them finishes elsewhere and no more instances end. Guards against quarantining the
+// other one only after a further crash.
 func TestJudgeReconsidersSuspects(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	n := newTestNode(clock, nil)
--- a/internal/entry/readers.go
+++ b/internal/entry/readers.go
@@ -58,7 +58,7 @@
 	return func(d member.Daemon) bool { return d.FailureDomain == n.settings.FailureDomain }
 }
 
-// isReader reports whether this daemon is one of the readers of its group.
+// isReader reports whether this daemon is one of the readers of its group and is not leaving.
 func (n *Node) isReader() bool {
 	own := n.registry.Self().Incarnation
 	return !n.leaving.Load() && slices.ContainsFunc(n.readers(readersPerGroup, n.readerGroup()),
--- a/internal/entry/readers_test.go
+++ b/internal/entry/readers_test.go
@@ -11,9 +11,9 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/settings"
 )
 
-// One instance in ten has a link of 200 Mbit/s, the others one of 20. Callers of a
-// daemon that tells 30 others what it read wait behind that news on a thin link, so the
-// readers are those with wide links. When these are gone, all at once, others read.
+// One instance in ten has a link of 200 Mbit/s, the others have 20 Mbit/s. Guards against
+// readers with slow links, whose callers' answers wait behind the updates to 30 daemons. If
+// all daemons with fast links fail at once, others become readers.
 func TestReadersHaveFastLinks(t *testing.T) {
 	n := newFleetNode(t, clockwork.NewFakeClock())
 	var all []member.Daemon
@@ -45,8 +45,8 @@
 	}
 }
 
-// 24 daemons in six failure domains: two of them read the store for all, not two in each
-// domain, which half of them would be.
+// Guards against two readers in each of six failure domains in a fleet of only 24 daemons,
+// half of which would then be readers. Two read for the whole fleet.
 func TestMediumFleetHasOneReaderGroup(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	var nodes []*Node
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -34,7 +34,7 @@
 // late. Relaying is safe because each write is conditional on the revisions of the rows it
 // depends on, including the lease, regardless of which daemon sends it.
 //
-// Lock order: no other lock is taken while mu is held.
+// Lock order: mu is taken alone.
 type relayedTable struct {
 	*Node
 
--- a/internal/entry/restore_test.go
+++ b/internal/entry/restore_test.go
@@ -14,14 +14,14 @@
 	"github.com/hornbeamsill/hornbeamsill/platform"
 )
 
-// secondEra is a revision of the store's second era, and thirdEra one of its third.
+// secondEra is a revision of the store's second era, and thirdEra one of the third.
 const (
 	secondEra = 1<<40 + 20
 	thirdEra  = 2<<40 + 10
 )
 
-// newRestoredNode returns a daemon that knows two instances, an evacuation and an order of the
-// store's second era, and has heard of them from peers only.
+// newRestoredNode returns a daemon that has two instances, an evacuation and an order of the
+// store's second era, all of them from peers.
 func newRestoredNode(t *testing.T) (*Node, *clockwork.FakeClock) {
 	clock := clockwork.NewFakeClock()
 	n := newTestNode(clock, nil)
@@ -35,8 +35,8 @@
 	return n, clock
 }
 
-// Guards against daemons that drop live servers because a reader tells them a whole list that
-// it has read from an older copy.
+// Guards against dropping live instances because a reader sends a whole list that it has read
+// from an older copy.
 func TestRestoredWholeListKeepsMissingInstances(t *testing.T) {
 	n, clock := newRestoredNode(t)
 	whole := inventory.Snapshot{Revision: thirdEra, Instances: []inventory.Instance{{ID: "i-1", Service: "s", Version: "v1"}}}
@@ -48,8 +48,8 @@
 	require.Len(t, n.table.Usable("s"), 1)
 }
 
-// Guards against a copy that undoes what the operator has ordered, for as long as the
-// operator may still write it again, and against one that never counts.
+// Guards against a restored copy that undoes the operator's orders while the operator may
+// still rewrite them, and against one that is ignored forever.
 func TestRestoredCopyDoesNotUndoOrders(t *testing.T) {
 	n, clock := newRestoredNode(t)
 	n.store.NoteRevision(thirdEra)
@@ -69,7 +69,7 @@
 	require.Empty(t, n.evacuations.InForce())
 }
 
-// Guards against an order of the new era that waits until the copy has settled.
+// Guards against delaying orders of the new era until the store counts as up to date again.
 func TestOrdersOfTheNewEraApplyAtOnce(t *testing.T) {
 	n, _ := newRestoredNode(t)
 	n.store.NoteRevision(thirdEra)
--- a/internal/entry/spread_test.go
+++ b/internal/entry/spread_test.go
@@ -12,12 +12,12 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/settings"
 )
 
-// fleet is daemons that exchange heartbeats in memory, a round at a time.
+// testFleet is a set of daemons that exchange heartbeats in memory, one round at a time.
 type testFleet struct {
 	clock     *clockwork.FakeClock
 	nodes     []*Node
 	byAddress map[string]*Node
-	// lists counts the times that all daemons were sent.
+	// memberLists counts the replies with the full list of daemons.
 	memberLists int
 }
 
@@ -63,7 +63,7 @@
 	from.registry.Merge(b.Members)
 }
 
-// until runs rounds until all daemons see something, and returns how many.
+// runUntil runs rounds until seen is true for all daemons and returns their number.
 func (f *testFleet) runUntil(t *testing.T, most int, seen func(n *Node) bool) int {
 	t.Helper()
 	for round := 1; round <= most; round++ {
@@ -80,11 +80,10 @@
 	return 0
 }
 
-// 88 daemons start at once and know two seeds only. They find each other within
-// some rounds of heartbeats without sending whole lists all the time; and when one
-// stops as planned, all leave it out of what callers are told within a second, in
-// two rounds beyond its own, though news is passed on less often than would do by
-// itself.
+// Guards against slow or costly spreading of membership. 88 daemons that start together with
+// two seeds find each other within some rounds without sending full lists all the time. When
+// one leaves, all others know within a second, two rounds beyond its own, although updates are
+// retransmitted less often than would suffice without the digest.
 func TestMembershipReachesALargeFleet(t *testing.T) {
 	const size = 88
 	f := newTestFleet(size)
--- a/internal/entry/work_test.go
+++ b/internal/entry/work_test.go
@@ -11,9 +11,9 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/peer"
 )
 
-// A reader hears what its group and another failure domain have under way, and which
-// prompts they sent. It tells each group the sum, each prompt once, and forgets a
-// domain from which nothing came for some time.
+// A reader collects the work and prompt prefixes of its group and of another failure domain.
+// It sends each group the total, sends each prefix once, and drops the work of a domain that
+// has not reported for some time.
 func TestWorkTotalsAddAllGroups(t *testing.T) {
 	now := time.Now()
 	w := newWorkTotals()
@@ -42,8 +42,8 @@
 	require.Equal(t, 1, work[5].Open)
 }
 
-// Callers ask for more prompts than daemons can tell each other of. The newest are told
-// first, the others later, and what has waited for seconds no more.
+// Callers send more prompts than the limit on prefixes covers. The newest prefixes are sent
+// first, older ones later, and those that have waited for seconds are dropped.
 func TestPendingPrefixesAreSentNewestFirst(t *testing.T) {
 	w := newWorkTotals()
 	var all []inventory.CachedPrefix
@@ -59,15 +59,15 @@
 	require.Empty(t, read)
 }
 
-// News of work takes the same bytes a second however many instances there are.
+// Guards against work updates whose bandwidth grows with the number of instances.
 func TestWorkRoundIntervalGrowsWithInstances(t *testing.T) {
 	require.Equal(t, workInterval, workRoundInterval(0))
 	require.Equal(t, workInterval, workRoundInterval(36))
 	require.Equal(t, 10*time.Second, workRoundInterval(10_000))
 }
 
-// A daemon that is told the work of all answers with its own, and with the prompts
-// that it sent since it was asked last.
+// A daemon replies to the work of the fleet with its own work and with the prefixes that it
+// has sent since the last request.
 func TestFleetWorkReplyHasOwnWork(t *testing.T) {
 	n := newFleetNode(t, clockwork.NewFakeClock())
 	n.setKnownState()
