--- a/internal/entry/beliefs.go
+++ b/internal/entry/beliefs.go
@@ -91,7 +91,7 @@
 	mux.HandleFunc("GET "+BeliefsPath, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		if err := json.NewEncoder(w).Encode(n.Status()); err != nil {
-			slog.Debug("beliefs.not_delivered", "error", err)
+			slog.Debug("status.not_delivered", "error", err)
 		}
 	})
 	return mux
--- a/internal/entry/budget_test.go
+++ b/internal/entry/budget_test.go
@@ -31,8 +31,8 @@
 	for i := range 20 {
 		total := 0.0
 		for _, n := range fleet {
-			if part := n.budgetShare(fmt.Sprint("i-", i), rate); part.Interval > 0 {
-				total += 1 / part.Interval.Seconds()
+			if share := n.budgetShare(fmt.Sprint("i-", i), rate); share.Interval > 0 {
+				total += 1 / share.Interval.Seconds()
 			}
 		}
 		require.InDelta(t, rate, total, 0.01)
@@ -50,6 +50,6 @@
 	} {
 		n.registry.Merge([]member.Daemon{d})
 	}
-	part := n.budgetShare("i-1", rate)
-	require.InDelta(t, rate/2, 1/part.Interval.Seconds(), 0.01)
+	share := n.budgetShare("i-1", rate)
+	require.InDelta(t, rate/2, 1/share.Interval.Seconds(), 0.01)
 }
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -84,9 +84,9 @@
 // startHeaderTimer starts the header timeout when the first bytes of a request arrive.
 func (c *callerConn) startHeaderTimer() {
 	c.mu.Lock()
-	waiting := c.idle
+	idle := c.idle
 	c.mu.Unlock()
-	if !waiting {
+	if !idle {
 		return
 	}
 	limit := c.limits().HeaderTimeout
@@ -101,14 +101,14 @@
 
 // enterPhase stops the current timer and starts the next phase, which calls timeout after
 // limit. A limit of 0 means no timeout.
-func (c *callerConn) enterPhase(waiting bool, limit time.Duration, timeout func()) {
+func (c *callerConn) enterPhase(idle bool, limit time.Duration, timeout func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.timer != nil {
 		c.timer.Stop()
 		c.timer = nil
 	}
-	c.idle = waiting
+	c.idle = idle
 	c.phase++
 	if limit <= 0 {
 		return
--- a/internal/entry/contact.go
+++ b/internal/entry/contact.go
@@ -119,8 +119,8 @@
 // at the same time.
 type backoff struct{ failures int }
 
-func (b *backoff) next(first, most time.Duration) time.Duration {
-	d := min(first<<min(b.failures, 8), most)
+func (b *backoff) next(first, limit time.Duration) time.Duration {
+	d := min(first<<min(b.failures, 8), limit)
 	b.failures++
 	return d/2 + rand.N(d/2)
 }
@@ -128,9 +128,9 @@
 // backOff waits after a failed call to the store. Followers, daemons that are ready, are not
 // readers and know of no newer operator rows, wait longer from their second failure on.
 func (n *Node) backOff(ctx context.Context, b *backoff) {
-	first, most := retryPause, maxRetryPause
+	first, limit := retryPause, maxRetryPause
 	if b.failures > 0 && n.Ready() && !n.isReader() && !n.behind.Load() {
-		first, most = followerPause, maxFollowerPause
+		first, limit = followerPause, maxFollowerPause
 	}
-	n.sleep(ctx, b.next(first, most))
+	n.sleep(ctx, b.next(first, limit))
 }
--- a/internal/entry/crashes.go
+++ b/internal/entry/crashes.go
@@ -218,7 +218,7 @@
 	c.mu.Lock()
 	delete(c.reporting, judge.Incarnation)
 	c.mu.Unlock()
-	if told, _ := c.unsent(judge.Incarnation); answered && len(told) > 0 {
+	if crashes, _ := c.unsent(judge.Incarnation); answered && len(crashes) > 0 {
 		c.signal()
 	}
 }
@@ -226,16 +226,16 @@
 // dropExpired drops expired reports and lets the requests that wait for them continue.
 func (c *crashReporter) dropExpired() {
 	c.mu.Lock()
-	var over []quarantine.Digest
+	var expired []quarantine.Digest
 	c.reports = slices.DeleteFunc(c.reports, func(r *report) bool {
 		old := c.clock.Since(r.at) > reportTTL
 		if old {
-			over = append(over, quarantine.Digests(r.suspects)...)
+			expired = append(expired, quarantine.Digests(r.suspects)...)
 		}
 		return old
 	})
 	c.mu.Unlock()
-	c.resumeWaiting(over)
+	c.resumeWaiting(expired)
 }
 
 // judges returns the daemons that evaluate the crashes of the whole fleet.
@@ -249,11 +249,11 @@
 // Requests that were on no other ended instance may continue at once. If one of them is the
 // culprit, the next crash shows it.
 func (c *crashReporter) reportUnsent(ctx context.Context, judge member.Daemon) bool {
-	told, counts := c.unsent(judge.Incarnation)
-	if len(told) == 0 {
+	crashes, counts := c.unsent(judge.Incarnation)
+	if len(crashes) == 0 {
 		return true
 	}
-	report := peer.CrashReport{Crashes: told}
+	report := peer.CrashReport{Crashes: crashes}
 	var reply peer.CrashReply
 	if judge.Incarnation == c.registry.Self().Incarnation {
 		reply = c.OnCrashes(report)
@@ -262,7 +262,7 @@
 		defer cancel()
 		var err error
 		if reply, err = c.peers.ReportCrashes(call, judge.PeerAddress, report); err != nil {
-			slog.Debug("crashes.not_told", "peer", judge.PeerAddress, "error", err)
+			slog.Debug("crashes.not_reported", "peer", judge.PeerAddress, "error", err)
 			return false
 		}
 	}
@@ -283,7 +283,7 @@
 	var out []quarantine.Crash
 	counts := map[*report]int{}
 	for _, r := range c.reports {
-		if told, ok := r.sent[judge]; !ok || told < len(r.suspects) {
+		if sent, ok := r.sent[judge]; !ok || sent < len(r.suspects) {
 			out = append(out, r.crash(c.clock.Since(r.at)))
 			counts[r] = len(r.suspects)
 		}
--- a/internal/entry/doubt.go
+++ b/internal/entry/doubt.go
@@ -31,10 +31,10 @@
 }
 
 // noteUpdate records a list update from a reader whose grace period still lasts for told.
-func (d *readerGrace) noteUpdate(now time.Time, told time.Duration) {
+func (d *readerGrace) noteUpdate(now time.Time, remaining time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.updatedAt, d.readerGraceEnd = now, now.Add(told)
+	d.updatedAt, d.readerGraceEnd = now, now.Add(remaining)
 }
 
 // limit returns until when entries are kept that are missing from a list which this daemon has
@@ -55,10 +55,10 @@
 // extend returns until when entries are kept that are missing according to a reader's update.
 // late means that this daemon had received no list update for too long, in which case the
 // reader's grace period is adopted.
-func (d *readerGrace) extend(now time.Time, told time.Duration, late bool) time.Time {
+func (d *readerGrace) extend(now time.Time, remaining time.Duration, late bool) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	until := now.Add(told)
+	until := now.Add(remaining)
 	if late && until.After(d.graceEnd) {
 		d.graceEnd = until
 	}
--- a/internal/entry/duty.go
+++ b/internal/entry/duty.go
@@ -112,9 +112,9 @@
 			running[active.Order.Service] = true
 			d.process(ctx, active)
 		}
-		for service, one := range d.byService {
+		for service, duty := range d.byService {
 			if !running[service] {
-				d.release(ctx, service, one)
+				d.release(ctx, service, duty)
 			}
 		}
 	}
@@ -123,15 +123,15 @@
 // releaseAll gives up all duties because this daemon is leaving. The next daemon then takes
 // them at once instead of after leaseTTL.
 func (d *rolloutDuties) releaseAll(ctx context.Context) {
-	for service, one := range d.byService {
-		d.release(ctx, service, one)
+	for service, duty := range d.byService {
+		d.release(ctx, service, duty)
 	}
 }
 
 // release gives up the duty of a roll-out, when it has ended or this daemon is leaving.
-func (d *rolloutDuties) release(ctx context.Context, service string, one *rolloutDuty) {
+func (d *rolloutDuties) release(ctx context.Context, service string, duty *rolloutDuty) {
 	delete(d.byService, service)
-	if err := one.lease.Release(ctx); err != nil {
+	if err := duty.lease.Release(ctx); err != nil {
 		slog.Warn("duty.not_released", "service", service, "error", err)
 	}
 }
@@ -139,69 +139,69 @@
 // process performs what is due for one roll-out.
 func (d *rolloutDuties) process(ctx context.Context, active shift.UnfinishedRollout) {
 	service := active.Order.Service
-	one, ok := d.byService[service]
-	if !ok || one.order != active.Order.ID {
-		one = d.newRolloutDuty(active.Order)
-		d.byService[service] = one
+	duty, ok := d.byService[service]
+	if !ok || duty.order != active.Order.ID {
+		duty = d.newRolloutDuty(active.Order)
+		d.byService[service] = duty
 	}
-	if era := d.store.Era(); one.era != era {
+	if era := d.store.Era(); duty.era != era {
 		// The restored store may lack the lease, the state and the reported status.
-		one.era, one.loaded, one.reportedPhase, one.renewedAt = era, false, "", time.Time{}
+		duty.era, duty.loaded, duty.reportedPhase, duty.renewedAt = era, false, "", time.Time{}
 	}
-	if !d.holdLease(ctx, service, one) {
-		d.stopIfRegressed(ctx, one, active)
+	if !d.holdLease(ctx, service, duty) {
+		d.stopIfRegressed(ctx, duty, active)
 		return
 	}
-	if !one.loaded && !d.loadState(ctx, one, active) {
+	if !duty.loaded && !d.loadState(ctx, duty, active) {
 		return
 	}
 	// loadState may have brought a newer state and the age of the order.
 	running := d.rollouts.Unfinished()
 	now := slices.IndexFunc(running, func(a shift.UnfinishedRollout) bool { return a.Order.Service == service })
 	if now >= 0 {
-		d.decide(ctx, one, running[now])
+		d.decide(ctx, duty, running[now])
 	}
 }
 
 func (d *rolloutDuties) newRolloutDuty(order shift.Order) *rolloutDuty {
 	self := d.registry.Self()
-	one := &rolloutDuty{
+	duty := &rolloutDuty{
 		lease: lease.New("shift/"+order.Service, holderName(self.Incarnation, self.PeerAddress), leaseTTL, d.table, d.clock),
 		order: order.ID, era: d.store.Era(), firstSeen: d.clock.Now(), tally: shift.NewTally(order.ID),
 	}
-	one.lease.HolderEnded = d.holderEnded
-	return one
+	duty.lease.HolderEnded = d.holderEnded
+	return duty
 }
 
 // holderSilent reports whether the holder of the duty has been silent for so long that this
 // daemon should act in its place.
-func (d *rolloutDuties) holderSilent(service string, one *rolloutDuty) bool {
-	heard := d.lastHolderContact(service)
-	if heard.Before(one.firstSeen) {
-		heard = one.firstSeen
+func (d *rolloutDuties) holderSilent(service string, duty *rolloutDuty) bool {
+	lastContact := d.lastHolderContact(service)
+	if lastContact.Before(duty.firstSeen) {
+		lastContact = duty.firstSeen
 	}
-	return d.clock.Since(heard) > d.takeOverAfter(service)
+	return d.clock.Since(lastContact) > d.takeOverAfter(service)
 }
 
 // holdLease reports whether this daemon holds the duty. It takes or renews the lease if due.
-func (d *rolloutDuties) holdLease(ctx context.Context, service string, one *rolloutDuty) bool {
+func (d *rolloutDuties) holdLease(ctx context.Context, service string, duty *rolloutDuty) bool {
 	now := d.clock.Now()
-	inLine := d.registry.RanksFirst("shift/"+service) || d.holderSilent(service, one)
-	if !one.lease.Held() && !inLine {
+	mayTake := d.registry.RanksFirst("shift/"+service) || d.holderSilent(service, duty)
+	if !duty.lease.Held() && !mayTake {
 		return false
 	}
-	if now.Sub(one.renewedAt) < leaseRenewInterval {
-		return one.lease.Held()
+	if now.Sub(duty.renewedAt) < leaseRenewInterval {
+		return duty.lease.Held()
 	}
-	one.renewedAt = now
-	was := one.lease.Held()
-	held, err := one.lease.Renew(ctx)
+	duty.renewedAt = now
+	wasHeld := duty.lease.Held()
+	held, err := duty.lease.Renew(ctx)
 	if err != nil {
 		slog.Warn("duty.not_renewed", "service", service, "held", held, "error", err)
 	}
-	if held != was {
-		slog.Info("duty.changed", "service", service, "held", held, "fence", one.lease.Fence())
-		one.loaded, one.resumed = false, false
+	if held != wasHeld {
+		slog.Info("duty.changed", "service", service, "held", held, "fence", duty.lease.Fence())
+		duty.loaded, duty.resumed = false, false
 	}
 	return held
 }
@@ -218,73 +218,73 @@
 }
 
 // loadState reads the stored state, from which a new holder continues.
-func (d *rolloutDuties) loadState(ctx context.Context, one *rolloutDuty, active shift.UnfinishedRollout) bool {
+func (d *rolloutDuties) loadState(ctx context.Context, duty *rolloutDuty, active shift.UnfinishedRollout) bool {
 	row, err := d.table.Get(ctx, rolloutStatePrefix+active.Order.Service)
 	switch {
 	case trace.IsNotFound(err):
-		one.revision, one.step = 0, 0
+		duty.revision, duty.step = 0, 0
 	case err != nil:
 		slog.Warn("rollout.state_not_read", "service", active.Order.Service, "error", err)
 		return false
 	default:
-		one.revision, one.step = row.Revision, 0
+		duty.revision, duty.step = row.Revision, 0
 		var s storedState
 		if err := unmarshal(row, &s); err != nil {
 			slog.Error("rollout.state_unreadable", "service", active.Order.Service, "error", err)
 		} else {
 			d.applyRolloutState(s.State, "store")
-			one.storedTotals = s.totalsFor(one.order)
-			if s.Order == one.order {
-				one.step = s.Step
+			duty.storedTotals = s.totalsFor(duty.order)
+			if s.Order == duty.order {
+				duty.step = s.Step
 			}
 		}
 	}
-	one.loaded = true
+	duty.loaded = true
 	return true
 }
 
 // decide evaluates the evidence of all daemons, then stores and broadcasts the resulting
 // states.
-func (d *rolloutDuties) decide(ctx context.Context, one *rolloutDuty, active shift.UnfinishedRollout) {
-	order, state, began := active.Order, active.State, d.clock.Now()
-	known, missing := d.collectEvidence(ctx, one, order)
-	if !one.resumed {
-		one.tally.Restore(one.storedTotals)
-		one.resumed = true
-		seen := one.tally.Totals()
-		known.Fresh, known.Old = seen.Fresh, seen.Old
+func (d *rolloutDuties) decide(ctx context.Context, duty *rolloutDuty, active shift.UnfinishedRollout) {
+	order, state, started := active.Order, active.State, d.clock.Now()
+	input, missing := d.collectEvidence(ctx, duty, order)
+	if !duty.resumed {
+		duty.tally.Restore(duty.storedTotals)
+		duty.resumed = true
+		totals := duty.tally.Totals()
+		input.Fresh, input.Old = totals.Fresh, totals.Old
 	}
 	// A live daemon that does not answer may still have requests on old instances.
-	known.OldInFlight += missing
+	input.OldInFlight += missing
 	for {
 		// Near the deadline two steps may be due in one check. The next check would be too
 		// late, since it waits for daemons that do not answer.
-		known.Elapsed = active.Elapsed + d.clock.Since(began)
-		next := shift.NextState(state, order, known, shift.ExposureLimit(d.settings.ExposureShare))
+		input.Elapsed = active.Elapsed + d.clock.Since(started)
+		next := shift.NextState(state, order, input, shift.ExposureLimit(d.settings.ExposureShare))
 		if next.Step == state.Step {
 			break
 		}
-		d.logDecision(one, order, next, known, missing)
+		d.logDecision(duty, order, next, input, missing)
 		if next.Phase == shift.RolledBack {
 			// A bad version is stopped before the state is stored.
 			d.broadcastState(ctx, next)
 		}
-		if !d.writeState(ctx, one, &next, known.Elapsed) {
+		if !d.writeState(ctx, duty, &next, input.Elapsed) {
 			return
 		}
 		d.broadcastState(ctx, next)
 		state = next
 	}
 	if state.Phase == shift.Running {
-		if d.clock.Since(one.totalsStoredAt) > totalsWriteInterval {
-			d.writeState(ctx, one, &state, known.Elapsed)
+		if d.clock.Since(duty.totalsStoredAt) > totalsWriteInterval {
+			d.writeState(ctx, duty, &state, input.Elapsed)
 		}
-		if one.reportedPhase != shift.Running {
-			d.reportPhase(ctx, one, order, state.Phase)
+		if duty.reportedPhase != shift.Running {
+			d.reportPhase(ctx, duty, order, state.Phase)
 		}
 		return
 	}
-	d.conclude(ctx, one, order, state, known.Elapsed)
+	d.conclude(ctx, duty, order, state, input.Elapsed)
 }
 
 // conclude stores the state of a roll-out that has ended, reports it to the operator, and
@@ -292,67 +292,67 @@
 //
 // The order matters: if the state were reported before it is stored, the operator could end
 // old instances although a restart of all daemons would continue the roll-out.
-func (d *rolloutDuties) conclude(ctx context.Context, one *rolloutDuty, order shift.Order, state shift.State, elapsed time.Duration) {
-	if one.step < state.Step && !d.writeState(ctx, one, &state, elapsed) {
+func (d *rolloutDuties) conclude(ctx context.Context, duty *rolloutDuty, order shift.Order, state shift.State, elapsed time.Duration) {
+	if duty.step < state.Step && !d.writeState(ctx, duty, &state, elapsed) {
 		return
 	}
-	if one.reportedPhase != state.Phase && !d.reportPhase(ctx, one, order, state.Phase) {
+	if duty.reportedPhase != state.Phase && !d.reportPhase(ctx, duty, order, state.Phase) {
 		return
 	}
 	state = state.MarkTold()
-	if d.writeState(ctx, one, &state, elapsed) {
+	if d.writeState(ctx, duty, &state, elapsed) {
 		d.broadcastState(ctx, state)
 	}
 }
 
-func (d *rolloutDuties) logDecision(one *rolloutDuty, order shift.Order, next shift.State, known shift.DecisionInput, missing int) {
-	fresh, old := known.Fresh.Total(), known.Old.Total()
+func (d *rolloutDuties) logDecision(duty *rolloutDuty, order shift.Order, next shift.State, input shift.DecisionInput, missing int) {
+	fresh, old := input.Fresh.Total(), input.Old.Total()
 	slog.Info("rollout.decided", "service", order.Service, "to", order.To, "order", order.ID, "phase", string(next.Phase),
-		"share", next.Share, "held", len(next.Held), "elapsed_ms", known.Elapsed.Milliseconds(), "fresh", fresh.Requests, "fresh_bad", fresh.Bad,
-		"old", old.Requests, "old_bad", old.Bad, "pace", shift.PaceRatio(known.Fresh, known.Old), "old_in_flight", known.OldInFlight, "missing", missing, "fence", one.lease.Fence())
+		"share", next.Share, "held", len(next.Held), "elapsed_ms", input.Elapsed.Milliseconds(), "fresh", fresh.Requests, "fresh_bad", fresh.Bad,
+		"old", old.Requests, "old_bad", old.Bad, "pace", shift.PaceRatio(input.Fresh, input.Old), "old_in_flight", input.OldInFlight, "missing", missing, "fence", duty.lease.Fence())
 }
 
 // writeState stores a state with the time of its order.
-func (d *rolloutDuties) writeState(ctx context.Context, one *rolloutDuty, next *shift.State, elapsed time.Duration) bool {
+func (d *rolloutDuties) writeState(ctx context.Context, duty *rolloutDuty, next *shift.State, elapsed time.Duration) bool {
 	if now, ok := d.store.Clock(); ok && next.OrderedMS == 0 {
 		next.OrderedMS = now - elapsed.Milliseconds()
 	}
 	key := rolloutStatePrefix + next.Service
 	revision, err := d.table.Commit(ctx, backing.Txn{
-		Checks: []backing.Check{one.lease.Check(), {Key: key, Revision: one.revision}},
-		Puts:   []backing.Put{backing.PutJSON(key, storedState{State: *next, Seen: one.tally.Totals()})},
+		Checks: []backing.Check{duty.lease.Check(), {Key: key, Revision: duty.revision}},
+		Puts:   []backing.Put{backing.PutJSON(key, storedState{State: *next, Seen: duty.tally.Totals()})},
 	})
 	if err != nil {
 		slog.Warn("rollout.not_written", "service", next.Service, "step", next.Step, "error", err)
 		// The write may or may not have been applied. The state is read again before the next
 		// attempt.
-		one.loaded = false
+		duty.loaded = false
 		return false
 	}
-	one.revision, one.step, one.totalsStoredAt = revision, next.Step, d.clock.Now()
+	duty.revision, duty.step, duty.totalsStoredAt = revision, next.Step, d.clock.Now()
 	return true
 }
 
-func (d *rolloutDuties) reportPhase(ctx context.Context, one *rolloutDuty, order shift.Order, phase shift.Phase) bool {
-	err := d.table.publishStatus(ctx, order.Service, order.To, phase, one.lease.Check())
+func (d *rolloutDuties) reportPhase(ctx context.Context, duty *rolloutDuty, order shift.Order, phase shift.Phase) bool {
+	err := d.table.publishStatus(ctx, order.Service, order.To, phase, duty.lease.Check())
 	if err != nil {
-		slog.Warn("rollout.operator_not_told", "service", order.Service, "phase", string(phase), "error", err)
+		slog.Warn("rollout.not_reported", "service", order.Service, "phase", string(phase), "error", err)
 		return false
 	}
-	one.reportedPhase = phase
-	slog.Info("rollout.operator_told", "service", order.Service, "to", order.To, "phase", string(phase), "fence", one.lease.Fence())
+	duty.reportedPhase = phase
+	slog.Info("rollout.operator_told", "service", order.Service, "to", order.To, "phase", string(phase), "fence", duty.lease.Fence())
 	return true
 }
 
 // collectEvidence asks every live daemon for its evidence. missing is the number of daemons
 // that did not answer.
-func (d *rolloutDuties) collectEvidence(ctx context.Context, one *rolloutDuty, order shift.Order) (known shift.DecisionInput, missing int) {
+func (d *rolloutDuties) collectEvidence(ctx context.Context, duty *rolloutDuty, order shift.Order) (input shift.DecisionInput, missing int) {
 	all := []shift.Evidence{d.ownEvidence(order.Service)}
 	var mu sync.Mutex
 	// Only the holder may count as a sign that the duty has a holder.
-	ask := peer.EvidenceRequest{Service: order.Service, Holder: one.lease.Held()}
+	request := peer.EvidenceRequest{Service: order.Service, Holder: duty.lease.Held()}
 	d.callPeers(ctx, func(call context.Context, address string) {
-		e, err := d.peers.Evidence(call, address, ask)
+		e, err := d.peers.Evidence(call, address, request)
 		mu.Lock()
 		defer mu.Unlock()
 		if err != nil || e.Order != order.ID {
@@ -362,9 +362,9 @@
 		all = append(all, e)
 	})
 	for _, e := range all {
-		one.tally.Update(e)
+		duty.tally.Update(e)
 	}
-	return one.tally.Input(all), missing
+	return duty.tally.Input(all), missing
 }
 
 func (n *Node) ownEvidence(service string) shift.Evidence {
@@ -378,7 +378,7 @@
 	d.applyRolloutState(s, "own")
 	d.callPeers(ctx, func(call context.Context, address string) {
 		if err := d.peers.SendRolloutState(call, address, s); err != nil {
-			slog.Debug("rollout.state_not_told", "peer", address, "error", err)
+			slog.Debug("rollout.state_not_sent", "peer", address, "error", err)
 		}
 	})
 }
--- a/internal/entry/duty_test.go
+++ b/internal/entry/duty_test.go
@@ -58,7 +58,7 @@
 
 // newRegressedRollout returns a daemon that holds the duty of a roll-out whose new version has
 // already shown too many bad answers, the store, and a function that processes the roll-out.
-func newRegressedRollout(t *testing.T) (n *Node, store *stateStore, look func()) {
+func newRegressedRollout(t *testing.T) (n *Node, store *stateStore, process func()) {
 	store = &stateStore{Store: platformtest.NewStore()}
 	server := httptest.NewServer(store)
 	t.Cleanup(server.Close)
@@ -66,7 +66,7 @@
 	n = newTestNode(clock, func(r *settings.Routes) { r.Platform = server.Listener.Addr().String() })
 	order := shift.Order{ID: 7, Service: rolloutService, To: "v2", Allowed: time.Minute}
 	n.addOrder(order, "store")
-	look = func() {
+	process = func() {
 		clock.Advance(time.Millisecond)
 		// Other calls are answered, so that the next call goes directly to the store.
 		n.storeHealth.record(clock.Now(), clock.Now(), nil)
@@ -74,28 +74,28 @@
 			n.duties.process(context.Background(), active)
 		}
 	}
-	look()
+	process()
 	clock.Advance(2 * time.Second)
-	look()
+	process()
 	require.Equal(t, shift.Running, store.state(t).Phase)
 	for range 60 {
 		n.rollouts.Observe(rolloutService, shift.Observation{Version: "v1"})
 		n.rollouts.Observe(rolloutService, shift.Observation{Version: "v2", Bad: true})
 	}
-	return n, store, look
+	return n, store, process
 }
 
 // Guards against reporting a rollback to the operator while the stored state still says that
 // the version is being rolled out: after a restart of all daemons the roll-out would continue.
 func TestRollbackIsStoredBeforeItIsReported(t *testing.T) {
-	_, store, look := newRegressedRollout(t)
+	_, store, process := newRegressedRollout(t)
 	store.refuses.Store(true)
 	for range 3 {
-		look()
+		process()
 		require.Equal(t, "running", store.Rollout(rolloutService))
 	}
 	store.refuses.Store(false)
-	look()
+	process()
 	require.Equal(t, "rolled_back", store.Rollout(rolloutService))
 	require.Equal(t, shift.RolledBack, store.state(t).Phase)
 }
@@ -103,12 +103,12 @@
 // Guards against a state that is never stored because its phase has already been reported to
 // the operator.
 func TestStateIsStoredAfterTheOperatorWasInformed(t *testing.T) {
-	n, store, look := newRegressedRollout(t)
+	n, store, process := newRegressedRollout(t)
 	n.duties.byService[rolloutService].reportedPhase = shift.RolledBack
 	store.refuses.Store(true)
-	look()
+	process()
 	store.refuses.Store(false)
-	look()
+	process()
 	state := store.state(t)
 	require.Equal(t, shift.RolledBack, state.Phase)
 	require.True(t, state.Told)
--- a/internal/entry/evacuate.go
+++ b/internal/entry/evacuate.go
@@ -10,15 +10,15 @@
 
 // applyEvacuations applies the evacuation orders of a read of the operator's rows and reports
 // whether the active evacuations changed.
-func (n *Node) applyEvacuations(news platform.OperatorNews) bool {
+func (n *Node) applyEvacuations(rows platform.OperatorNews) bool {
 	before := n.evacuations.Checksum()
 	switch {
-	case news.Whole && n.storeMayBeStale():
-		n.enforceEvacuations(n.evacuations.MergeStale(news.Evacuations), "store")
-	case news.Whole:
-		n.enforceEvacuations(n.evacuations.Replace(news.Evacuations, news.Revision), "store")
+	case rows.Whole && n.storeMayBeStale():
+		n.enforceEvacuations(n.evacuations.MergeStale(rows.Evacuations), "store")
+	case rows.Whole:
+		n.enforceEvacuations(n.evacuations.Replace(rows.Evacuations, rows.Revision), "store")
 	default:
-		n.enforceEvacuations(n.evacuations.Merge(news.Evacuations), "store")
+		n.enforceEvacuations(n.evacuations.Merge(rows.Evacuations), "store")
 	}
 	return n.evacuations.Checksum() != before
 }
--- a/internal/entry/guard.go
+++ b/internal/entry/guard.go
@@ -40,18 +40,18 @@
 // each single daemon is too little to stop it. Stopping needs no lease because it can only
 // limit the damage. The next daemons by rank therefore collect the evidence of all and
 // broadcast the stop if the version has regressed.
-func (d *rolloutDuties) stopIfRegressed(ctx context.Context, one *rolloutDuty, active shift.UnfinishedRollout) {
+func (d *rolloutDuties) stopIfRegressed(ctx context.Context, duty *rolloutDuty, active shift.UnfinishedRollout) {
 	state := active.State
-	if state.Phase != shift.Running || state.Stopped || !d.holderSilent(active.Order.Service, one) ||
-		d.clock.Since(one.guardedAt) < guardInterval {
+	if state.Phase != shift.Running || state.Stopped || !d.holderSilent(active.Order.Service, duty) ||
+		d.clock.Since(duty.guardedAt) < guardInterval {
 		return
 	}
-	one.guardedAt = d.clock.Now()
-	known, missing := d.collectEvidence(ctx, one, active.Order)
-	if !shift.Regressed(known.Fresh, known.Old) {
+	duty.guardedAt = d.clock.Now()
+	input, missing := d.collectEvidence(ctx, duty, active.Order)
+	if !shift.Regressed(input.Fresh, input.Old) {
 		return
 	}
-	fresh, old := known.Fresh.Total(), known.Old.Total()
+	fresh, old := input.Fresh.Total(), input.Old.Total()
 	slog.Warn("rollout.stopped", "service", state.Service, "to", state.To, "order", state.Order, "fresh", fresh.Requests,
 		"fresh_bad", fresh.Bad, "old", old.Requests, "old_bad", old.Bad, "missing", missing)
 	state.Stopped = true
--- a/internal/entry/link_test.go
+++ b/internal/entry/link_test.go
@@ -58,14 +58,14 @@
 	reader := d.nodes[0]
 	now := reader.clock.Now()
 	reader.workTotals.add(reader.ownWork(), now)
-	work, read := reader.workTotals.fleetWork(now, prefixesIn(linkRoundInterval))
-	told := peer.FleetWork{Amounts: peer.PackWork(work), Readings: peer.PackReadings(read)}
+	work, prefixes := reader.workTotals.fleetWork(now, prefixesIn(linkRoundInterval))
+	update := peer.FleetWork{Amounts: peer.PackWork(work), Readings: peer.PackReadings(prefixes)}
 	for _, n := range d.nodes[1:] {
-		d.sent += frameSize(t, told)
-		reader.workTotals.add(n.OnFleetWork(told), now)
+		d.sent += frameSize(t, update)
+		reader.workTotals.add(n.OnFleetWork(update), now)
 	}
-	work, read = reader.workTotals.groupWork(now, prefixesIn(linkRoundInterval))
-	return peer.DomainWork{Amounts: peer.PackWork(work), Readings: peer.PackReadings(read)}
+	work, prefixes = reader.workTotals.groupWork(now, prefixesIn(linkRoundInterval))
+	return peer.DomainWork{Amounts: peer.PackWork(work), Readings: peer.PackReadings(prefixes)}
 }
 
 // frameSize returns the size of v as net/rpc sends it on a connection that has already sent
@@ -106,7 +106,7 @@
 		domains = append(domains, newTestDomain(clock, fmt.Sprint("zone-", d), engines))
 	}
 	rounds := int(linkDuration * time.Second / linkRoundInterval)
-	worst := time.Duration(0)
+	longest := time.Duration(0)
 	for range rounds {
 		for range int(linkPromptsPerSecond * linkRoundInterval.Seconds()) {
 			n := domains[random.IntN(linkDomains)].nodes[random.IntN(linkDaemonsPerDomain)]
@@ -114,17 +114,17 @@
 		}
 		for d, domain := range domains {
 			before := domain.sent
-			told := domain.round(t)
-			told.Domain = fmt.Sprint("zone-", d)
-			worst = max(worst, time.Duration(domain.sent-before)*8*time.Second/linkBitsPerSecond)
+			update := domain.round(t)
+			update.Domain = fmt.Sprint("zone-", d)
+			longest = max(longest, time.Duration(domain.sent-before)*8*time.Second/linkBitsPerSecond)
 			for other := range domains {
 				if other != d {
-					domains[other].nodes[0].OnDomainWork(told)
+					domains[other].nodes[0].OnDomainWork(update)
 				}
 			}
 		}
 		clock.Advance(linkRoundInterval)
 	}
-	t.Logf("the longest round takes %v of a link of %d Mbit/s", worst, linkBitsPerSecond/1_000_000)
-	require.Less(t, worst, linkRoundInterval/4)
+	t.Logf("the longest round takes %v of a link of %d Mbit/s", longest, linkBitsPerSecond/1_000_000)
+	require.Less(t, longest, linkRoundInterval/4)
 }
--- a/internal/entry/list.go
+++ b/internal/entry/list.go
@@ -33,12 +33,12 @@
 		}
 		whole = whole || n.staleWindow.takeListDue(n.clock.Now())
 		err := n.readList(ctx, whole)
-		lost := errors.Is(err, platform.ErrCompacted)
-		whole = lost || whole && err != nil
+		compacted := errors.Is(err, platform.ErrCompacted)
+		whole = compacted || whole && err != nil
 		switch {
 		case ctx.Err() != nil:
 			return
-		case lost:
+		case compacted:
 			// An instance may have left in the part of the history that the store has dropped;
 			// only a read of the whole list shows it.
 			slog.Warn("store.history_gone", "table", "instances", "revision", n.table.Revision())
@@ -59,12 +59,12 @@
 	first := !n.table.Loaded()
 	whole = whole || first
 	asked := n.clock.Now()
-	var news platform.InstanceNews
+	var rows platform.InstanceNews
 	var err error
 	if whole {
-		news, err = n.store.Instances(ctx)
+		rows, err = n.store.Instances(ctx)
 	} else {
-		news, err = n.store.InstancesAfter(ctx, base, 0)
+		rows, err = n.store.InstancesAfter(ctx, base, 0)
 	}
 	if ctx.Err() != nil {
 		return ctx.Err()
@@ -73,39 +73,39 @@
 	if err != nil {
 		return err
 	}
-	if n := len(news.Malformed); n > 0 {
+	if n := len(rows.Malformed); n > 0 {
 		// Logs one line per read, however many entries are malformed.
-		slog.Error("instances.unreadable", "revision", news.Revision, "count", n, "first", news.Malformed[0])
+		slog.Error("instances.unreadable", "revision", rows.Revision, "count", n, "first", rows.Malformed[0])
 	}
-	doubted := n.graceEnd(n.clock.Now())
+	graceEnd := n.graceEnd(n.clock.Now())
 	if whole {
-		taken := n.table.Replace(snapshot(news), doubted)
-		slog.Info("instances.read", "count", len(news.Changes), "revision", news.Revision, "doubted", doubted.After(n.clock.Now()), "taken", taken)
-		if taken && !first {
+		replaced := n.table.Replace(snapshot(rows), graceEnd)
+		slog.Info("instances.read", "count", len(rows.Changes), "revision", rows.Revision, "doubted", graceEnd.After(n.clock.Now()), "taken", replaced)
+		if replaced && !first {
 			// The first list of a daemon that has just started is not new to the others.
 			n.sendWholeList(ctx)
 		}
 		return nil
 	}
-	told, ok := n.applyChanges(news, doubted)
+	update, ok := n.applyChanges(rows, graceEnd)
 	// The revision of the list also shows whether the operator's rows are up to date.
-	n.confirmOperator(ctx, news.Revision)
+	n.confirmOperator(ctx, rows.Revision)
 	if ok {
-		n.sendListChanges(ctx, told)
+		n.sendListChanges(ctx, update)
 	}
 	return nil
 }
 
 // applyChanges applies the changes of a read and returns the update for the daemons of the
 // group. ok is false if this daemon already has a newer list.
-func (n *Node) applyChanges(news platform.InstanceNews, doubted time.Time) (told peer.StoreUpdate, ok bool) {
-	changes, from, ok := n.table.Apply(news.Changes, news.Revision, doubted)
-	return peer.StoreUpdate{Changes: changes, Base: from, List: news.Revision}, ok
+func (n *Node) applyChanges(rows platform.InstanceNews, graceEnd time.Time) (update peer.StoreUpdate, ok bool) {
+	changes, from, ok := n.table.Apply(rows.Changes, rows.Revision, graceEnd)
+	return peer.StoreUpdate{Changes: changes, Base: from, List: rows.Revision}, ok
 }
 
-func snapshot(news platform.InstanceNews) inventory.Snapshot {
-	s := inventory.Snapshot{Revision: news.Revision, Warming: map[string]time.Duration{}}
-	for _, c := range news.Changes {
+func snapshot(rows platform.InstanceNews) inventory.Snapshot {
+	s := inventory.Snapshot{Revision: rows.Revision, Warming: map[string]time.Duration{}}
+	for _, c := range rows.Changes {
 		switch {
 		case c.Instance != nil:
 			s.Instances = append(s.Instances, *c.Instance)
--- a/internal/entry/module.go
+++ b/internal/entry/module.go
@@ -131,8 +131,8 @@
 	if err != nil {
 		return "", trace.Wrap(err)
 	}
-	if most := maxCallerConns(p.settings.Descriptors); most > 0 {
-		l = netutil.LimitListener(l, most)
+	if limit := maxCallerConns(p.settings.Descriptors); limit > 0 {
+		l = netutil.LimitListener(l, limit)
 	}
 	trackCallerConns(p.callers)
 	return serve(p.callers, &callerListener{Listener: l, limits: p.node.limits}), nil
@@ -181,12 +181,12 @@
 // stop performs a planned stop: it removes this daemon from the directory, serves requests
 // until callers have noticed, refuses new ones, finishes the running ones and ends.
 func (p *Process) stop(context.Context) error {
-	began := p.clock.Now()
+	started := p.clock.Now()
 	total := settings.Seconds(p.settings.StopS)
 	slog.Info("daemon.stopping", "open", p.node.metrics.Open.Load())
 	p.node.leave(member.Leaving)
 	p.clock.Sleep(time.Duration(acceptFraction * float64(total)))
-	left := time.Duration(stopFraction*float64(total)) - p.clock.Since(began)
+	left := time.Duration(stopFraction*float64(total)) - p.clock.Since(started)
 	ctx, cancel := context.WithTimeout(context.Background(), left)
 	defer cancel()
 	err := p.callers.Shutdown(ctx)
@@ -203,7 +203,7 @@
 		server.Close()
 	}
 	p.node.store.Close()
-	slog.Info("daemon.stopped", "cut", cut, "after_ms", p.clock.Since(began).Milliseconds())
+	slog.Info("daemon.stopped", "cut", cut, "after_ms", p.clock.Since(started).Milliseconds())
 	return nil
 }
 
--- a/internal/entry/node_test.go
+++ b/internal/entry/node_test.go
@@ -82,32 +82,32 @@
 	n := newFleetNode(t, clock)
 	n.setKnownState()
 	mine := n.heartbeat()
-	theirs := mine
-	theirs.Digest++
-	theirs.List++
+	peerBeat := mine
+	peerBeat.Digest++
+	peerBeat.List++
 
-	_, lacking := n.missingFrom(theirs, mine)
+	_, lacking := n.missingFrom(peerBeat, mine)
 	require.False(t, lacking)
 
 	clock.Advance(membershipSettleTime + time.Millisecond)
-	ask, lacking := n.missingFrom(theirs, mine)
+	request, lacking := n.missingFrom(peerBeat, mine)
 	require.True(t, lacking)
-	require.True(t, ask.Members)
-	require.True(t, ask.Instances, "the store is silent and the list is old")
+	require.True(t, request.Members)
+	require.True(t, request.Instances, "the store is silent and the list is old")
 
 	n.storeHealth.record(clock.Now(), clock.Now(), nil)
-	ask, _ = n.missingFrom(theirs, mine)
-	require.False(t, ask.Instances, "the store answers")
+	request, _ = n.missingFrom(peerBeat, mine)
+	require.False(t, request.Instances, "the store answers")
 
-	theirs = mine
-	theirs.Shifts++
-	ask, lacking = n.missingFrom(theirs, mine)
-	require.True(t, lacking && ask.Shifts)
-	require.False(t, ask.Members || ask.Instances)
+	peerBeat = mine
+	peerBeat.Shifts++
+	request, lacking = n.missingFrom(peerBeat, mine)
+	require.True(t, lacking && request.Shifts)
+	require.False(t, request.Members || request.Instances)
 
 	started := newFleetNode(t, clock)
-	ask, _ = started.missingFrom(mine, started.heartbeat())
-	require.True(t, ask.Instances, "a daemon that has just started has no list")
+	request, _ = started.missingFrom(mine, started.heartbeat())
+	require.True(t, request.Instances, "a daemon that has just started has no list")
 }
 
 // Guards against overloading a store that is unavailable: in an outage of seven seconds, 88
@@ -117,14 +117,14 @@
 	clock := clockwork.NewFakeClock()
 	n := newFleetNode(t, clock)
 	n.setKnownState()
-	require.False(t, n.mustReadList() || n.mustReadOperator(), "its readers tell it")
+	require.False(t, n.mustReadList() || n.mustReadOperator(), "its readers send updates")
 	clock.Advance(lateListAge(n))
-	require.True(t, n.mustReadList() && n.mustReadOperator(), "news is late")
+	require.True(t, n.mustReadList() && n.mustReadOperator(), "updates are late")
 	n.storeHealth.record(clock.Now(), clock.Now(), errors.New("no answer"))
 	require.True(t, n.mustReadList())
 	require.False(t, n.mustReadOperator())
 	n.behind.Store(true)
-	require.True(t, n.mustReadOperator(), "a peer told of something newer")
+	require.True(t, n.mustReadOperator(), "a peer has newer rows")
 
 	started := newFleetNode(t, clock)
 	require.True(t, started.mustReadList() && started.mustReadOperator())
@@ -181,7 +181,7 @@
 	require.Equal(t, "0.300", refusal())
 	n.storeHealth.record(n.clock.Now(), n.clock.Now(), errors.New("no answer"))
 	go ask()
-	require.Equal(t, "2.000", refusal(), "at once")
+	require.Equal(t, "2.000", refusal(), "without waiting")
 }
 
 func askOnce(n *Node) *httptest.ResponseRecorder {
@@ -202,7 +202,7 @@
 	require.NoError(t, clock.BlockUntilContext(t.Context(), 1))
 	n.setKnownState()
 	n.publishCallerURL()
-	require.Equal(t, http.StatusNotFound, (<-answer).Code, "by the configuration, not refused for want of one")
+	require.Equal(t, http.StatusNotFound, (<-answer).Code, "answered by the configuration instead of refused")
 }
 
 // Guards against spreading the grace period of a reader that was cut off from the store while
@@ -214,10 +214,10 @@
 	clock := clockwork.NewFakeClock()
 	n := newFleetNode(t, clock)
 	n.setKnownState()
-	gone := func(list int64, id string, doubted time.Duration) {
+	remove := func(list int64, id string, doubted time.Duration) {
 		n.OnStoreUpdate(peer.StoreUpdate{From: "127.0.1.1:1", Base: 5, List: list, Changes: []inventory.Change{{ID: id}}, Doubted: doubted})
 	}
-	gone(6, "i", 2*time.Second)
+	remove(6, "i", 2*time.Second)
 	require.Empty(t, n.table.Usable("s"))
 
 	n = newFleetNode(t, clock)
@@ -225,10 +225,10 @@
 	other := inventory.Instance{ID: "j", Service: "s"}
 	n.table.Apply([]inventory.Change{{ID: "j", Instance: &other}}, 5, time.Time{})
 	clock.Advance(lateListAge(n))
-	gone(6, "i", 2*time.Second)
+	remove(6, "i", 2*time.Second)
 	require.Len(t, n.table.Usable("s"), 2)
 	clock.Advance(100 * time.Millisecond)
-	gone(7, "j", 1900*time.Millisecond)
+	remove(7, "j", 1900*time.Millisecond)
 	require.Len(t, n.table.Usable("s"), 2)
 	clock.Advance(1901 * time.Millisecond)
 	n.table.Expire()
@@ -250,12 +250,12 @@
 	reader.OnStoreUpdate(peer.StoreUpdate{From: "127.0.1.1:1", Base: 5, List: 6, Changes: []inventory.Change{change}})
 	require.Empty(t, reader.table.Usable("s"))
 
-	told, ok := reader.applyChanges(platform.InstanceNews{Revision: 7, Changes: []inventory.Change{change}}, time.Time{})
+	update, ok := reader.applyChanges(platform.InstanceNews{Revision: 7, Changes: []inventory.Change{change}}, time.Time{})
 	require.True(t, ok)
 	clock.Advance(lateListAge(third))
-	third.OnStoreUpdate(told)
+	third.OnStoreUpdate(update)
 	require.Equal(t, int64(5), third.table.Revision())
-	require.True(t, third.mustReadList(), "it reads the list itself")
+	require.True(t, third.mustReadList(), "the daemon must read the list itself")
 }
 
 // lateListAge is the age of the list at which a daemon reads it itself.
@@ -301,15 +301,15 @@
 	n.OnStoreUpdate(peer.StoreUpdate{From: "127.0.1.1:1", Base: 5, List: 5, Doubted: 2 * time.Second})
 	end := clock.Now().Add(2 * time.Second)
 	clock.Advance(1900 * time.Millisecond)
-	require.Equal(t, end, n.graceEnd(clock.Now()), "the store has not answered here yet")
+	require.Equal(t, end, n.graceEnd(clock.Now()), "the store has not answered this daemon yet")
 	n.storeHealth.record(clock.Now(), clock.Now(), nil)
 	require.Equal(t, end, n.graceEnd(clock.Now()))
-	require.Equal(t, 100*time.Millisecond, n.graceLeft(), "told to peers")
+	require.Equal(t, 100*time.Millisecond, n.graceLeft(), "sent to peers")
 
 	n.storeHealth.record(clock.Now(), clock.Now(), errors.New("no answer"))
 	clock.Advance(time.Second)
 	n.storeHealth.record(clock.Now(), clock.Now(), nil)
-	require.Equal(t, clock.Now().Add(missingEntryGrace), n.graceEnd(clock.Now()), "no reader has told since a later outage")
+	require.Equal(t, clock.Now().Add(missingEntryGrace), n.graceEnd(clock.Now()), "no update from a reader since a later outage")
 }
 
 // Guards against streams that a stopping daemon accepts from callers with an old directory
--- a/internal/entry/operator.go
+++ b/internal/entry/operator.go
@@ -80,7 +80,7 @@
 // readAllOperator reads all rows of the operator.
 func (n *Node) readAllOperator(ctx context.Context) error {
 	asked := n.clock.Now()
-	news, err := n.store.Operator(ctx)
+	rows, err := n.store.Operator(ctx)
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
@@ -89,21 +89,21 @@
 		n.logReadFailure(0, asked, err)
 		return err
 	}
-	news = n.withoutStale(news)
+	rows = n.withoutStale(rows)
 	// The states are read before the orders are applied. An order without its state looks like
 	// a roll-out that has just begun, which keeps everything on old instances. After a restart
 	// of all daemons these may be gone, and every request would be refused until a daemon
 	// holds the duty.
 	asked = n.clock.Now()
-	if err := n.loadRolloutStates(ctx, news.Orders); err != nil {
+	if err := n.loadRolloutStates(ctx, rows.Orders); err != nil {
 		n.storeHealth.record(asked, n.clock.Now(), err)
 		return err
 	}
 	n.wholeReadDue, n.lastWholeRead = false, n.clock.Now()
 	// The rows do not contain orders that are no longer in force, so the update does not
 	// continue from any revision.
-	const fromNothing = math.MaxInt64
-	n.applyRead(ctx, news, fromNothing)
+	const noBase = math.MaxInt64
+	n.applyRead(ctx, rows, noBase)
 	return nil
 }
 
@@ -111,7 +111,7 @@
 // whether there are any.
 func (n *Node) readOperatorAfter(ctx context.Context, after int64, hold time.Duration) (changed bool, err error) {
 	asked := n.clock.Now()
-	news, err := n.store.OperatorAfter(ctx, after, hold)
+	rows, err := n.store.OperatorAfter(ctx, after, hold)
 	if ctx.Err() != nil {
 		return false, ctx.Err()
 	}
@@ -124,7 +124,7 @@
 		n.logReadFailure(after, asked, err)
 		return false, err
 	}
-	return n.applyRead(ctx, news, after), nil
+	return n.applyRead(ctx, rows, after), nil
 }
 
 // logReadFailure logs a failed read of the rows after a revision.
@@ -134,14 +134,14 @@
 
 // applyRead applies operator rows read after revision base and sends them to the group. It
 // reports whether there were changes.
-func (n *Node) applyRead(ctx context.Context, news platform.OperatorNews, base int64) (changed bool) {
+func (n *Node) applyRead(ctx context.Context, rows platform.OperatorNews, base int64) (changed bool) {
 	n.behind.Store(false)
-	evacuated := n.applyEvacuations(news)
-	changed = evacuated || news.Catalog != nil || len(news.Orders) > 0
-	n.freshness.record(n.clock.Now(), news.Revision, changed)
-	n.applyOperator(news)
+	evacuated := n.applyEvacuations(rows)
+	changed = evacuated || rows.Catalog != nil || len(rows.Orders) > 0
+	n.freshness.record(n.clock.Now(), rows.Revision, changed)
+	n.applyOperator(rows)
 	if changed {
-		n.sendOperatorRows(ctx, news, base, evacuated)
+		n.sendOperatorRows(ctx, rows, base, evacuated)
 	}
 	return changed
 }
@@ -174,16 +174,16 @@
 	}
 }
 
-func (n *Node) applyOperator(news platform.OperatorNews) {
-	for _, err := range news.Malformed {
-		slog.Error("operator.unreadable", "revision", news.Revision, "error", err)
+func (n *Node) applyOperator(rows platform.OperatorNews) {
+	for _, err := range rows.Malformed {
+		slog.Error("operator.unreadable", "revision", rows.Revision, "error", err)
 	}
-	if news.Catalog != nil {
-		n.installConfig(news.Catalog, news.Manifest, "store")
+	if rows.Catalog != nil {
+		n.installConfig(rows.Catalog, rows.Manifest, "store")
 		n.publishCallerURL()
 		n.requestHeartbeat()
 	}
-	for _, o := range news.Orders {
+	for _, o := range rows.Orders {
 		n.addOrder(o, "store")
 	}
 }
--- a/internal/entry/operator_test.go
+++ b/internal/entry/operator_test.go
@@ -92,7 +92,7 @@
 // store then never answers.
 func (r *storeReader) losePoll() {
 	r.t.Helper()
-	r.eventually("the store holds the question", func() bool { return r.store.Held() == 1 })
+	r.eventually("the store holds the long poll", func() bool { return r.store.Held() == 1 })
 	r.awaitListRead()
 	r.store.LoseHeld()
 }
@@ -107,7 +107,7 @@
 	r.losePoll()
 	r.store.Declare(routeTo(2, "/new/"))
 	r.advance(configDeadline)
-	require.Equal(t, int64(2), r.configVersion(), "in force in time")
+	require.Equal(t, int64(2), r.configVersion(), "the configuration is in force in time")
 }
 
 // Guards against seldom reads of the list where instances may take ten seconds to leave:
@@ -117,7 +117,7 @@
 	r.losePoll()
 	r.store.Declare(routeTo(2, "/new/"))
 	r.advance(configDeadline)
-	require.Equal(t, int64(2), r.configVersion(), "in force in time")
+	require.Equal(t, int64(2), r.configVersion(), "the configuration is in force in time")
 }
 
 // Guards against an update of the list that waits for a read of the operator's rows. An
@@ -127,22 +127,22 @@
 func TestListChangesAreSentBeforeOperatorRowsAreConfirmed(t *testing.T) {
 	r := newStoreReader(t, 2000)
 	other := newTestNode(r.clock, func(s *settings.Routes) { s.PeerListen = "127.0.0.1:0" })
-	heard := make(chan bool, 1)
+	storeLost := make(chan bool, 1)
 	server, err := peer.ListenRoutes("127.0.0.1:0", &updateRecorder{Node: other, onUpdate: func(n peer.StoreUpdate) {
 		if len(n.Changes) > 0 {
-			heard <- r.storeHealth.isLost()
+			storeLost <- r.storeHealth.isLost()
 		}
 	}})
 	require.NoError(t, err)
 	t.Cleanup(server.Close)
 	other.registry.SetSelf(func(d *member.Daemon) { d.PeerAddress = server.Address() })
 	r.registry.Merge([]member.Daemon{other.registry.Self()})
-	r.eventually("the store holds the question", func() bool { return r.store.Held() == 1 })
+	r.eventually("the store holds the long poll", func() bool { return r.store.Held() == 1 })
 	r.awaitListRead()
 	r.store.Silence(wire.TableOperator)
 	r.store.Put(wire.TableInstances, "i", wire.Instance{Service: "s", Address: "127.0.0.1:1", Zone: "a", Version: "v1", Slots: 8, State: wire.StateDraining})
 	r.clock.Advance(r.listInterval())
-	require.False(t, <-heard, "told after the question for the operator's rows had failed")
+	require.False(t, <-storeLost, "the update was sent after the read of the operator's rows had failed")
 }
 
 // updateRecorder is a daemon that passes the updates it receives to a function.
@@ -176,8 +176,8 @@
 	r.losePoll()
 	r.advance(configDeadline)
 	r.store.RefuseLost()
-	r.eventually("the question has failed", func() bool { return r.store.Held() == 0 })
-	require.NoError(t, r.clock.BlockUntilContext(t.Context(), 2), "it is to be asked again")
+	r.eventually("the long poll has failed", func() bool { return r.store.Held() == 0 })
+	require.NoError(t, r.clock.BlockUntilContext(t.Context(), 2), "the next read must be scheduled")
 	require.False(t, r.storeHealth.isLost())
 	require.Zero(t, r.graceLeft())
 }
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -75,13 +75,13 @@
 // findPeers returns addresses at which to look for peers: the seeds and, if no peer has been
 // known for noPeersTime, the addresses in the rows of other daemons.
 func (n *Node) findPeers(ctx context.Context) []string {
-	alone := len(n.registry.All()) == 1
-	if !alone || n.clock.Since(n.lastPeerSearch) < noPeersTime {
+	noPeers := len(n.registry.All()) == 1
+	if !noPeers || n.clock.Since(n.lastPeerSearch) < noPeersTime {
 		return n.unknownAddresses(*n.seeds.Load())
 	}
 	n.lastPeerSearch = n.clock.Now()
-	const most = 100
-	rows, err := n.kv.List(ctx, daemonPrefix, "", most)
+	const maxRows = 100
+	rows, err := n.kv.List(ctx, daemonPrefix, "", maxRows)
 	if err != nil {
 		slog.Debug("daemons.not_read", "error", err)
 		return n.unknownAddresses(*n.seeds.Load())
@@ -148,8 +148,8 @@
 }
 
 // callEach calls f for all daemons in parallel with a common timeout and waits for all calls.
-func (n *Node) callEach(ctx context.Context, most time.Duration, daemons []member.Daemon, f func(ctx context.Context, address string)) {
-	call, cancel := context.WithTimeout(ctx, most)
+func (n *Node) callEach(ctx context.Context, timeout time.Duration, daemons []member.Daemon, f func(ctx context.Context, address string)) {
+	call, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var all sync.WaitGroup
 	for _, d := range daemons {
@@ -190,8 +190,8 @@
 		return
 	}
 	n.applyHeartbeat(reply)
-	if ask, lacking := n.missingFrom(reply, mine); lacking {
-		n.syncFromPeer(ctx, address, ask)
+	if request, lacking := n.missingFrom(reply, mine); lacking {
+		n.syncFromPeer(ctx, address, request)
 	}
 }
 
@@ -214,14 +214,14 @@
 // mergeLeaving merges the instances that a peer found to be leaving, and triggers heartbeats
 // if there are new ones.
 func (n *Node) mergeLeaving(b peer.RoutesHeartbeat) {
-	news := false
+	changed := false
 	for _, life := range b.Left {
 		if n.table.NoteLeaving(life) {
-			news = true
+			changed = true
 			slog.Info("instance.leaving", "instance", life.ID, "source", b.From.PeerAddress)
 		}
 	}
-	if news {
+	if changed {
 		n.requestHeartbeat()
 	}
 }
@@ -229,19 +229,19 @@
 // mergeLimits merges a peer's rate limits of instances, and triggers heartbeats if there are
 // new ones.
 func (n *Node) mergeLimits(limits []inventory.Limit, source string) {
-	news := n.table.MergeLimits(limits)
-	for _, l := range news {
+	changed := n.table.MergeLimits(limits)
+	for _, l := range changed {
 		l.Log(source)
 	}
-	if len(news) > 0 {
+	if len(changed) > 0 {
 		n.requestHeartbeat()
 	}
 }
 
 // missingFrom compares a peer's heartbeat b with this daemon's heartbeat mine and returns a
 // request for the state that only the peer has. lacking is false if there is none.
-func (n *Node) missingFrom(b, mine peer.RoutesHeartbeat) (ask peer.SyncRequest, lacking bool) {
-	ask = peer.SyncRequest{
+func (n *Node) missingFrom(b, mine peer.RoutesHeartbeat) (request peer.SyncRequest, lacking bool) {
+	request = peer.SyncRequest{
 		Config: mine.Config, List: mine.List,
 		Instances: b.List > mine.List && n.useListFromPeers(),
 		Shifts:    b.Shifts > mine.Shifts,
@@ -251,7 +251,7 @@
 		Evacuations: b.Evacuated != 0 && b.Evacuated != mine.Evacuated,
 		Limits:      b.Limited != mine.Limited,
 	}
-	return ask, b.Config > mine.Config || ask.Instances || ask.Shifts || ask.Members || ask.Quarantine || ask.Evacuations || ask.Limits
+	return request, b.Config > mine.Config || request.Instances || request.Shifts || request.Members || request.Quarantine || request.Evacuations || request.Limits
 }
 
 // useListFromPeers reports whether this daemon uses instance lists of peers: it has none, or
@@ -272,12 +272,12 @@
 }
 
 // syncFromPeer requests the state that a peer has and this daemon lacks, and applies it.
-func (n *Node) syncFromPeer(ctx context.Context, address string, ask peer.SyncRequest) {
+func (n *Node) syncFromPeer(ctx context.Context, address string, request peer.SyncRequest) {
 	call, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
-	b, err := n.peers.Sync(call, address, ask)
+	b, err := n.peers.Sync(call, address, request)
 	if err != nil {
-		slog.Debug("peer.no_beliefs", "peer", address, "error", err)
+		slog.Debug("peer.sync_failed", "peer", address, "error", err)
 		return
 	}
 	n.registry.Merge(b.Members)
@@ -287,8 +287,8 @@
 	n.mergeLimits(b.Limits, address)
 	n.applyManifest(b.Manifest, address)
 	if b.Instances != nil && n.useListFromPeers() {
-		doubted := n.readerGrace.limit(n.clock.Now().Add(b.Doubted), n.storeHealth.lastLostAt())
-		if n.table.Replace(*b.Instances, doubted) {
+		graceEnd := n.readerGrace.limit(n.clock.Now().Add(b.Doubted), n.storeHealth.lastLostAt())
+		if n.table.Replace(*b.Instances, graceEnd) {
 			slog.Info("instances.from_peer", "peer", address, "revision", b.Instances.Revision, "count", len(b.Instances.Instances))
 		}
 	}
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -165,8 +165,8 @@
 // A request that only ran beside the culprit is cleared by having finished, or by a crash it
 // had no part in. A daemon that does not answer may know of either, so the result is 0 then.
 func (q *quarantineManager) collectEvidence(ctx context.Context, suspected []quarantine.Digest) (complete time.Duration) {
-	ask := peer.QuarantineEvidenceRequest{Within: inquiryWindow, Digests: suspected}
-	own := q.OnQuarantineEvidence(ask)
+	request := peer.QuarantineEvidenceRequest{Within: inquiryWindow, Digests: suspected}
+	own := q.OnQuarantineEvidence(request)
 	q.addEvidence(own)
 	var mu sync.Mutex
 	complete = own.Up
@@ -176,7 +176,7 @@
 		complete = min(complete, d)
 	}
 	q.callEach(ctx, inquiryTimeout, q.otherRunningDaemons(), func(call context.Context, address string) {
-		answer, err := q.peers.QuarantineEvidence(call, address, ask)
+		answer, err := q.peers.QuarantineEvidence(call, address, request)
 		if err != nil {
 			atMost(0)
 			slog.Info("quarantine.no_answer", "peer", address, "error", err)
@@ -219,22 +219,22 @@
 	if len(decided) == 0 {
 		return
 	}
-	news := peer.QuarantineUpdate{From: q.registry.Self().PeerAddress, Entries: decided}
+	update := peer.QuarantineUpdate{From: q.registry.Self().PeerAddress, Entries: decided}
 	select {
 	case q.unsaved <- decided:
 	default:
 		slog.Warn("quarantine.not_stored", "count", len(decided))
 	}
 	q.callEach(ctx, peerCallTimeout, q.otherRunningDaemons(), func(call context.Context, address string) {
-		if err := q.peers.SendQuarantineUpdate(call, address, news); err != nil {
-			slog.Debug("quarantine.not_told", "peer", address, "error", err)
+		if err := q.peers.SendQuarantineUpdate(call, address, update); err != nil {
+			slog.Debug("quarantine.not_sent", "peer", address, "error", err)
 		}
 	})
 }
 
 // applyEntries merges entries from a peer or the store.
-func (q *quarantineManager) applyEntries(told []quarantine.Entry, source string) {
-	for _, e := range q.list.Merge(told) {
+func (q *quarantineManager) applyEntries(entries []quarantine.Entry, source string) {
+	for _, e := range q.list.Merge(entries) {
 		if e.Released {
 			// Crashes before the release no longer count against the request.
 			q.evidence.Clear(e.Digest, 0)
@@ -281,6 +281,6 @@
 }
 
 // OnQuarantineUpdate implements peer.RoutesHandler.
-func (n *Node) OnQuarantineUpdate(news peer.QuarantineUpdate) {
-	n.quarantine.applyEntries(news.Entries, news.From)
+func (n *Node) OnQuarantineUpdate(update peer.QuarantineUpdate) {
+	n.quarantine.applyEntries(update.Entries, update.From)
 }
--- a/internal/entry/quarantine_store.go
+++ b/internal/entry/quarantine_store.go
@@ -53,11 +53,11 @@
 	if len(entries) == 0 || len(first) == 0 || first[0].Incarnation != q.registry.Self().Incarnation {
 		return
 	}
-	for part := range slices.Chunk(entries, maxPutsPerTxn) {
+	for batch := range slices.Chunk(entries, maxPutsPerTxn) {
 		select {
-		case q.unsaved <- part:
+		case q.unsaved <- batch:
 		default:
-			slog.Warn("quarantine.not_stored", "count", len(part))
+			slog.Warn("quarantine.not_stored", "count", len(batch))
 		}
 	}
 }
@@ -106,8 +106,8 @@
 		return err
 	}
 	now, _ := q.store.Clock()
-	var told []quarantine.Entry
-	var over []string
+	var entries []quarantine.Entry
+	var expired []string
 	for _, row := range rows {
 		var e storedEntry
 		if err := unmarshal(row, &e); err != nil {
@@ -116,15 +116,15 @@
 		}
 		e.Left = time.Duration(e.UntilMS-now) * time.Millisecond
 		if e.Left > 0 {
-			told = append(told, e.Entry)
+			entries = append(entries, e.Entry)
 		} else {
-			over = append(over, row.Key)
+			expired = append(expired, row.Key)
 		}
 	}
-	q.applyEntries(told, "store")
-	if len(over) == 0 {
+	q.applyEntries(entries, "store")
+	if len(expired) == 0 {
 		return nil
 	}
-	_, err = q.kv.Commit(ctx, backing.Txn{Deletes: over[:min(len(over), maxExpiredDeletes)]})
+	_, err = q.kv.Commit(ctx, backing.Txn{Deletes: expired[:min(len(expired), maxExpiredDeletes)]})
 	return err
 }
--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -46,7 +46,7 @@
 	n.OnCrashes(report)
 	n.quarantine.judge(context.Background())
 	_, refused := n.quarantine.Refused(suspect.Digest)
-	require.False(t, refused, "an instance has ended without it")
+	require.False(t, refused, "an instance ended without the request")
 }
 
 // Guards against delaying the next attempt of requests after a single crash. Requests whose
@@ -82,7 +82,7 @@
 	n.OnCrashes(report)
 	require.NoError(t, clock.BlockUntilContext(ctx, 1))
 	clock.Advance(crashSettleTime)
-	require.NoError(t, clock.BlockUntilContext(ctx, 1), "it is to look again")
+	require.NoError(t, clock.BlockUntilContext(ctx, 1), "another decision must be scheduled")
 	_, refused := n.quarantine.Refused(suspect.Digest)
 	require.False(t, refused)
 	n.quarantine.Finished(beside.Digest)
--- a/internal/entry/readers.go
+++ b/internal/entry/readers.go
@@ -51,8 +51,8 @@
 
 // groupUpTo returns a filter for the whole fleet if it has at most the given number of
 // daemons, or else for this daemon's failure domain.
-func (n *Node) groupUpTo(most int) func(member.Daemon) bool {
-	if len(n.registry.Live()) <= most {
+func (n *Node) groupUpTo(limit int) func(member.Daemon) bool {
+	if len(n.registry.Live()) <= limit {
 		return func(member.Daemon) bool { return true }
 	}
 	return func(d member.Daemon) bool { return d.FailureDomain == n.settings.FailureDomain }
@@ -123,12 +123,12 @@
 
 // sendListChanges sends the result of a read of the list to the group. An update without
 // changes confirms that the list is current.
-func (n *Node) sendListChanges(ctx context.Context, told peer.StoreUpdate) {
+func (n *Node) sendListChanges(ctx context.Context, update peer.StoreUpdate) {
 	if !n.isReader() {
 		return
 	}
-	told.ListAge, told.Doubted = n.table.Age(), n.graceLeft()
-	n.sendToGroup(ctx, told)
+	update.ListAge, update.Doubted = n.table.Age(), n.graceLeft()
+	n.sendToGroup(ctx, update)
 }
 
 // maxSentInstances is the largest number of instances for which the whole list is sent.
@@ -148,37 +148,37 @@
 //
 // The update contains every change after revision base unless the configuration is too long.
 // Daemons that have all rows up to base then need not read the store.
-func (n *Node) sendOperatorRows(ctx context.Context, news platform.OperatorNews, base int64, evacuated bool) {
+func (n *Node) sendOperatorRows(ctx context.Context, rows platform.OperatorNews, base int64, evacuated bool) {
 	if !n.isReader() {
 		return
 	}
-	told := peer.StoreUpdate{Manifest: news.Manifest, Orders: news.Orders, List: noList, OperatorBase: base, OperatorWhole: true}
-	if len(told.Manifest) > maxSentManifest {
-		told.Manifest, told.OperatorWhole = nil, false
+	update := peer.StoreUpdate{Manifest: rows.Manifest, Orders: rows.Orders, List: noList, OperatorBase: base, OperatorWhole: true}
+	if len(update.Manifest) > maxSentManifest {
+		update.Manifest, update.OperatorWhole = nil, false
 	}
 	if evacuated {
-		told.Evacuations = n.evacuations.Orders()
+		update.Evacuations = n.evacuations.Orders()
 	}
-	n.sendToGroup(ctx, told)
+	n.sendToGroup(ctx, update)
 }
 
 // noList is the list revision of an update without a list.
 const noList = -1
 
 // withFreshness adds the sender and the age of its operator rows to an update.
-func (n *Node) withFreshness(news peer.StoreUpdate) peer.StoreUpdate {
-	news.From, news.Evacuated = n.registry.Self().PeerAddress, n.evacuations.Checksum()
+func (n *Node) withFreshness(update peer.StoreUpdate) peer.StoreUpdate {
+	update.From, update.Evacuated = n.registry.Self().PeerAddress, n.evacuations.Checksum()
 	view := n.freshness.view()
-	news.OperatorRead, news.OperatorChanged, news.OperatorAge = view.readRevision, view.changedRevision, n.clock.Since(view.confirmedAt)
-	return news
+	update.OperatorRead, update.OperatorChanged, update.OperatorAge = view.readRevision, view.changedRevision, n.clock.Since(view.confirmedAt)
+	return update
 }
 
 // sendToGroup sends an update to the other daemons of the reader group.
-func (n *Node) sendToGroup(ctx context.Context, news peer.StoreUpdate) {
-	news = n.withFreshness(news)
+func (n *Node) sendToGroup(ctx context.Context, update peer.StoreUpdate) {
+	update = n.withFreshness(update)
 	n.callEach(ctx, peerCallTimeout, n.otherDaemons(n.readerGroup()), func(call context.Context, address string) {
-		if err := n.peers.SendStoreUpdate(call, address, news); err != nil {
-			slog.Debug("news.not_told", "peer", address, "error", err)
+		if err := n.peers.SendStoreUpdate(call, address, update); err != nil {
+			slog.Debug("update.not_sent", "peer", address, "error", err)
 		}
 	})
 }
@@ -193,25 +193,25 @@
 
 // applyFreshness confirms this daemon's operator rows by those of a reader if this daemon has
 // the same ones. Otherwise it marks this daemon as behind, so that it reads the rows itself.
-func (n *Node) applyFreshness(news peer.StoreUpdate) {
+func (n *Node) applyFreshness(update peer.StoreUpdate) {
 	view := n.freshness.view()
 	if view.confirmedAt.IsZero() {
 		return
 	}
-	follows := news.OperatorWhole && view.readRevision >= news.OperatorBase
-	known := view.readRevision >= news.OperatorChanged || follows || len(news.Manifest) > 0
-	if !known || news.Evacuated != n.evacuations.Checksum() {
+	continues := update.OperatorWhole && view.readRevision >= update.OperatorBase
+	upToDate := view.readRevision >= update.OperatorChanged || continues || len(update.Manifest) > 0
+	if !upToDate || update.Evacuated != n.evacuations.Checksum() {
 		n.behind.Store(true)
 		return
 	}
-	n.freshness.record(n.clock.Now().Add(-news.OperatorAge), news.OperatorRead, view.readRevision < news.OperatorChanged)
+	n.freshness.record(n.clock.Now().Add(-update.OperatorAge), update.OperatorRead, view.readRevision < update.OperatorChanged)
 }
 
 // wholeListGraceEnd returns until when entries are kept that are missing from a reader's whole
 // list: the later of the reader's grace period and this daemon's own.
-func (n *Node) wholeListGraceEnd(told time.Duration) time.Time {
+func (n *Node) wholeListGraceEnd(remaining time.Duration) time.Time {
 	now := n.clock.Now()
-	until := n.readerGrace.extend(now, told, n.listIsLate())
+	until := n.readerGrace.extend(now, remaining, n.listIsLate())
 	if own := n.graceEnd(now); own.After(until) {
 		return own
 	}
@@ -219,36 +219,36 @@
 }
 
 // OnStoreUpdate implements peer.RoutesHandler.
-func (n *Node) OnStoreUpdate(news peer.StoreUpdate) {
-	n.store.NoteRevision(max(news.List, news.OperatorRead))
-	if len(news.Evacuations) > 0 {
-		n.enforceEvacuations(n.evacuations.MergeAll(news.Evacuations), news.From)
+func (n *Node) OnStoreUpdate(update peer.StoreUpdate) {
+	n.store.NoteRevision(max(update.List, update.OperatorRead))
+	if len(update.Evacuations) > 0 {
+		n.enforceEvacuations(n.evacuations.MergeAll(update.Evacuations), update.From)
 	}
-	n.applyManifest(news.Manifest, news.From)
-	for _, o := range news.Orders {
-		n.addOrder(o, news.From)
+	n.applyManifest(update.Manifest, update.From)
+	for _, o := range update.Orders {
+		n.addOrder(o, update.From)
 	}
-	if len(news.Manifest) > 0 || len(news.Orders) > 0 || len(news.Evacuations) > 0 {
+	if len(update.Manifest) > 0 || len(update.Orders) > 0 || len(update.Evacuations) > 0 {
 		n.requestHeartbeat()
 	}
-	n.applyFreshness(news)
-	if news.List == noList {
+	n.applyFreshness(update)
+	if update.List == noList {
 		return
 	}
-	n.readerGrace.noteUpdate(n.clock.Now(), news.Doubted)
+	n.readerGrace.noteUpdate(n.clock.Now(), update.Doubted)
 	revision := n.table.Revision()
 	switch {
-	case news.Whole != nil && revision <= news.List:
-		n.table.Replace(*news.Whole, n.wholeListGraceEnd(news.Doubted))
-		n.table.Confirm(news.ListAge)
-	case !n.table.Loaded() || revision < news.Base:
+	case update.Whole != nil && revision <= update.List:
+		n.table.Replace(*update.Whole, n.wholeListGraceEnd(update.Doubted))
+		n.table.Confirm(update.ListAge)
+	case !n.table.Loaded() || revision < update.Base:
 		// An update was missed. The list becomes late, and this daemon then reads it or takes
 		// it from a peer.
-	case revision >= news.List:
-		n.table.Confirm(news.ListAge)
+	case revision >= update.List:
+		n.table.Confirm(update.ListAge)
 	default:
-		doubted := n.readerGrace.extend(n.clock.Now(), news.Doubted, n.listIsLate())
-		n.table.Apply(news.Changes, news.List, doubted)
-		n.table.Confirm(news.ListAge)
+		graceEnd := n.readerGrace.extend(n.clock.Now(), update.Doubted, n.listIsLate())
+		n.table.Apply(update.Changes, update.List, graceEnd)
+		n.table.Confirm(update.ListAge)
 	}
 }
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -69,7 +69,7 @@
 
 // do makes a call to the store directly or through a peer.
 func (r *relayedTable) do(ctx context.Context, call peer.StoreCall) peer.StoreReply {
-	why := "the store failed lately"
+	why := "a direct call to the store failed recently"
 	if !r.failedRecently() {
 		reply := r.storeCall(ctx, call)
 		if reply.Outcome == peer.StoreNotDone || reply.Outcome == peer.StoreUnknown {
@@ -80,15 +80,15 @@
 		}
 		why = reply.Why
 	}
-	for _, helper := range r.relayCandidates() {
-		reply, err := r.relayCall(ctx, helper.PeerAddress, call)
+	for _, candidate := range r.relayCandidates() {
+		reply, err := r.relayCall(ctx, candidate.PeerAddress, call)
 		switch {
 		case err != nil && call.Get == "":
 			return peer.StoreReply{Outcome: peer.StoreUnknown, Why: err.Error()}
 		case err != nil:
-			slog.Debug("store.not_relayed", "peer", helper.PeerAddress, "error", err)
+			slog.Debug("store.not_relayed", "peer", candidate.PeerAddress, "error", err)
 		case reply.Outcome != peer.StoreNotDone:
-			slog.Info("store.relayed", "peer", helper.PeerAddress, "outcome", int(reply.Outcome), "why", why)
+			slog.Info("store.relayed", "peer", candidate.PeerAddress, "outcome", int(reply.Outcome), "why", why)
 			return reply
 		}
 	}
--- a/internal/entry/restore.go
+++ b/internal/entry/restore.go
@@ -77,16 +77,16 @@
 }
 
 // withoutStale removes the orders from a whole read that may be older than the known ones.
-func (n *Node) withoutStale(news platform.OperatorNews) platform.OperatorNews {
+func (n *Node) withoutStale(rows platform.OperatorNews) platform.OperatorNews {
 	if !n.storeMayBeStale() {
-		return news
+		return rows
 	}
 	var orders []shift.Order
-	for _, o := range news.Orders {
+	for _, o := range rows.Orders {
 		if !n.rollouts.Conflicts(o) {
 			orders = append(orders, o)
 		}
 	}
-	news.Orders = orders
-	return news
+	rows.Orders = orders
+	return rows
 }
--- a/internal/entry/spread_test.go
+++ b/internal/entry/spread_test.go
@@ -64,19 +64,19 @@
 }
 
 // runUntil runs rounds until seen is true for all daemons and returns their number.
-func (f *testFleet) runUntil(t *testing.T, most int, seen func(n *Node) bool) int {
+func (f *testFleet) runUntil(t *testing.T, maxRounds int, done func(n *Node) bool) int {
 	t.Helper()
-	for round := 1; round <= most; round++ {
+	for round := 1; round <= maxRounds; round++ {
 		f.round()
 		all := true
 		for _, n := range f.nodes {
-			all = all && seen(n)
+			all = all && done(n)
 		}
 		if all {
 			return round
 		}
 	}
-	t.Fatalf("not everywhere after %d rounds", most)
+	t.Fatalf("condition not met by all daemons after %d rounds", maxRounds)
 	return 0
 }
 
@@ -102,5 +102,5 @@
 		d, _ := n.registry.Get(gone)
 		return d.State == member.Leaving
 	})
-	require.Less(t, f.memberLists-lists, size/10, "news tells it to nearly all")
+	require.Less(t, f.memberLists-lists, size/10, "heartbeats reach nearly all daemons")
 }
--- a/internal/entry/work.go
+++ b/internal/entry/work.go
@@ -60,9 +60,9 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.group.Add(own.Incarnation, peer.UnpackWork(own.Amounts), now)
-	read := peer.UnpackReadings(own.Readings)
-	w.pendingForGroup = newest(append(w.pendingForGroup, read...), maxPendingPrefixes)
-	w.pendingForDomains = newest(append(w.pendingForDomains, read...), maxPendingPrefixes)
+	prefixes := peer.UnpackReadings(own.Readings)
+	w.pendingForGroup = newest(append(w.pendingForGroup, prefixes...), maxPendingPrefixes)
+	w.pendingForDomains = newest(append(w.pendingForDomains, prefixes...), maxPendingPrefixes)
 }
 
 // addDomain records the work of another failure domain.
@@ -89,7 +89,7 @@
 
 // fleetWork returns the work of all groups and removes and returns up to most prefixes to send
 // to the group.
-func (w *workTotals) fleetWork(now time.Time, most int) (inventory.Work, []inventory.CachedPrefix) {
+func (w *workTotals) fleetWork(now time.Time, maxPrefixes int) (inventory.Work, []inventory.CachedPrefix) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	out := w.group.Total(now)
@@ -101,19 +101,19 @@
 			out.Add(instance, amount)
 		}
 	}
-	read, rest := takeNewest(w.pendingForGroup, most)
+	prefixes, rest := takeNewest(w.pendingForGroup, maxPrefixes)
 	w.pendingForGroup = rest
-	return out, read
+	return out, prefixes
 }
 
 // groupWork returns the work of this group and removes and returns up to most prefixes to send
 // to other failure domains.
-func (w *workTotals) groupWork(now time.Time, most int) (inventory.Work, []inventory.CachedPrefix) {
+func (w *workTotals) groupWork(now time.Time, maxPrefixes int) (inventory.Work, []inventory.CachedPrefix) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	read, rest := takeNewest(w.pendingForDomains, most)
+	prefixes, rest := takeNewest(w.pendingForDomains, maxPrefixes)
 	w.pendingForDomains = rest
-	return w.group.Total(now), read
+	return w.group.Total(now), prefixes
 }
 
 // workLoop exchanges the outstanding work at upstream instances while this daemon is the first
@@ -143,14 +143,14 @@
 // number of instances sent.
 func (n *Node) sendFleetWork(ctx context.Context, readings int) int {
 	n.workTotals.add(n.ownWork(), n.clock.Now())
-	work, read := n.workTotals.fleetWork(n.clock.Now(), readings)
+	work, prefixes := n.workTotals.fleetWork(n.clock.Now(), readings)
 	n.table.SetFleetWork(work)
-	n.prefixes.Merge(read)
-	told := peer.FleetWork{Amounts: peer.PackWork(work), Readings: peer.PackReadings(read)}
+	n.prefixes.Merge(prefixes)
+	update := peer.FleetWork{Amounts: peer.PackWork(work), Readings: peer.PackReadings(prefixes)}
 	n.callEach(ctx, peerCallTimeout, n.otherDaemons(n.workGroup()), func(call context.Context, address string) {
-		own, err := n.peers.SendFleetWork(call, address, told)
+		own, err := n.peers.SendFleetWork(call, address, update)
 		if err != nil {
-			slog.Debug("work.not_told", "peer", address, "error", err)
+			slog.Debug("work.not_sent", "peer", address, "error", err)
 			return
 		}
 		n.workTotals.add(own, n.clock.Now())
@@ -161,9 +161,9 @@
 // sendDomainWork sends the work of this group and up to the given number of prefixes to the
 // readers of other groups.
 func (n *Node) sendDomainWork(ctx context.Context, readings int) {
-	work, read := n.workTotals.groupWork(n.clock.Now(), readings)
+	work, prefixes := n.workTotals.groupWork(n.clock.Now(), readings)
 	mine := peer.DomainWork{
-		Domain: n.settings.FailureDomain, Amounts: peer.PackWork(work), Readings: peer.PackReadings(read),
+		Domain: n.settings.FailureDomain, Amounts: peer.PackWork(work), Readings: peer.PackReadings(prefixes),
 	}
 	var readers []member.Daemon
 	for domain := range n.settings.FailureDomains {
@@ -173,7 +173,7 @@
 	}
 	n.callEach(ctx, peerCallTimeout, readers, func(call context.Context, address string) {
 		if err := n.peers.SendDomainWork(call, address, mine); err != nil {
-			slog.Debug("work.not_told", "peer", address, "error", err)
+			slog.Debug("work.not_sent", "peer", address, "error", err)
 		}
 	})
 }
--- a/internal/entry/work_test.go
+++ b/internal/entry/work_test.go
@@ -33,8 +33,8 @@
 	_, read = w.fleetWork(now, 10)
 	require.Empty(t, read)
 	work, read = w.groupWork(now, 10)
-	require.Equal(t, inventory.Work{5: {Waiting: 1000, Open: 1}}, work, "only this group's own")
-	require.Equal(t, []inventory.CachedPrefix{one}, read, "what another domain told is not told back")
+	require.Equal(t, inventory.Work{5: {Waiting: 1000, Open: 1}}, work, "only the work of this group")
+	require.Equal(t, []inventory.CachedPrefix{one}, read, "prefixes from another domain are not sent back")
 
 	later := now.Add(domainWorkTTL + time.Second)
 	w.add(own, later)
@@ -74,14 +74,14 @@
 	i := inventory.Instance{ID: "i", Service: "s"}
 	n.table.Begin(i, 500)
 	n.prefixes.NoteSent(i, []inventory.Prefix{{Key: 7, Work: 1000}})
-	told := peer.FleetWork{
+	update := peer.FleetWork{
 		Amounts:  peer.PackWork(inventory.Work{i.Hash(): {Waiting: 2000, Open: 3}}),
 		Readings: peer.PackReadings([]inventory.CachedPrefix{{Key: 9, Instance: i.Hash()}}),
 	}
-	own := n.OnFleetWork(told)
+	own := n.OnFleetWork(update)
 	require.Equal(t, inventory.Work{i.Hash(): {Waiting: 500, Open: 1}}, peer.UnpackWork(own.Amounts))
 	require.Equal(t, []inventory.CachedPrefix{{Key: 7, Instance: i.Hash()}}, peer.UnpackReadings(own.Readings))
-	require.Empty(t, n.OnFleetWork(told).Readings)
+	require.Empty(t, n.OnFleetWork(update).Readings)
 	require.Equal(t, 1, n.prefixes.CachedCount(i.Hash(), []inventory.Prefix{{Key: 9}}))
 	require.InDelta(t, 2000, n.table.Usable("s")[0].Waiting, 0.01)
 }
