--- a/internal/entry/contact.go
+++ b/internal/entry/contact.go
@@ -20,8 +20,8 @@
 	// followerPause and maxFollowerPause apply to a daemon that is not a reader and reads the
 	// store only because updates are late. Its readers inform it when the store is available
 	// again, so frequent retries by all daemons gain nothing. The first retry still uses
-	// retryPause: a single call may fail while the store works, and an instance may be leaving
-	// of which no reader has sent an update.
+	// retryPause: a single call can fail for a reason of its own just when an instance leaves
+	// and no reader sends an update.
 	followerPause    = 2 * time.Second
 	maxFollowerPause = 4 * time.Second
 )
--- a/internal/entry/doubt.go
+++ b/internal/entry/doubt.go
@@ -30,7 +30,8 @@
 	updatedAt, readerGraceEnd time.Time
 }
 
-// noteUpdate records a list update from a reader whose grace period still lasts for told.
+// noteUpdate records a list update from a reader whose grace period lasts for the remaining
+// time.
 func (d *readerGrace) noteUpdate(now time.Time, remaining time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -52,10 +53,11 @@
 	return until
 }
 
-// extend returns until when entries are kept that are missing according to a reader's update.
-// late means that this daemon had received no list update for too long, in which case the
-// reader's grace period is adopted.
-func (d *readerGrace) extend(now time.Time, remaining time.Duration, late bool) time.Time {
+// adopt returns until when entries are kept that are missing according to a reader's update,
+// whose grace period lasts for the remaining time. late means that this daemon had received no
+// list update for too long; it then adopts the reader's grace period. Otherwise the result is
+// at most the end of the period adopted before.
+func (d *readerGrace) adopt(now time.Time, remaining time.Duration, late bool) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	until := now.Add(remaining)
--- a/internal/entry/node_test.go
+++ b/internal/entry/node_test.go
@@ -23,7 +23,7 @@
 	"github.com/hornbeamsill/hornbeamsill/platform"
 )
 
-// daemons is the number of other daemons in these tests: more than fit into one group.
+// daemons is the number of other daemons in these tests, more than maxFleetWorkGroup.
 const daemons = 40
 
 // newFleetNode returns a daemon that knows a fleet and is not a reader in it. Its loops do not
--- a/internal/entry/operator_test.go
+++ b/internal/entry/operator_test.go
@@ -97,11 +97,11 @@
 	r.store.LoseHeld()
 }
 
-// Guards against a silent store that counts as unchanged. A long poll that a reader sends
-// during an outage may never be answered although its connection stays open. Until it timed
-// out, after eleven seconds, all daemons answered 404 on routes that the operator had been
-// told were accepted, although every read of the list showed a newer revision of the store
-// than that of the configuration in force.
+// Guards against taking the silence of the store for unchanged rows. A long poll that a reader
+// sends during an outage may never be answered although its connection stays open. Until it
+// failed, after eleven seconds, all daemons answered 404 on a route whose acceptance the
+// operator had already seen, although every read of the list showed a newer revision of the
+// store than that of the configuration in force.
 func TestLongPollThatIsNeverAnswered(t *testing.T) {
 	r := newStoreReader(t, 2000)
 	r.losePoll()
@@ -110,8 +110,8 @@
 	require.Equal(t, int64(2), r.configVersion(), "the configuration is in force in time")
 }
 
-// Guards against seldom reads of the list where instances may take ten seconds to leave:
-// nothing else shows that the long poll was lost.
+// Guards against reading the list too rarely where instances may take ten seconds to leave:
+// only the read of the list shows that the long poll was lost.
 func TestLostLongPollWithSlowListReads(t *testing.T) {
 	r := newStoreReader(t, 10_000)
 	r.losePoll()
@@ -154,9 +154,9 @@
 // OnStoreUpdate implements peer.RoutesHandler.
 func (l *updateRecorder) OnStoreUpdate(n peer.StoreUpdate) { l.onUpdate(n) }
 
-// Guards against a reader whose long poll is lost and that confirms the operator's rows to
-// other daemons. Its updates must not be newer than the last answer of the store, so that
-// another daemon notices that they are late and reads the rows itself.
+// Guards against a reader that confirms the operator's rows to other daemons although its long
+// poll is lost. Its updates must not confirm the rows for a time after the store's last
+// answer, so that another daemon notices that they are late and reads the rows itself.
 func TestUnansweredLongPollConfirmsNothing(t *testing.T) {
 	r := newStoreReader(t, 2000)
 	r.losePoll()
@@ -167,9 +167,9 @@
 	require.True(t, other.mustReadOperator())
 }
 
-// Guards against the late failure of a lost long poll that counts as an outage of the store.
-// The poll failed 11.5 s after it was sent, while the list was read twice a second. Counted as
-// an outage, it started a grace period of two seconds in which requests went to instances that
+// Guards against counting the late failure of a lost long poll as an outage of the store. The
+// poll failed 11.5 s after it was sent, while the list was read twice a second. Counted as an
+// outage, it started a grace period of two seconds in which requests went to instances that
 // had left unannounced.
 func TestFailureOfAnOldCallIsNoStoreLoss(t *testing.T) {
 	r := newStoreReader(t, 2000)
--- a/internal/entry/readers.go
+++ b/internal/entry/readers.go
@@ -16,9 +16,10 @@
 // so that readers that crash, freeze or are rejected by the store delay no daemon beyond the
 // required times.
 const (
-	// maxFleetGroup is the number of daemons up to which the whole fleet is one reader group.
-	// In a larger fleet each failure domain is a group, so that updates cross domains only
-	// through the store and a reader serves no more daemons than a failure domain has.
+	// maxFleetGroup is the number of daemons up to which the whole fleet is one reader group,
+	// so that a reader serves no more daemons than a failure domain of a large fleet has. In a
+	// larger fleet each failure domain is a group, and updates cross domains only through the
+	// store.
 	maxFleetGroup = 100
 	// maxFleetWorkGroup is the same limit for the exchange of outstanding work at upstream
 	// instances. These updates are sent ten times as often and take most of a reader's
@@ -28,9 +29,9 @@
 	readerRankKey = "reader"
 	// readersPerGroup is two, so that the failure of one reader has no effect.
 	readersPerGroup = 2
-	// wideLinkFraction is the fraction of the fastest link in a group that a reader's link
+	// fastLinkFraction is the fraction of the fastest link in a group that a reader's link
 	// should have. Hosts come in a few kinds whose links differ by more than this factor.
-	wideLinkFraction = 0.5
+	fastLinkFraction = 0.5
 	// lateUpdateMargin is added to the interval between two reads of the list; a daemon that
 	// gets no update for longer reads the store itself.
 	lateUpdateMargin = 400 * time.Millisecond
@@ -72,15 +73,15 @@
 // carries its callers' answers. If few daemons have fast links, readers drawn from all daemons
 // mostly have slow links, and the updates delay their callers' answers.
 func (n *Node) readers(count int, inGroup func(member.Daemon) bool) []member.Daemon {
-	widest := 0.0
+	fastest := 0.0
 	for _, d := range n.registry.Live() {
 		if inGroup(d) {
-			widest = max(widest, d.LinkMbps)
+			fastest = max(fastest, d.LinkMbps)
 		}
 	}
-	wide := func(d member.Daemon) bool { return d.LinkMbps >= wideLinkFraction*widest }
-	first := n.registry.TopRanked(readerRankKey, count, func(d member.Daemon) bool { return inGroup(d) && wide(d) })
-	rest := n.registry.TopRanked(readerRankKey, count-len(first), func(d member.Daemon) bool { return inGroup(d) && !wide(d) })
+	fast := func(d member.Daemon) bool { return d.LinkMbps >= fastLinkFraction*fastest }
+	first := n.registry.TopRanked(readerRankKey, count, func(d member.Daemon) bool { return inGroup(d) && fast(d) })
+	rest := n.registry.TopRanked(readerRankKey, count-len(first), func(d member.Daemon) bool { return inGroup(d) && !fast(d) })
 	return append(first, rest...)
 }
 
@@ -211,7 +212,7 @@
 // list: the later of the reader's grace period and this daemon's own.
 func (n *Node) wholeListGraceEnd(remaining time.Duration) time.Time {
 	now := n.clock.Now()
-	until := n.readerGrace.extend(now, remaining, n.listIsLate())
+	until := n.readerGrace.adopt(now, remaining, n.listIsLate())
 	if own := n.graceEnd(now); own.After(until) {
 		return own
 	}
@@ -247,7 +248,7 @@
 	case revision >= update.List:
 		n.table.Confirm(update.ListAge)
 	default:
-		graceEnd := n.readerGrace.extend(n.clock.Now(), update.Doubted, n.listIsLate())
+		graceEnd := n.readerGrace.adopt(n.clock.Now(), update.Doubted, n.listIsLate())
 		n.table.Apply(update.Changes, update.List, graceEnd)
 		n.table.Confirm(update.ListAge)
 	}
--- a/internal/entry/work_test.go
+++ b/internal/entry/work_test.go
@@ -59,7 +59,8 @@
 	require.Empty(t, read)
 }
 
-// Guards against work updates whose bandwidth grows with the number of instances.
+// Guards against work updates whose bandwidth grows with the number of instances: rounds
+// become less frequent instead.
 func TestWorkRoundIntervalGrowsWithInstances(t *testing.T) {
 	require.Equal(t, workInterval, workRoundInterval(0))
 	require.Equal(t, workInterval, workRoundInterval(36))
