--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -18,7 +18,7 @@
 
 const (
 	// maxRelayAttempts is how many peers are tried in turn. If the store rejects a third of
-	// the daemons, the probability that it rejects three of them is 4%.
+	// the daemons, the probability that it rejects all three is 4%.
 	maxRelayAttempts = 3
 	// directRetryDelay is how long after a failed direct call further calls go straight to a
 	// peer, unless the store has answered another call of this daemon since. A call to a store
