--- a/internal/entry/budget_test.go
+++ b/internal/entry/budget_test.go
@@ -10,9 +10,9 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/member"
 )
 
-// Guards against a fleet that is cut in two and sends an instance twice what it takes, since
-// each side takes itself for the whole.
-func TestPartsOfACutFleetShareOneBudget(t *testing.T) {
+// Guards against the two sides of a network partition together sending an instance twice its
+// rate, because the daemons of each side take it for the whole fleet.
+func TestPartitionedFleetSharesOneBudget(t *testing.T) {
 	const daemons, rate = 8, 2.0
 	fleet := make([]*Node, daemons)
 	for i := range fleet {
@@ -31,17 +31,17 @@
 	for i := range 20 {
 		total := 0.0
 		for _, n := range fleet {
-			if part := n.budgetShare(fmt.Sprint("i-", i), rate); part.Interval > 0 {
-				total += 1 / part.Interval.Seconds()
+			if share := n.budgetShare(fmt.Sprint("i-", i), rate); share.Interval > 0 {
+				total += 1 / share.Interval.Seconds()
 			}
 		}
 		require.InDelta(t, rate, total, 0.01)
 	}
 }
 
-// Guards against a fleet whose daemons were killed and started again at their addresses, and
-// that leaves a part of each budget to those that are gone.
-func TestDaemonsThatStartedAgainTakeTheWholeBudget(t *testing.T) {
+// Guards against restarted daemons that leave a part of each budget to their predecessors at
+// the same addresses.
+func TestRestartedDaemonsUseTheWholeBudget(t *testing.T) {
 	n := newTestNode(clockwork.NewFakeClock(), nil)
 	const rate = 2.0
 	for _, d := range []member.Daemon{
@@ -50,6 +50,6 @@
 	} {
 		n.registry.Merge([]member.Daemon{d})
 	}
-	part := n.budgetShare("i-1", rate)
-	require.InDelta(t, rate/2, 1/part.Interval.Seconds(), 0.01)
+	share := n.budgetShare("i-1", rate)
+	require.InDelta(t, rate/2, 1/share.Interval.Seconds(), 0.01)
 }
--- a/internal/entry/crashes.go
+++ b/internal/entry/crashes.go
@@ -14,63 +14,64 @@
 )
 
 const (
-	// lookAgain is when an instance whose connections broke is looked at a second time:
-	// a process that ends closes its sockets one after the other, the one it listens at
-	// among them.
-	lookAgain = 40 * time.Millisecond
-	// keptReports and maxReports bound the crashes that a daemon can still tell of: to
-	// judges that were chosen since, or have missed it.
-	keptReports = quarantine.EvidenceTTL
-	maxReports  = 256
-	// judgeDuty names the order in which daemons are chosen to judge.
-	judgeDuty = "judge"
-	// judgeCount is two, so that the loss of one is not noticed.
+	// secondProbeDelay is the time between the two probes of an instance whose connections
+	// broke. A process that exits closes its sockets one after the other, the listening socket
+	// among them, so the first probe may find it still listening.
+	secondProbeDelay = 40 * time.Millisecond
+	// reportTTL and maxReports limit the crash reports that a daemon keeps, for judges that
+	// have been chosen since or have missed a report.
+	reportTTL  = quarantine.EvidenceTTL
+	maxReports = 256
+	// judgeRankKey is the key of the rendezvous order in which judges are chosen.
+	judgeRankKey = "judge"
+	// judgeCount is two, so that the failure of one judge has no effect.
 	judgeCount = 2
 )
 
-// crashes finds out which instances have ended under requests of this daemon, and tells
-// the judges.
+// crashReporter detects which instances have crashed under requests of this daemon and reports
+// them to the judges, the daemons that decide which requests to quarantine.
 //
-// Lock order: mu is taken alone.
-type crashes struct {
+// Lock order: no other lock is taken while mu is held.
+type crashReporter struct {
 	*Node
-	// news is signalled when there is something to tell.
-	news chan struct{}
+	// pending is signalled when there is something to report.
+	pending chan struct{}
 
 	mu sync.Mutex
-	// broken are instances whose connections broke, until they have been looked at.
+	// broken are the requests whose connections to an instance broke, until the instance has
+	// been probed.
 	broken  map[inventory.InstanceHash][]quarantine.Suspect
 	reports []*report
-	// waiting are requests whose next attempt waits for what is decided.
+	// waiting are the requests whose next attempt waits for a decision.
 	waiting map[quarantine.Digest][]chan struct{}
-	// telling are the judges that are being told, by incarnation.
-	telling map[string]bool
-	ended   int64
+	// reporting has the incarnations of the judges to which a report is being sent.
+	reporting  map[string]bool
+	endedCount int64
 }
 
-// report is an instance that ended.
+// report is the report of an instance that ended.
 type report struct {
 	instance inventory.Instance
 	at       time.Time
 	suspects []quarantine.Suspect
-	// told has the number of suspects that a judge was told of, by incarnation.
-	told map[string]int
+	// sent is the number of suspects already reported to each judge, by incarnation.
+	sent map[string]int
 }
 
-func newCrashes(n *Node) *crashes {
-	return &crashes{
-		Node: n, news: make(chan struct{}, 1), broken: map[inventory.InstanceHash][]quarantine.Suspect{},
-		waiting: map[quarantine.Digest][]chan struct{}{}, telling: map[string]bool{},
+func newCrashReporter(n *Node) *crashReporter {
+	return &crashReporter{
+		Node: n, pending: make(chan struct{}, 1), broken: map[inventory.InstanceHash][]quarantine.Suspect{},
+		waiting: map[quarantine.Digest][]chan struct{}{}, reporting: map[string]bool{},
 	}
 }
 
 // Broken implements forward.Quarantine. It does not block.
-func (c *crashes) Broken(i inventory.Instance, s quarantine.Suspect) <-chan struct{} {
+func (c *crashReporter) Broken(i inventory.Instance, s quarantine.Suspect) <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	decided := make(chan struct{})
 	c.waiting[s.Digest] = append(c.waiting[s.Digest], decided)
-	if r := c.report(i); r != nil {
+	if r := c.reportOf(i); r != nil {
 		r.suspects = append(r.suspects, s)
 		c.signal()
 		return decided
@@ -79,20 +80,20 @@
 	first := c.broken[number] == nil
 	c.broken[number] = append(c.broken[number], s)
 	if first {
-		go c.examine(i)
+		go c.probe(i)
 	}
 	return decided
 }
 
 // Ended implements forward.Quarantine.
-func (c *crashes) Ended(i inventory.Instance) bool {
+func (c *crashReporter) Ended(i inventory.Instance) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.report(i) != nil
+	return c.reportOf(i) != nil
 }
 
-// goOn lets the next attempts of some requests begin.
-func (c *crashes) goOn(all []quarantine.Digest) {
+// resumeWaiting allows the next attempts of the given requests.
+func (c *crashReporter) resumeWaiting(all []quarantine.Digest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, d := range all {
@@ -103,8 +104,8 @@
 	}
 }
 
-// report returns what is known of the end of an instance. The lock is held.
-func (c *crashes) report(i inventory.Instance) *report {
+// reportOf returns the report of an instance that ended, or nil. The caller holds mu.
+func (c *crashReporter) reportOf(i inventory.Instance) *report {
 	for _, r := range c.reports {
 		if r.instance.ID == i.ID && r.instance.Born == i.Born {
 			return r
@@ -113,39 +114,39 @@
 	return nil
 }
 
-// examine looks whether an instance whose connections broke has ended. One that was
-// leaving ends as planned, whatever is under way there.
-func (c *crashes) examine(i inventory.Instance) {
+// probe checks whether an instance whose connections broke has ended. The end of an instance
+// that was leaving is planned and not reported.
+func (c *crashReporter) probe(i inventory.Instance) {
 	at := c.clock.Now()
 	ended := c.pool.Ended(context.Background(), i.Address)
 	if !ended {
-		c.goOn(c.suspects(i))
-		c.clock.Sleep(lookAgain)
+		c.resumeWaiting(c.brokenSuspects(i))
+		c.clock.Sleep(secondProbeDelay)
 		ended = c.pool.Ended(context.Background(), i.Address)
 	}
-	suspects := c.looked(i)
+	suspects := c.takeBroken(i)
 	if !ended || c.table.IsLeaving(i.Incarnation()) {
-		c.goOn(quarantine.Digests(suspects))
+		c.resumeWaiting(quarantine.Digests(suspects))
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ended++
-	c.reports = append(c.reports, &report{instance: i, at: at, suspects: suspects, told: map[string]int{}})
+	c.endedCount++
+	c.reports = append(c.reports, &report{instance: i, at: at, suspects: suspects, sent: map[string]int{}})
 	c.reports = c.reports[max(len(c.reports)-maxReports, 0):]
 	c.signal()
 	slog.Warn("instance.ended", "instance", i.ID, "address", i.Address, "version", i.Version, "requests", len(suspects))
 }
 
-// suspects returns the requests whose connections to an instance broke.
-func (c *crashes) suspects(i inventory.Instance) []quarantine.Digest {
+// brokenSuspects returns the requests whose connections to an instance broke.
+func (c *crashReporter) brokenSuspects(i inventory.Instance) []quarantine.Digest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return quarantine.Digests(c.broken[i.Hash()])
 }
 
-// looked ends the look at an instance and returns the requests whose connections broke.
-func (c *crashes) looked(i inventory.Instance) []quarantine.Suspect {
+// takeBroken returns and removes the requests whose connections to an instance broke.
+func (c *crashReporter) takeBroken(i inventory.Instance) []quarantine.Suspect {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	suspects := c.broken[i.Hash()]
@@ -153,15 +154,15 @@
 	return suspects
 }
 
-func (c *crashes) signal() {
+func (c *crashReporter) signal() {
 	select {
-	case c.news <- struct{}{}:
+	case c.pending <- struct{}{}:
 	default:
 	}
 }
 
-// recent returns the crashes of this daemon that are not older than within.
-func (c *crashes) recent(within time.Duration) []quarantine.Crash {
+// recent returns the crashes that this daemon detected within the given time.
+func (c *crashReporter) recent(within time.Duration) []quarantine.Crash {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []quarantine.Crash
@@ -179,106 +180,110 @@
 	}
 }
 
-// tellLoop tells the judges what they do not know yet, each by itself: one that does not
-// answer must not keep the other from deciding.
-func (c *crashes) tellLoop(ctx context.Context) {
+// reportLoop sends unsent reports to each judge in a goroutine of its own, so that a judge
+// that does not answer does not delay the decision of the other.
+func (c *crashReporter) reportLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.news:
-		case <-c.clock.After(tidyInterval):
+		case <-c.pending:
+		case <-c.clock.After(cleanupInterval):
 		}
-		c.forget()
+		c.dropExpired()
 		for _, judge := range c.judges() {
-			if c.beginTelling(judge) {
-				go c.inform(ctx, judge)
+			if c.beginReporting(judge) {
+				go c.reportAll(ctx, judge)
 			}
 		}
 	}
 }
 
-// beginTelling reports whether a judge is not being told yet, and notes that it is.
-func (c *crashes) beginTelling(judge member.Daemon) bool {
+// beginReporting marks that a report is being sent to a judge. It returns false if one already
+// is.
+func (c *crashReporter) beginReporting(judge member.Daemon) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.telling[judge.Incarnation] {
+	if c.reporting[judge.Incarnation] {
 		return false
 	}
-	c.telling[judge.Incarnation] = true
+	c.reporting[judge.Incarnation] = true
 	return true
 }
 
-// inform tells a judge all that it does not know, and what comes meanwhile.
-func (c *crashes) inform(ctx context.Context, judge member.Daemon) {
-	answered := c.tellJudge(ctx, judge)
+// reportAll sends all unsent suspects to a judge, including those that are added in the
+// meantime.
+func (c *crashReporter) reportAll(ctx context.Context, judge member.Daemon) {
+	answered := c.reportUnsent(ctx, judge)
 	c.mu.Lock()
-	delete(c.telling, judge.Incarnation)
+	delete(c.reporting, judge.Incarnation)
 	c.mu.Unlock()
-	if told, _ := c.untold(judge.Incarnation); answered && len(told) > 0 {
+	if crashes, _ := c.unsent(judge.Incarnation); answered && len(crashes) > 0 {
 		c.signal()
 	}
 }
 
-// forget drops old reports. No attempt waits for what is decided of them any more.
-func (c *crashes) forget() {
+// dropExpired drops expired reports and lets the requests that wait for them continue.
+func (c *crashReporter) dropExpired() {
 	c.mu.Lock()
-	var over []quarantine.Digest
+	var expired []quarantine.Digest
 	c.reports = slices.DeleteFunc(c.reports, func(r *report) bool {
-		old := c.clock.Since(r.at) > keptReports
+		old := c.clock.Since(r.at) > reportTTL
 		if old {
-			over = append(over, quarantine.Digests(r.suspects)...)
+			expired = append(expired, quarantine.Digests(r.suspects)...)
 		}
 		return old
 	})
 	c.mu.Unlock()
-	c.goOn(over)
+	c.resumeWaiting(expired)
 }
 
-// judges are the daemons that weigh the crashes of all.
+// judges returns the daemons that evaluate the crashes of the whole fleet.
 func (n *Node) judges() []member.Daemon {
-	return n.registry.TopRanked(judgeDuty, judgeCount, func(member.Daemon) bool { return true })
+	return n.registry.TopRanked(judgeRankKey, judgeCount, func(member.Daemon) bool { return true })
 }
 
-// tellJudge tells a judge what it does not know. Requests that were on no other ended
-// instance go on at once; that they are many, and the one at fault is among them, is
-// found out by the next crash. It reports whether the judge knows all that there was.
-func (c *crashes) tellJudge(ctx context.Context, judge member.Daemon) bool {
-	told, counts := c.untold(judge.Incarnation)
-	if len(told) == 0 {
+// reportUnsent sends to a judge what it does not have yet, and reports whether the judge now
+// has all of that.
+//
+// Requests that were on no other ended instance may continue at once. If one of them is the
+// culprit, the next crash shows it.
+func (c *crashReporter) reportUnsent(ctx context.Context, judge member.Daemon) bool {
+	crashes, counts := c.unsent(judge.Incarnation)
+	if len(crashes) == 0 {
 		return true
 	}
-	report := peer.CrashReport{Crashes: told}
+	report := peer.CrashReport{Crashes: crashes}
 	var reply peer.CrashReply
 	if judge.Incarnation == c.registry.Self().Incarnation {
 		reply = c.OnCrashes(report)
 	} else {
-		call, cancel := context.WithTimeout(ctx, beatTimeout)
+		call, cancel := context.WithTimeout(ctx, peerCallTimeout)
 		defer cancel()
 		var err error
 		if reply, err = c.peers.ReportCrashes(call, judge.PeerAddress, report); err != nil {
-			slog.Debug("crashes.not_told", "peer", judge.PeerAddress, "error", err)
+			slog.Debug("crashes.not_reported", "peer", judge.PeerAddress, "error", err)
 			return false
 		}
 	}
-	c.goOn(reply.First)
+	c.resumeWaiting(reply.First)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for r, n := range counts {
-		r.told[judge.Incarnation] = n
+		r.sent[judge.Incarnation] = n
 	}
 	return true
 }
 
-// untold returns what a judge has not been told, and how many suspects of each report it
-// then has.
-func (c *crashes) untold(judge string) ([]quarantine.Crash, map[*report]int) {
+// unsent returns the crashes with suspects that were not sent to a judge yet, and the number
+// of suspects of each report after sending them.
+func (c *crashReporter) unsent(judge string) ([]quarantine.Crash, map[*report]int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []quarantine.Crash
 	counts := map[*report]int{}
 	for _, r := range c.reports {
-		if told, ok := r.told[judge]; !ok || told < len(r.suspects) {
+		if sent, ok := r.sent[judge]; !ok || sent < len(r.suspects) {
 			out = append(out, r.crash(c.clock.Since(r.at)))
 			counts[r] = len(r.suspects)
 		}
--- a/internal/entry/duty.go
+++ b/internal/entry/duty.go
@@ -18,340 +18,341 @@
 )
 
 const (
-	// dutyInterval is the time between two looks at a roll-out. A bad version
-	// must be gone five seconds after its fiftieth bad answer.
-	dutyInterval = 300 * time.Millisecond
-	// dutyCallTime is what a question to another daemon may take then: a hundred
-	// times the way between failure domains. While a daemon is frozen each look takes
-	// all of it, and little time is left after all sessions have moved.
-	dutyCallTime = 150 * time.Millisecond
-	// leaseTime is how long a daemon keeps the duty without renewing it, and
-	// renewInterval how often it does.
-	leaseTime     = 4 * time.Second
-	renewInterval = 1 * time.Second
-	// holderSilence is how long no holder must have been heard of before a
-	// daemon that is not next in line tries for the duty.
-	holderSilence = 2500 * time.Millisecond
-	// takers is how many daemons, the next in line, try for the duty then. The
-	// others wait for as long again as one of these needs to take it, so that
-	// not all daemons ask for the lease of a holder that the store turns away.
-	takers      = 6
-	lastResort  = holderSilence + leaseTime + renewInterval
-	statePrefix = "shift/"
+	// rolloutInterval is the interval at which the holder of a duty checks a roll-out. A bad
+	// version must be withdrawn within five seconds of its fiftieth bad answer.
+	rolloutInterval = 300 * time.Millisecond
+	// rolloutCallTimeout limits the calls to other daemons in such a check. It is a hundred
+	// times the latency between failure domains. A check takes the whole timeout while a
+	// daemon is frozen, and little time is left once all sessions have moved.
+	rolloutCallTimeout = 150 * time.Millisecond
+	// leaseTTL is how long a lease is valid without renewal, and leaseRenewInterval how often
+	// it is renewed.
+	leaseTTL           = 4 * time.Second
+	leaseRenewInterval = 1 * time.Second
+	// holderTimeout is how long no holder must have been seen before a daemon that does not
+	// rank first tries to take the duty.
+	holderTimeout = 2500 * time.Millisecond
+	// takeoverCandidates is how many daemons, by rank, try to take the duty after
+	// holderTimeout. The others wait until one of these has had the time to do so
+	// (lastTakeoverTimeout); otherwise all daemons would request the lease when the store
+	// rejects its holder.
+	takeoverCandidates  = 6
+	lastTakeoverTimeout = holderTimeout + leaseTTL + leaseRenewInterval
+	rolloutStatePrefix  = "shift/"
 )
 
-// duty is one service's roll-out as this daemon takes part in it.
-type duty struct {
+// rolloutDuty is this daemon's part in the roll-out of one service. The duty of a roll-out is
+// to decide about its steps; the daemon with the lease holds it.
+type rolloutDuty struct {
 	lease *lease.Lease
-	// began is when this daemon first looked at the roll-out.
-	began time.Time
-	// renewed is when the lease was last tried for.
-	renewed time.Time
-	// loaded is set once the stored state was read under the present lease.
+	// firstSeen is when this daemon first processed the roll-out.
+	firstSeen time.Time
+	// renewedAt is when this daemon last tried to get or renew the lease.
+	renewedAt time.Time
+	// loaded is set once the stored state has been read under the current lease.
 	loaded bool
-	// revision is that of the stored state, and step its step.
+	// revision is the revision of the stored state, and step its step.
 	revision int64
 	step     int
-	// told is the last phase that the operator was told.
-	told shift.Phase
-	// order is the order that the above is about, and era that of the store.
+	// reportedPhase is the last phase that was reported to the operator.
+	reportedPhase shift.Phase
+	// order is the ID of the order to which the other fields belong, and era the era of the
+	// store.
 	order int64
 	era   int64
-	// tally is what daemons have seen, as far as this one has heard. stored is
-	// the sum that the last holder stored, resumed is set once it is in the
-	// tally, and seenAt is when this daemon last stored it.
-	tally   *shift.Tally
-	stored  shift.Totals
-	resumed bool
-	seenAt  time.Time
-	// guarded is when this daemon last looked at the evidence without holding
-	// the duty.
-	guarded time.Time
+	// tally adds up the evidence that this daemon has collected. storedTotals are the totals
+	// that the previous holder stored; resumed is set once they are part of the tally.
+	// totalsStoredAt is when this daemon last stored the totals.
+	tally          *shift.Tally
+	storedTotals   shift.Totals
+	resumed        bool
+	totalsStoredAt time.Time
+	// guardedAt is when this daemon last checked the evidence without holding the duty.
+	guardedAt time.Time
 }
 
-// duties moves services to new versions when it is this daemon's turn.
+// rolloutDuties moves services to new versions while this daemon holds the duty.
 //
-// Lock order: mu is taken alone.
-type duties struct {
+// Lock order: no other lock is taken while mu is held.
+type rolloutDuties struct {
 	*Node
-	// table is the store, reached through peers if need be.
+	// table is the store, accessed through peers if necessary.
 	table *relayedTable
 
-	mu    sync.Mutex
-	heard map[string]time.Time
-	// byService is used by run only.
-	byService map[string]*duty
+	mu            sync.Mutex
+	holderContact map[string]time.Time
+	// byService is only used by run.
+	byService map[string]*rolloutDuty
 }
 
-func newDuties(n *Node) *duties {
-	return &duties{Node: n, table: &relayedTable{Node: n}, heard: map[string]time.Time{}, byService: map[string]*duty{}}
+func newRolloutDuties(n *Node) *rolloutDuties {
+	return &rolloutDuties{Node: n, table: &relayedTable{Node: n}, holderContact: map[string]time.Time{}, byService: map[string]*rolloutDuty{}}
 }
 
-func (d *duties) heardHolder(service string) {
+func (d *rolloutDuties) noteHolder(service string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.heard[service] = d.clock.Now()
+	d.holderContact[service] = d.clock.Now()
 }
 
-func (d *duties) holderHeard(service string) time.Time {
+func (d *rolloutDuties) lastHolderContact(service string) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.heard[service]
+	return d.holderContact[service]
 }
 
-func (d *duties) run(ctx context.Context) {
-	for d.pause(ctx, dutyInterval) {
+func (d *rolloutDuties) run(ctx context.Context) {
+	for d.sleep(ctx, rolloutInterval) {
 		if d.leaving.Load() {
-			d.finishAll(ctx)
+			d.releaseAll(ctx)
 			continue
 		}
 		running := map[string]bool{}
-		for _, active := range d.book.Unfinished() {
+		for _, active := range d.rollouts.Unfinished() {
 			running[active.Order.Service] = true
-			d.look(ctx, active)
+			d.process(ctx, active)
 		}
-		for service, one := range d.byService {
+		for service, duty := range d.byService {
 			if !running[service] {
-				d.finish(ctx, service, one)
+				d.release(ctx, service, duty)
 			}
 		}
 	}
 }
 
-// finishAll gives all duties up: this daemon is leaving. The next in line takes
-// them at once instead of after the life of the lease, four seconds.
-func (d *duties) finishAll(ctx context.Context) {
-	for service, one := range d.byService {
-		d.finish(ctx, service, one)
+// releaseAll gives up all duties because this daemon is leaving. The next daemon then takes
+// them at once instead of after leaseTTL.
+func (d *rolloutDuties) releaseAll(ctx context.Context) {
+	for service, duty := range d.byService {
+		d.release(ctx, service, duty)
 	}
 }
 
-// finish gives a duty up once its roll-out has ended.
-func (d *duties) finish(ctx context.Context, service string, one *duty) {
+// release gives up the duty of a roll-out, when it has ended or this daemon is leaving.
+func (d *rolloutDuties) release(ctx context.Context, service string, duty *rolloutDuty) {
 	delete(d.byService, service)
-	if err := one.lease.Release(ctx); err != nil {
+	if err := duty.lease.Release(ctx); err != nil {
 		slog.Warn("duty.not_released", "service", service, "error", err)
 	}
 }
 
-// look does what is due for one roll-out.
-func (d *duties) look(ctx context.Context, active shift.UnfinishedRollout) {
+// process performs what is due for one roll-out.
+func (d *rolloutDuties) process(ctx context.Context, active shift.UnfinishedRollout) {
 	service := active.Order.Service
-	one, ok := d.byService[service]
-	if !ok || one.order != active.Order.ID {
-		one = d.newDuty(active.Order)
-		d.byService[service] = one
+	duty, ok := d.byService[service]
+	if !ok || duty.order != active.Order.ID {
+		duty = d.newRolloutDuty(active.Order)
+		d.byService[service] = duty
 	}
-	if era := d.store.Era(); one.era != era {
-		// The lease, the state and what the operator was told may be lost.
-		one.era, one.loaded, one.told, one.renewed = era, false, "", time.Time{}
+	if era := d.store.Era(); duty.era != era {
+		// The restored store may lack the lease, the state and the reported status.
+		duty.era, duty.loaded, duty.reportedPhase, duty.renewedAt = era, false, "", time.Time{}
 	}
-	if !d.mine(ctx, service, one) {
-		d.guard(ctx, one, active)
+	if !d.holdLease(ctx, service, duty) {
+		d.stopIfRegressed(ctx, duty, active)
 		return
 	}
-	if !one.loaded && !d.load(ctx, one, active) {
+	if !duty.loaded && !d.loadState(ctx, duty, active) {
 		return
 	}
-	// What was read may have brought a newer state and the time of the order.
-	running := d.book.Unfinished()
+	// loadState may have brought a newer state and the age of the order.
+	running := d.rollouts.Unfinished()
 	now := slices.IndexFunc(running, func(a shift.UnfinishedRollout) bool { return a.Order.Service == service })
 	if now >= 0 {
-		d.decide(ctx, one, running[now])
+		d.decide(ctx, duty, running[now])
 	}
 }
 
-func (d *duties) newDuty(order shift.Order) *duty {
+func (d *rolloutDuties) newRolloutDuty(order shift.Order) *rolloutDuty {
 	self := d.registry.Self()
-	one := &duty{
-		lease: lease.New("shift/"+order.Service, holderName(self.Incarnation, self.PeerAddress), leaseTime, d.table, d.clock),
-		order: order.ID, era: d.store.Era(), began: d.clock.Now(), tally: shift.NewTally(order.ID),
+	duty := &rolloutDuty{
+		lease: lease.New("shift/"+order.Service, holderName(self.Incarnation, self.PeerAddress), leaseTTL, d.table, d.clock),
+		order: order.ID, era: d.store.Era(), firstSeen: d.clock.Now(), tally: shift.NewTally(order.ID),
 	}
-	one.lease.HolderEnded = d.holderGone
-	return one
+	duty.lease.HolderEnded = d.holderEnded
+	return duty
 }
 
-// vacant reports whether the duty's holder has been silent for so long that this
+// holderSilent reports whether the holder of the duty has been silent for so long that this
 // daemon should act in its place.
-func (d *duties) vacant(service string, one *duty) bool {
-	heard := d.holderHeard(service)
-	if heard.Before(one.began) {
-		heard = one.began
+func (d *rolloutDuties) holderSilent(service string, duty *rolloutDuty) bool {
+	lastContact := d.lastHolderContact(service)
+	if lastContact.Before(duty.firstSeen) {
+		lastContact = duty.firstSeen
 	}
-	return d.clock.Since(heard) > d.takeOverAfter(service)
+	return d.clock.Since(lastContact) > d.takeOverAfter(service)
 }
 
-// mine reports whether this daemon holds the duty, and tries for it when it is
-// its turn.
-func (d *duties) mine(ctx context.Context, service string, one *duty) bool {
+// holdLease reports whether this daemon holds the duty. It takes or renews the lease if due.
+func (d *rolloutDuties) holdLease(ctx context.Context, service string, duty *rolloutDuty) bool {
 	now := d.clock.Now()
-	inLine := d.registry.RanksFirst("shift/"+service) || d.vacant(service, one)
-	if !one.lease.Held() && !inLine {
+	mayTake := d.registry.RanksFirst("shift/"+service) || d.holderSilent(service, duty)
+	if !duty.lease.Held() && !mayTake {
 		return false
 	}
-	if now.Sub(one.renewed) < renewInterval {
-		return one.lease.Held()
+	if now.Sub(duty.renewedAt) < leaseRenewInterval {
+		return duty.lease.Held()
 	}
-	one.renewed = now
-	was := one.lease.Held()
-	held, err := one.lease.Renew(ctx)
+	duty.renewedAt = now
+	wasHeld := duty.lease.Held()
+	held, err := duty.lease.Renew(ctx)
 	if err != nil {
 		slog.Warn("duty.not_renewed", "service", service, "held", held, "error", err)
 	}
-	if held != was {
-		slog.Info("duty.changed", "service", service, "held", held, "fence", one.lease.Fence())
-		one.loaded, one.resumed = false, false
+	if held != wasHeld {
+		slog.Info("duty.changed", "service", service, "held", held, "fence", duty.lease.Fence())
+		duty.loaded, duty.resumed = false, false
 	}
 	return held
 }
 
-// takeOverAfter is how long the holder of a duty must be silent before this daemon
-// tries for it.
-func (d *duties) takeOverAfter(service string) time.Duration {
+// takeOverAfter returns how long the holder of a duty must be silent before this daemon tries
+// to take it.
+func (d *rolloutDuties) takeOverAfter(service string) time.Duration {
 	own := d.registry.Self().Incarnation
-	next := d.registry.TopRanked("duty/shift/"+service, takers, func(member.Daemon) bool { return true })
+	next := d.registry.TopRanked("duty/shift/"+service, takeoverCandidates, func(member.Daemon) bool { return true })
 	if slices.ContainsFunc(next, func(m member.Daemon) bool { return m.Incarnation == own }) {
-		return holderSilence
+		return holderTimeout
 	}
-	return lastResort
+	return lastTakeoverTimeout
 }
 
-// load reads the stored state, from which a new holder goes on.
-func (d *duties) load(ctx context.Context, one *duty, active shift.UnfinishedRollout) bool {
-	row, err := d.table.Get(ctx, statePrefix+active.Order.Service)
+// loadState reads the stored state, from which a new holder continues.
+func (d *rolloutDuties) loadState(ctx context.Context, duty *rolloutDuty, active shift.UnfinishedRollout) bool {
+	row, err := d.table.Get(ctx, rolloutStatePrefix+active.Order.Service)
 	switch {
 	case trace.IsNotFound(err):
-		one.revision, one.step = 0, 0
+		duty.revision, duty.step = 0, 0
 	case err != nil:
 		slog.Warn("rollout.state_not_read", "service", active.Order.Service, "error", err)
 		return false
 	default:
-		one.revision, one.step = row.Revision, 0
+		duty.revision, duty.step = row.Revision, 0
 		var s storedState
 		if err := unmarshal(row, &s); err != nil {
 			slog.Error("rollout.state_unreadable", "service", active.Order.Service, "error", err)
 		} else {
-			d.learnState(s.State, "store")
-			one.stored = s.seen(one.order)
-			if s.Order == one.order {
-				one.step = s.Step
+			d.applyRolloutState(s.State, "store")
+			duty.storedTotals = s.totalsFor(duty.order)
+			if s.Order == duty.order {
+				duty.step = s.Step
 			}
 		}
 	}
-	one.loaded = true
+	duty.loaded = true
 	return true
 }
 
-// decide looks at the evidence of all daemons, and writes and spreads what
-// follows from it.
-func (d *duties) decide(ctx context.Context, one *duty, active shift.UnfinishedRollout) {
-	order, state, began := active.Order, active.State, d.clock.Now()
-	known, missing := d.evidence(ctx, one, order)
-	if !one.resumed {
-		one.tally.Restore(one.stored)
-		one.resumed = true
-		seen := one.tally.Totals()
-		known.Fresh, known.Old = seen.Fresh, seen.Old
+// decide evaluates the evidence of all daemons, then stores and broadcasts the resulting
+// states.
+func (d *rolloutDuties) decide(ctx context.Context, duty *rolloutDuty, active shift.UnfinishedRollout) {
+	order, state, started := active.Order, active.State, d.clock.Now()
+	input, missing := d.collectEvidence(ctx, duty, order)
+	if !duty.resumed {
+		duty.tally.Restore(duty.storedTotals)
+		duty.resumed = true
+		totals := duty.tally.Totals()
+		input.Fresh, input.Old = totals.Fresh, totals.Old
 	}
-	// A live daemon that does not answer may still have requests at old
-	// instances.
-	known.OldInFlight += missing
+	// A live daemon that does not answer may still have requests on old instances.
+	input.OldInFlight += missing
 	for {
-		// Near the end of its time two steps may be due from one look: the next
-		// look, which waits for daemons that do not answer, would come late.
-		known.Elapsed = active.Elapsed + d.clock.Since(began)
-		next := shift.NextState(state, order, known, shift.ExposureLimit(d.settings.ExposureShare))
+		// Near the deadline two steps may be due in one check. The next check would be too
+		// late, since it waits for daemons that do not answer.
+		input.Elapsed = active.Elapsed + d.clock.Since(started)
+		next := shift.NextState(state, order, input, shift.ExposureLimit(d.settings.ExposureShare))
 		if next.Step == state.Step {
 			break
 		}
-		d.logDecision(one, order, next, known, missing)
+		d.logDecision(duty, order, next, input, missing)
 		if next.Phase == shift.RolledBack {
-			// Stopping a bad version does not wait for the store.
-			d.spread(ctx, next)
+			// A bad version is stopped before the state is stored.
+			d.broadcastState(ctx, next)
 		}
-		if !d.write(ctx, one, &next, known.Elapsed) {
+		if !d.writeState(ctx, duty, &next, input.Elapsed) {
 			return
 		}
-		d.spread(ctx, next)
+		d.broadcastState(ctx, next)
 		state = next
 	}
 	if state.Phase == shift.Running {
-		if d.clock.Since(one.seenAt) > seenInterval {
-			d.write(ctx, one, &state, known.Elapsed)
+		if d.clock.Since(duty.totalsStoredAt) > totalsWriteInterval {
+			d.writeState(ctx, duty, &state, input.Elapsed)
 		}
-		if one.told != shift.Running {
-			d.tell(ctx, one, order, state.Phase)
+		if duty.reportedPhase != shift.Running {
+			d.reportPhase(ctx, duty, order, state.Phase)
 		}
 		return
 	}
-	d.conclude(ctx, one, order, state, known.Elapsed)
+	d.conclude(ctx, duty, order, state, input.Elapsed)
 }
 
-// conclude stores the state of a roll-out that has ended, tells the operator, and stores that
-// the operator has been told.
+// conclude stores the state of a roll-out that has ended, reports it to the operator, and
+// stores that it has been reported.
 //
-// In this order: told of what is not stored, the operator ends instances that daemons which
-// all start anew would still bring in.
-func (d *duties) conclude(ctx context.Context, one *duty, order shift.Order, state shift.State, elapsed time.Duration) {
-	if one.step < state.Step && !d.write(ctx, one, &state, elapsed) {
+// The order matters: if the state were reported before it is stored, the operator could end
+// old instances although a restart of all daemons would continue the roll-out.
+func (d *rolloutDuties) conclude(ctx context.Context, duty *rolloutDuty, order shift.Order, state shift.State, elapsed time.Duration) {
+	if duty.step < state.Step && !d.writeState(ctx, duty, &state, elapsed) {
 		return
 	}
-	if one.told != state.Phase && !d.tell(ctx, one, order, state.Phase) {
+	if duty.reportedPhase != state.Phase && !d.reportPhase(ctx, duty, order, state.Phase) {
 		return
 	}
 	state = state.MarkTold()
-	if d.write(ctx, one, &state, elapsed) {
-		d.spread(ctx, state)
+	if d.writeState(ctx, duty, &state, elapsed) {
+		d.broadcastState(ctx, state)
 	}
 }
 
-func (d *duties) logDecision(one *duty, order shift.Order, next shift.State, known shift.DecisionInput, missing int) {
-	fresh, old := known.Fresh.Total(), known.Old.Total()
+func (d *rolloutDuties) logDecision(duty *rolloutDuty, order shift.Order, next shift.State, input shift.DecisionInput, missing int) {
+	fresh, old := input.Fresh.Total(), input.Old.Total()
 	slog.Info("rollout.decided", "service", order.Service, "to", order.To, "order", order.ID, "phase", string(next.Phase),
-		"share", next.Share, "held", len(next.Held), "elapsed_ms", known.Elapsed.Milliseconds(), "fresh", fresh.Requests, "fresh_bad", fresh.Bad,
-		"old", old.Requests, "old_bad", old.Bad, "pace", shift.PaceRatio(known.Fresh, known.Old), "old_in_flight", known.OldInFlight, "missing", missing, "fence", one.lease.Fence())
+		"share", next.Share, "held", len(next.Held), "elapsed_ms", input.Elapsed.Milliseconds(), "fresh", fresh.Requests, "fresh_bad", fresh.Bad,
+		"old", old.Requests, "old_bad", old.Bad, "pace", shift.PaceRatio(input.Fresh, input.Old), "old_in_flight", input.OldInFlight, "missing", missing, "fence", duty.lease.Fence())
 }
 
-// write stores a state, with the time of its order.
-func (d *duties) write(ctx context.Context, one *duty, next *shift.State, elapsed time.Duration) bool {
+// writeState stores a state with the time of its order.
+func (d *rolloutDuties) writeState(ctx context.Context, duty *rolloutDuty, next *shift.State, elapsed time.Duration) bool {
 	if now, ok := d.store.Clock(); ok && next.OrderedMS == 0 {
 		next.OrderedMS = now - elapsed.Milliseconds()
 	}
-	key := statePrefix + next.Service
+	key := rolloutStatePrefix + next.Service
 	revision, err := d.table.Commit(ctx, backing.Txn{
-		Checks: []backing.Check{one.lease.Check(), {Key: key, Revision: one.revision}},
-		Puts:   []backing.Put{backing.PutJSON(key, storedState{State: *next, Seen: one.tally.Totals()})},
+		Checks: []backing.Check{duty.lease.Check(), {Key: key, Revision: duty.revision}},
+		Puts:   []backing.Put{backing.PutJSON(key, storedState{State: *next, Seen: duty.tally.Totals()})},
 	})
 	if err != nil {
 		slog.Warn("rollout.not_written", "service", next.Service, "step", next.Step, "error", err)
-		// What is stored now is not known; it is read before the next try.
-		one.loaded = false
+		// The write may or may not have been applied. The state is read again before the next
+		// attempt.
+		duty.loaded = false
 		return false
 	}
-	one.revision, one.step, one.seenAt = revision, next.Step, d.clock.Now()
+	duty.revision, duty.step, duty.totalsStoredAt = revision, next.Step, d.clock.Now()
 	return true
 }
 
-func (d *duties) tell(ctx context.Context, one *duty, order shift.Order, phase shift.Phase) bool {
-	err := d.table.publish(ctx, order.Service, order.To, phase, one.lease.Check())
+func (d *rolloutDuties) reportPhase(ctx context.Context, duty *rolloutDuty, order shift.Order, phase shift.Phase) bool {
+	err := d.table.publishStatus(ctx, order.Service, order.To, phase, duty.lease.Check())
 	if err != nil {
-		slog.Warn("rollout.operator_not_told", "service", order.Service, "phase", string(phase), "error", err)
+		slog.Warn("rollout.not_reported", "service", order.Service, "phase", string(phase), "error", err)
 		return false
 	}
-	one.told = phase
-	slog.Info("rollout.operator_told", "service", order.Service, "to", order.To, "phase", string(phase), "fence", one.lease.Fence())
+	duty.reportedPhase = phase
+	slog.Info("rollout.operator_told", "service", order.Service, "to", order.To, "phase", string(phase), "fence", duty.lease.Fence())
 	return true
 }
 
-// evidence asks every live daemon what it has seen. missing is how many did not
-// answer.
-func (d *duties) evidence(ctx context.Context, one *duty, order shift.Order) (known shift.DecisionInput, missing int) {
+// collectEvidence asks every live daemon for its evidence. missing is the number of daemons
+// that did not answer.
+func (d *rolloutDuties) collectEvidence(ctx context.Context, duty *rolloutDuty, order shift.Order) (input shift.DecisionInput, missing int) {
 	all := []shift.Evidence{d.ownEvidence(order.Service)}
 	var mu sync.Mutex
-	// Only its holder says that the duty has one.
-	ask := peer.EvidenceRequest{Service: order.Service, Holder: one.lease.Held()}
-	d.eachPeer(ctx, func(call context.Context, address string) {
-		e, err := d.peers.Evidence(call, address, ask)
+	// Only the holder may count as a sign that the duty has a holder.
+	request := peer.EvidenceRequest{Service: order.Service, Holder: duty.lease.Held()}
+	d.callPeers(ctx, func(call context.Context, address string) {
+		e, err := d.peers.Evidence(call, address, request)
 		mu.Lock()
 		defer mu.Unlock()
 		if err != nil || e.Order != order.ID {
@@ -361,33 +362,33 @@
 		all = append(all, e)
 	})
 	for _, e := range all {
-		one.tally.Update(e)
+		duty.tally.Update(e)
 	}
-	return one.tally.Input(all), missing
+	return duty.tally.Input(all), missing
 }
 
 func (n *Node) ownEvidence(service string) shift.Evidence {
-	e := n.book.Evidence(service)
+	e := n.rollouts.Evidence(service)
 	e.From = n.registry.Self().Incarnation
 	return e
 }
 
-// spread takes a state in and tells it to every live daemon.
-func (d *duties) spread(ctx context.Context, s shift.State) {
-	d.learnState(s, "own")
-	d.eachPeer(ctx, func(call context.Context, address string) {
+// broadcastState applies a state and sends it to every live daemon.
+func (d *rolloutDuties) broadcastState(ctx context.Context, s shift.State) {
+	d.applyRolloutState(s, "own")
+	d.callPeers(ctx, func(call context.Context, address string) {
 		if err := d.peers.SendRolloutState(call, address, s); err != nil {
-			slog.Debug("rollout.state_not_told", "peer", address, "error", err)
+			slog.Debug("rollout.state_not_sent", "peer", address, "error", err)
 		}
 	})
 }
 
-func (d *duties) eachPeer(ctx context.Context, f func(ctx context.Context, address string)) {
+func (d *rolloutDuties) callPeers(ctx context.Context, f func(ctx context.Context, address string)) {
 	self := d.registry.Self().Incarnation
 	others := slices.DeleteFunc(d.registry.All(), func(peer member.Daemon) bool {
 		return peer.Incarnation == self || (peer.State != member.Alive && peer.State != member.Leaving)
 	})
-	d.callEach(ctx, dutyCallTime, others, f)
+	d.callEach(ctx, rolloutCallTimeout, others, f)
 }
 
 func unmarshal(row backing.Row, out any) error { return trace.Wrap(json.Unmarshal(row.Value, out)) }
--- a/internal/entry/duty_test.go
+++ b/internal/entry/duty_test.go
@@ -19,9 +19,9 @@
 	"github.com/hornbeamsill/hornbeamsill/platform/platformtest"
 )
 
-const dutyService = "s"
+const rolloutService = "s"
 
-// stateStore is a store that may refuse to write the states of roll-outs.
+// stateStore is a store that can refuse to write the states of roll-outs.
 type stateStore struct {
 	*platformtest.Store
 	refuses atomic.Bool
@@ -41,7 +41,7 @@
 	// Calls without a body write nothing.
 	_ = json.Unmarshal(body, &txn)
 	for _, put := range txn.Puts {
-		if s.refuses.Load() && put.Key == statePrefix+dutyService {
+		if s.refuses.Load() && put.Key == rolloutStatePrefix+rolloutService {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
@@ -49,65 +49,66 @@
 	s.Handler().ServeHTTP(w, r)
 }
 
-// state is the stored state of the roll-out.
+// state returns the stored state of the roll-out.
 func (s *stateStore) state(t *testing.T) shift.State {
 	var state shift.State
-	require.NoError(t, json.Unmarshal(s.Value("hornbeamsill", statePrefix+dutyService), &state))
+	require.NoError(t, json.Unmarshal(s.Value("hornbeamsill", rolloutStatePrefix+rolloutService), &state))
 	return state
 }
 
-// newBadRollout returns a daemon that holds the duty of a roll-out whose version has shown
-// itself to be bad.
-func newBadRollout(t *testing.T) (n *Node, store *stateStore, look func()) {
+// newRegressedRollout returns a daemon that holds the duty of a roll-out whose new version has
+// already shown too many bad answers, the store, and a function that processes the roll-out.
+func newRegressedRollout(t *testing.T) (n *Node, store *stateStore, process func()) {
 	store = &stateStore{Store: platformtest.NewStore()}
 	server := httptest.NewServer(store)
 	t.Cleanup(server.Close)
 	clock := clockwork.NewFakeClock()
 	n = newTestNode(clock, func(r *settings.Routes) { r.Platform = server.Listener.Addr().String() })
-	order := shift.Order{ID: 7, Service: dutyService, To: "v2", Allowed: time.Minute}
-	n.ordered(order, "store")
-	look = func() {
+	order := shift.Order{ID: 7, Service: rolloutService, To: "v2", Allowed: time.Minute}
+	n.addOrder(order, "store")
+	process = func() {
 		clock.Advance(time.Millisecond)
-		// Other calls are answered, so that the store is asked again at once.
-		n.contact.note(clock.Now(), clock.Now(), nil)
-		for _, active := range n.book.Unfinished() {
-			n.duties.look(context.Background(), active)
+		// Other calls are answered, so that the next call goes directly to the store.
+		n.storeHealth.record(clock.Now(), clock.Now(), nil)
+		for _, active := range n.rollouts.Unfinished() {
+			n.duties.process(context.Background(), active)
 		}
 	}
-	look()
+	process()
 	clock.Advance(2 * time.Second)
-	look()
+	process()
 	require.Equal(t, shift.Running, store.state(t).Phase)
 	for range 60 {
-		n.book.Observe(dutyService, shift.Observation{Version: "v1"})
-		n.book.Observe(dutyService, shift.Observation{Version: "v2", Bad: true})
+		n.rollouts.Observe(rolloutService, shift.Observation{Version: "v1"})
+		n.rollouts.Observe(rolloutService, shift.Observation{Version: "v2", Bad: true})
 	}
-	return n, store, look
+	return n, store, process
 }
 
-// Guards against an operator who is told that a version was rolled back while the store still
-// says that it is being brought in: daemons that all start anew would bring it in.
-func TestRollbackIsStoredBeforeTheOperatorIsTold(t *testing.T) {
-	_, store, look := newBadRollout(t)
+// Guards against reporting a rollback to the operator while the stored state still says that
+// the version is being rolled out: after a restart of all daemons the roll-out would continue.
+func TestRollbackIsStoredBeforeItIsReported(t *testing.T) {
+	_, store, process := newRegressedRollout(t)
 	store.refuses.Store(true)
 	for range 3 {
-		look()
-		require.Equal(t, "running", store.Rollout(dutyService))
+		process()
+		require.Equal(t, "running", store.Rollout(rolloutService))
 	}
 	store.refuses.Store(false)
-	look()
-	require.Equal(t, "rolled_back", store.Rollout(dutyService))
+	process()
+	require.Equal(t, "rolled_back", store.Rollout(rolloutService))
 	require.Equal(t, shift.RolledBack, store.state(t).Phase)
 }
 
-// Guards against a state that is never stored because the operator has been told already.
-func TestStateIsStoredOnceTheOperatorWasTold(t *testing.T) {
-	n, store, look := newBadRollout(t)
-	n.duties.byService[dutyService].told = shift.RolledBack
+// Guards against a state that is never stored because its phase has already been reported to
+// the operator.
+func TestStateIsStoredAfterTheOperatorWasInformed(t *testing.T) {
+	n, store, process := newRegressedRollout(t)
+	n.duties.byService[rolloutService].reportedPhase = shift.RolledBack
 	store.refuses.Store(true)
-	look()
+	process()
 	store.refuses.Store(false)
-	look()
+	process()
 	state := store.state(t)
 	require.Equal(t, shift.RolledBack, state.Phase)
 	require.True(t, state.Told)
--- a/internal/entry/link_test.go
+++ b/internal/entry/link_test.go
@@ -16,33 +16,32 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/settings"
 )
 
-// The load that news over thin links answers: 80 daemons in 4 failure domains before 140
-// engines, 430 prompts a second that each go to any of the engines, each about
-// one of 600 subjects and with one of 4 common beginnings.
+// The load of the test: 80 daemons in 4 failure domains and 140 engines, with 430 prompts per
+// second to random engines, each with one of 600 subjects and one of 4 shared prefixes.
 const (
-	linkDomains    = 4
-	linkPerDomain  = 20
-	linkEngines    = 140
-	linkPerSecond  = 430
-	linkSubjects   = 600
-	linkCommon     = 4
-	linkSeconds    = 20
-	linkBitsSecond = 10_000_000
+	linkDomains          = 4
+	linkDaemonsPerDomain = 20
+	linkEngines          = 140
+	linkPromptsPerSecond = 430
+	linkSubjects         = 600
+	linkSharedPrefixes   = 4
+	linkDuration         = 20
+	linkBitsPerSecond    = 10_000_000
 )
 
-// linkPause is the time between two rounds of news of that many engines.
-var linkPause = workPause(linkEngines)
+// linkRoundInterval is the interval between two rounds of work updates for that many engines.
+var linkRoundInterval = workRoundInterval(linkEngines)
 
-// domainOfDaemons is the daemons of one failure domain; the first one is the reader.
-type domainOfDaemons struct {
+// testDomain is the daemons of one failure domain; the first one is the reader.
+type testDomain struct {
 	nodes []*Node
-	// sent is the bytes that the reader has sent.
+	// sent is the number of bytes that the reader has sent.
 	sent int
 }
 
-func newDomain(clock clockwork.Clock, domain string, engines []inventory.Instance) *domainOfDaemons {
-	d := &domainOfDaemons{}
-	for i := range linkPerDomain {
+func newTestDomain(clock clockwork.Clock, domain string, engines []inventory.Instance) *testDomain {
+	d := &testDomain{}
+	for i := range linkDaemonsPerDomain {
 		n := newTestNode(clock, func(r *settings.Routes) {
 			r.FailureDomain, r.PeerListen = domain, fmt.Sprint(domain, ".", i, ":1")
 		})
@@ -52,25 +51,26 @@
 	return d
 }
 
-// round is one round of the reader, with what it sends counted as gob sends it. It
-// returns what the readers of other domains are told.
-func (d *domainOfDaemons) round(t *testing.T) peer.DomainWork {
+// round runs one round of the reader and counts the bytes it sends in gob encoding. It returns
+// the update for the readers of other domains.
+func (d *testDomain) round(t *testing.T) peer.DomainWork {
 	t.Helper()
 	reader := d.nodes[0]
 	now := reader.clock.Now()
-	reader.work.add(reader.ownWork(), now)
-	work, read := reader.work.tellGroup(now, readingsIn(linkPause))
-	told := peer.FleetWork{Amounts: peer.PackWork(work), Readings: peer.PackReadings(read)}
+	reader.workTotals.add(reader.ownWork(), now)
+	work, prefixes := reader.workTotals.fleetWork(now, prefixesIn(linkRoundInterval))
+	update := peer.FleetWork{Amounts: peer.PackWork(work), Readings: peer.PackReadings(prefixes)}
 	for _, n := range d.nodes[1:] {
-		d.sent += frame(t, told)
-		reader.work.add(n.OnFleetWork(told), now)
+		d.sent += frameSize(t, update)
+		reader.workTotals.add(n.OnFleetWork(update), now)
 	}
-	work, read = reader.work.tellDomains(now, readingsIn(linkPause))
-	return peer.DomainWork{Amounts: peer.PackWork(work), Readings: peer.PackReadings(read)}
+	work, prefixes = reader.workTotals.groupWork(now, prefixesIn(linkRoundInterval))
+	return peer.DomainWork{Amounts: peer.PackWork(work), Readings: peer.PackReadings(prefixes)}
 }
 
-// frame is the length of v as net/rpc sends it on a connection in use.
-func frame(t *testing.T, v any) int {
+// frameSize returns the size of v as net/rpc sends it on a connection that has already sent
+// the type.
+func frameSize(t *testing.T, v any) int {
 	t.Helper()
 	var out bytes.Buffer
 	enc := gob.NewEncoder(&out)
@@ -80,53 +80,51 @@
 	return out.Len() - types
 }
 
-// prompt sends a prompt from one daemon to one engine.
-func (n *Node) prompt(random *rand.Rand, to inventory.Instance) {
-	common := random.IntN(linkCommon)
+// sendPrompt records that a daemon sent a random prompt to an engine.
+func (n *Node) sendPrompt(random *rand.Rand, to inventory.Instance) {
+	common := random.IntN(linkSharedPrefixes)
 	n.table.Begin(to, 5000)
-	n.prompts.NoteSent(to, []inventory.Prefix{
+	n.prefixes.NoteSent(to, []inventory.Prefix{
 		{Key: inventory.PrefixHash(common), Work: 2500},
 		{Key: inventory.PrefixHash(1000 + random.IntN(linkSubjects)), Work: 6300},
 	})
 }
 
-// Callers of daemons on links of 10 Mbit/s wait ten times as often for plain answers as
-// they should, though no engine is late: a daemon that tells the others of its failure
-// domain which engines read which prompts fills its own link, and its callers' answers
-// wait behind the news. A round of news must leave the link within 35 ms, a quarter of
-// the time between two rounds. It takes 21 ms; unbounded, and with IDs and keys as gob
-// sends them, it took 148 ms of 200 ms.
-func TestNewsLeavesRoomOnThinLinks(t *testing.T) {
+// Guards against work updates that fill the link of a reader. On a link of 10 Mbit/s,
+// unbounded updates with IDs and keys in gob encoding took 148 ms of every 200 ms; the answers
+// of the reader's callers waited behind them and were late ten times as often as they should
+// be. A round must take less than 35 ms, a quarter of the interval; it takes 21 ms.
+func TestWorkUpdatesLeaveRoomOnSlowLinks(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	random := rand.New(rand.NewPCG(1, 1))
 	var engines []inventory.Instance
 	for i := range linkEngines {
 		engines = append(engines, inventory.Instance{ID: fmt.Sprintf("i-%010x", i), Service: "s", Born: 1_700_000_000_000 + int64(i)})
 	}
-	var domains []*domainOfDaemons
+	var domains []*testDomain
 	for d := range linkDomains {
-		domains = append(domains, newDomain(clock, fmt.Sprint("zone-", d), engines))
+		domains = append(domains, newTestDomain(clock, fmt.Sprint("zone-", d), engines))
 	}
-	rounds := int(linkSeconds * time.Second / linkPause)
-	worst := time.Duration(0)
+	rounds := int(linkDuration * time.Second / linkRoundInterval)
+	longest := time.Duration(0)
 	for range rounds {
-		for range int(linkPerSecond * linkPause.Seconds()) {
-			n := domains[random.IntN(linkDomains)].nodes[random.IntN(linkPerDomain)]
-			n.prompt(random, engines[random.IntN(linkEngines)])
+		for range int(linkPromptsPerSecond * linkRoundInterval.Seconds()) {
+			n := domains[random.IntN(linkDomains)].nodes[random.IntN(linkDaemonsPerDomain)]
+			n.sendPrompt(random, engines[random.IntN(linkEngines)])
 		}
 		for d, domain := range domains {
 			before := domain.sent
-			told := domain.round(t)
-			told.Domain = fmt.Sprint("zone-", d)
-			worst = max(worst, time.Duration(domain.sent-before)*8*time.Second/linkBitsSecond)
+			update := domain.round(t)
+			update.Domain = fmt.Sprint("zone-", d)
+			longest = max(longest, time.Duration(domain.sent-before)*8*time.Second/linkBitsPerSecond)
 			for other := range domains {
 				if other != d {
-					domains[other].nodes[0].OnDomainWork(told)
+					domains[other].nodes[0].OnDomainWork(update)
 				}
 			}
 		}
-		clock.Advance(linkPause)
+		clock.Advance(linkRoundInterval)
 	}
-	t.Logf("the longest round takes %v of a link of %d Mbit/s", worst, linkBitsSecond/1_000_000)
-	require.Less(t, worst, linkPause/4)
+	t.Logf("the longest round takes %v of a link of %d Mbit/s", longest, linkBitsPerSecond/1_000_000)
+	require.Less(t, longest, linkRoundInterval/4)
 }
--- a/internal/entry/list.go
+++ b/internal/entry/list.go
@@ -11,100 +11,101 @@
 	"github.com/hornbeamsill/hornbeamsill/platform"
 )
 
-// listShare is the part of the time allowed for a leaving instance after
-// which the list is read again. Heartbeats of the instances change the
-// list all the time, so a question that waits for news would be answered
-// at once; reading at a pace costs a tenth of the calls.
-const listShare = 0.33
+// listReadFraction is the interval between two reads of the instance list as a fraction of the
+// time for which leaving instances still serve. A long poll would return at once, since
+// heartbeats of the instances change the list all the time; reading at an interval takes a
+// tenth of the calls.
+const listReadFraction = 0.33
 
-// maxListPace bounds the time between two reads of the list, which also tell whether the
-// operator has written something: a question for that may be lost, and a configuration must
-// be in force within seconds, however long leaving instances are allowed.
-const maxListPace = 1500 * time.Millisecond
+// maxListInterval limits the interval between two reads of the list, however long leaving
+// instances serve. A read of the list also shows whether there are new operator rows: the long
+// poll for these may be lost, and a configuration must be in force within seconds.
+const maxListInterval = 1500 * time.Millisecond
 
-// watchInstances follows the list of upstream instances.
+// watchInstances keeps the list of upstream instances up to date.
 func (n *Node) watchInstances(ctx context.Context) {
 	var wait backoff
 	whole := false
 	for ctx.Err() == nil {
 		if !n.mustReadList() {
-			n.pause(ctx, checkInterval)
+			n.sleep(ctx, checkInterval)
 			continue
 		}
-		whole = whole || n.settling.takeListDue(n.clock.Now())
+		whole = whole || n.staleWindow.takeListDue(n.clock.Now())
 		err := n.readList(ctx, whole)
-		lost := errors.Is(err, platform.ErrCompacted)
-		whole = lost || whole && err != nil
+		compacted := errors.Is(err, platform.ErrCompacted)
+		whole = compacted || whole && err != nil
 		switch {
 		case ctx.Err() != nil:
 			return
-		case lost:
-			// A server may have left in what is gone: only the whole list
-			// tells.
+		case compacted:
+			// An instance may have left in the part of the history that the store has dropped;
+			// only a read of the whole list shows it.
 			slog.Warn("store.history_gone", "table", "instances", "revision", n.table.Revision())
 		case err != nil:
 			n.backOff(ctx, &wait)
 		default:
 			wait.failures = 0
-			n.offer()
-			n.pause(ctx, n.listPace())
+			n.publishCallerURL()
+			n.sleep(ctx, n.listInterval())
 		}
 	}
 }
 
-// readList reads the whole list, or what changed in it.
+// readList reads the whole list or the changes since the last read, applies them and sends
+// them to the daemons of the group.
 func (n *Node) readList(ctx context.Context, whole bool) error {
 	base := n.table.Revision()
 	first := !n.table.Loaded()
 	whole = whole || first
 	asked := n.clock.Now()
-	var news platform.InstanceNews
+	var rows platform.InstanceNews
 	var err error
 	if whole {
-		news, err = n.store.Instances(ctx)
+		rows, err = n.store.Instances(ctx)
 	} else {
-		news, err = n.store.InstancesAfter(ctx, base, 0)
+		rows, err = n.store.InstancesAfter(ctx, base, 0)
 	}
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	n.contact.note(asked, n.clock.Now(), err)
+	n.storeHealth.record(asked, n.clock.Now(), err)
 	if err != nil {
 		return err
 	}
-	if n := len(news.Malformed); n > 0 {
-		// One line a read, however many writers are at fault.
-		slog.Error("instances.unreadable", "revision", news.Revision, "count", n, "first", news.Malformed[0])
+	if n := len(rows.Malformed); n > 0 {
+		// Logs one line per read, however many entries are malformed.
+		slog.Error("instances.unreadable", "revision", rows.Revision, "count", n, "first", rows.Malformed[0])
 	}
-	doubted := n.doubtedUntil(n.clock.Now())
+	graceEnd := n.graceEnd(n.clock.Now())
 	if whole {
-		taken := n.table.Replace(snapshot(news), doubted)
-		slog.Info("instances.read", "count", len(news.Changes), "revision", news.Revision, "doubted", doubted.After(n.clock.Now()), "taken", taken)
-		if taken && !first {
-			// The first list of a daemon that has just started is no news to others.
-			n.tellWholeList(ctx)
+		replaced := n.table.Replace(snapshot(rows), graceEnd)
+		slog.Info("instances.read", "count", len(rows.Changes), "revision", rows.Revision, "doubted", graceEnd.After(n.clock.Now()), "taken", replaced)
+		if replaced && !first {
+			// The first list of a daemon that has just started is not new to the others.
+			n.sendWholeList(ctx)
 		}
 		return nil
 	}
-	told, ok := n.takeChanges(news, doubted)
-	// What is told of the list tells how new the operator's rows are, too.
-	n.confirmOperator(ctx, news.Revision)
+	update, ok := n.applyChanges(rows, graceEnd)
+	// The revision of the list also shows whether the operator's rows are up to date.
+	n.confirmOperator(ctx, rows.Revision)
 	if ok {
-		n.tellList(ctx, told)
+		n.sendListChanges(ctx, update)
 	}
 	return nil
 }
 
-// takeChanges takes in what changed in the list, and returns what is to be told
-// of it; ok is false when this daemon knows a newer list already.
-func (n *Node) takeChanges(news platform.InstanceNews, doubted time.Time) (told peer.StoreUpdate, ok bool) {
-	changes, from, ok := n.table.Apply(news.Changes, news.Revision, doubted)
-	return peer.StoreUpdate{Changes: changes, Base: from, List: news.Revision}, ok
+// applyChanges applies the changes of a read and returns the update for the daemons of the
+// group. ok is false if this daemon already has a newer list.
+func (n *Node) applyChanges(rows platform.InstanceNews, graceEnd time.Time) (update peer.StoreUpdate, ok bool) {
+	changes, from, ok := n.table.Apply(rows.Changes, rows.Revision, graceEnd)
+	return peer.StoreUpdate{Changes: changes, Base: from, List: rows.Revision}, ok
 }
 
-func snapshot(news platform.InstanceNews) inventory.Snapshot {
-	s := inventory.Snapshot{Revision: news.Revision, Warming: map[string]time.Duration{}}
-	for _, c := range news.Changes {
+func snapshot(rows platform.InstanceNews) inventory.Snapshot {
+	s := inventory.Snapshot{Revision: rows.Revision, Warming: map[string]time.Duration{}}
+	for _, c := range rows.Changes {
 		switch {
 		case c.Instance != nil:
 			s.Instances = append(s.Instances, *c.Instance)
--- a/internal/entry/module.go
+++ b/internal/entry/module.go
@@ -24,8 +24,8 @@
 	"github.com/hornbeamsill/hornbeamsill/platform"
 )
 
-// Module provides a Process and runs it between the start and stop of the app.
-// Settings are supplied from outside.
+// Module provides a Process and runs it from the start to the stop of the app. The settings
+// are supplied by the app.
 var Module = fx.Module("entry",
 	fx.Provide(
 		clockwork.NewRealClock,
@@ -41,20 +41,19 @@
 )
 
 const (
-	// entriesTTL is how long callers keep an answer of the directory. It is
-	// short, so that a daemon that stops is not used for long: callers keep
-	// one up to three times as long.
+	// entriesTTL is how long callers cache an answer of the directory. Callers use an answer
+	// for up to three times as long, so a short TTL keeps a stopped daemon from being used for
+	// long.
 	entriesTTL = 1 * time.Second
-	// servePart is the part of the time for a stop in which new requests are
-	// still taken: the three seconds for which callers may use an old answer
-	// of the directory, of eight.
-	servePart = 0.41
-	// finishPart is the part of the time for a stop after which the process
-	// ends, whatever still runs.
-	finishPart = 0.93
-	// memoryPart is the part of the memory at which the runtime collects
-	// harder.
-	memoryPart = 0.7
+	// acceptFraction is the fraction of the stop time in which new requests are still
+	// accepted: of eight seconds, the three in which callers may use an old directory answer.
+	acceptFraction = 0.41
+	// stopFraction is the fraction of the stop time after which the process ends even if
+	// requests are still running.
+	stopFraction = 0.93
+	// memoryLimitFraction is the fraction of the memory that is set as the soft limit of the
+	// Go runtime, above which garbage is collected more often.
+	memoryLimitFraction = 0.7
 )
 
 // Process is a running daemon with its listeners.
@@ -65,7 +64,7 @@
 
 	peers     *peer.Server
 	callers   *http.Server
-	others    []*http.Server
+	auxiliary []*http.Server
 	loops     sync.WaitGroup
 	stopLoops context.CancelFunc
 }
@@ -77,28 +76,28 @@
 
 func (p *Process) start(context.Context) error {
 	s := p.settings
-	debug.SetMemoryLimit(int64(memoryPart * float64(s.MemoryMB<<20)))
+	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(s.MemoryMB<<20)))
 	var err error
 	if p.peers, err = peer.ListenRoutes(s.PeerListen, p.node); err != nil {
 		return trace.Wrap(err)
 	}
 	p.node.registry.SetSelf(func(d *member.Daemon) { d.PeerAddress = p.peers.Address() })
-	p.publish()
+	p.publishVars()
 	p.callers = &http.Server{
-		Handler: p.closing(p.node.handler), MaxHeaderBytes: maxHeaderBytes,
+		Handler: p.closeWhenLeaving(p.node.handler), MaxHeaderBytes: maxHeaderBytes,
 	}
 	if p.node.callerAddress, err = p.listenCallers(); err != nil {
 		return err
 	}
-	ready, err := p.listenOther(s.ReadyListen, platform.ReadyHandler(p.node.Ready))
+	ready, err := p.listenAuxiliary(s.ReadyListen, platform.ReadyHandler(p.node.Ready))
 	if err != nil {
 		return err
 	}
-	directory, err := p.listenOther(s.DirectoryListen, platform.DirectoryHandler(p.node.entries, entriesTTL))
+	directory, err := p.listenAuxiliary(s.DirectoryListen, platform.DirectoryHandler(p.node.entries, entriesTTL))
 	if err != nil {
 		return err
 	}
-	metrics, err := p.listenOther(s.MetricsListen, p.node.operatorHandler())
+	metrics, err := p.listenAuxiliary(s.MetricsListen, p.node.debugHandler())
 	if err != nil {
 		return err
 	}
@@ -111,13 +110,14 @@
 	return nil
 }
 
-// listenOther serves one of the small interfaces; no address is none.
-func (p *Process) listenOther(address string, handler http.Handler) (string, error) {
+// listenAuxiliary serves one of the internal interfaces and returns its address. It does
+// nothing if address is empty.
+func (p *Process) listenAuxiliary(address string, handler http.Handler) (string, error) {
 	if address == "" {
 		return "", nil
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
-	p.others = append(p.others, server)
+	p.auxiliary = append(p.auxiliary, server)
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return "", trace.Wrap(err)
@@ -125,38 +125,38 @@
 	return serve(server, l), nil
 }
 
-// listenCallers serves callers.
+// listenCallers serves callers and returns the address.
 func (p *Process) listenCallers() (string, error) {
 	l, err := net.Listen("tcp", p.settings.CallerListen)
 	if err != nil {
 		return "", trace.Wrap(err)
 	}
-	if most := callerConnections(p.settings.Descriptors); most > 0 {
-		l = netutil.LimitListener(l, most)
+	if limit := maxCallerConns(p.settings.Descriptors); limit > 0 {
+		l = netutil.LimitListener(l, limit)
 	}
-	followCallers(p.callers)
+	trackCallerConns(p.callers)
 	return serve(p.callers, &callerListener{Listener: l, limits: p.node.limits}), nil
 }
 
 const (
-	// reservedDescriptors are kept for files and for peers.
+	// reservedDescriptors are reserved for files and peers.
 	reservedDescriptors = 300
-	// callerPart is the part of the rest for callers; each of their requests
-	// may need a connection to an upstream instance.
-	callerPart = 0.6
+	// callerFraction is the fraction of the other descriptors for callers' connections; each
+	// of their requests may need a connection to an upstream instance.
+	callerFraction = 0.6
 )
 
-// callerConnections is how many connections callers may have open at once; 0 is
-// no bound. Without it a flood of them would leave none for upstream instances
-// and the store, and what is being served would fail.
-func callerConnections(descriptors int) int {
+// maxCallerConns returns how many connections callers may have open at once; 0 means no limit.
+// Without a limit a flood of connections would leave no descriptors for upstream instances and
+// the store, and requests in progress would fail.
+func maxCallerConns(descriptors int) int {
 	if descriptors == 0 {
 		return 0
 	}
-	return max(int(callerPart*float64(descriptors-reservedDescriptors)), 1)
+	return max(int(callerFraction*float64(descriptors-reservedDescriptors)), 1)
 }
 
-// serve serves what a listener accepts and returns its address with the port.
+// serve starts to serve connections of a listener and returns its address with the port.
 func serve(server *http.Server, l net.Listener) string {
 	address := l.Addr().String()
 	go func() {
@@ -167,9 +167,9 @@
 	return address
 }
 
-// closing asks callers to close their connections once this daemon is leaving,
-// so that they do so between two requests instead of meeting our close.
-func (p *Process) closing(next http.Handler) http.Handler {
+// closeWhenLeaving asks callers to close their connections once this daemon is leaving. They
+// then close them between two requests rather than find them closed by the server.
+func (p *Process) closeWhenLeaving(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if p.node.leaving.Load() {
 			w.Header().Set("Connection", "close")
@@ -178,15 +178,15 @@
 	})
 }
 
-// stop ends the daemon as planned: it leaves what callers are told, serves
-// until they have noticed, takes nothing new, finishes what runs, and ends.
+// stop performs a planned stop: it removes this daemon from the directory, serves requests
+// until callers have noticed, refuses new ones, finishes the running ones and ends.
 func (p *Process) stop(context.Context) error {
-	began := p.clock.Now()
+	started := p.clock.Now()
 	total := settings.Seconds(p.settings.StopS)
 	slog.Info("daemon.stopping", "open", p.node.metrics.Open.Load())
 	p.node.leave(member.Leaving)
-	p.clock.Sleep(time.Duration(servePart * float64(total)))
-	left := time.Duration(finishPart*float64(total)) - p.clock.Since(began)
+	p.clock.Sleep(time.Duration(acceptFraction * float64(total)))
+	left := time.Duration(stopFraction*float64(total)) - p.clock.Since(started)
 	ctx, cancel := context.WithTimeout(context.Background(), left)
 	defer cancel()
 	err := p.callers.Shutdown(ctx)
@@ -199,26 +199,26 @@
 	p.loops.Wait()
 	p.peers.Close()
 	p.node.peers.Close()
-	for _, server := range p.others {
+	for _, server := range p.auxiliary {
 		server.Close()
 	}
 	p.node.store.Close()
-	slog.Info("daemon.stopped", "cut", cut, "after_ms", p.clock.Since(began).Milliseconds())
+	slog.Info("daemon.stopped", "cut", cut, "after_ms", p.clock.Since(started).Milliseconds())
 	return nil
 }
 
-// lateStream is the time after the beginning of a planned stop from which streams are
-// refused: callers that go by the directory know by then, and what comes later may not end
-// in the time for the stop.
-const lateStream = 3*entriesTTL - 100*time.Millisecond
+// refuseStreamsAfter is how long after the start of a planned stop new streams are refused. By
+// then callers that use the directory have switched, and a later stream might not finish in
+// the stop time.
+const refuseStreamsAfter = 3*entriesTTL - 100*time.Millisecond
 
-// refusesStreams reports whether a planned stop has gone on for lateStream.
+// refusesStreams reports whether a planned stop began at least refuseStreamsAfter ago.
 func (n *Node) refusesStreams() bool {
 	since := n.leavingSince.Load()
-	return since != nil && n.clock.Since(*since) >= lateStream
+	return since != nil && n.clock.Since(*since) >= refuseStreamsAfter
 }
 
-// leave tells the peers that this daemon is on its way out.
+// leave informs the peers that this daemon is leaving or has left.
 func (n *Node) leave(state member.State) {
 	now := n.clock.Now()
 	n.leavingSince.CompareAndSwap(nil, &now)
@@ -227,20 +227,20 @@
 		d.State = state
 		d.Version++
 	})
-	ctx, cancel := context.WithTimeout(context.Background(), beatTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), peerCallTimeout)
 	defer cancel()
 	n.heartbeatRound(ctx)
-	n.kickBeat()
+	n.requestHeartbeat()
 }
 
-// figures are the numbers shown in /debug/vars.
-type figures struct {
+// debugVars are the variables in /debug/vars.
+type debugVars struct {
 	Config int64 `json:"config_version"`
-	// Operator is the store's revision up to which the operator's rows are known, and
-	// OperatorAgeMS for how long nothing has shown that they are still the newest.
+	// Operator is the store revision up to which the operator's rows are known, and
+	// OperatorAgeMS the time since they were last known to be the newest.
 	Operator      int64 `json:"operator_revision"`
 	OperatorAgeMS int64 `json:"operator_age_ms"`
-	// Reader is true while this daemon reads the store for others.
+	// Reader is set while this daemon reads the store on behalf of its group.
 	Reader     bool  `json:"reader"`
 	List       int64 `json:"list_revision"`
 	ListAgeMS  int64 `json:"list_age_ms"`
@@ -249,34 +249,34 @@
 	Dials      int64 `json:"upstream_connections"`
 	Goroutines int   `json:"goroutines"`
 	Requests   any   `json:"requests"`
-	// PeerCalls is what this daemon tells its peers, PeerServed what it answers
-	// them.
+	// PeerCalls is the traffic of this daemon's calls to its peers, and PeerServed that of the
+	// calls it serves.
 	PeerCalls  *peer.Traffic `json:"peer_calls"`
 	PeerServed *peer.Traffic `json:"peer_served"`
-	// Evacuated is the number of evacuated failure domains, and Withdrawn how often a
-	// request was stopped because its instance was withdrawn when it was about to go out.
+	// Evacuated is the number of evacuated failure domains, and Withdrawn the number of times
+	// a request was stopped because its instance was withdrawn just before it was sent.
 	Evacuated int   `json:"evacuated"`
 	Withdrawn int64 `json:"withdrawn"`
-	// Limited is the number of upstream instances that name a limit, and NoTurn how many
-	// requests were refused because no turn at an instance that warms up or names a limit
-	// came in time.
+	// Limited is the number of upstream instances with a rate limit, and NoTurn the number of
+	// requests refused because their turn at an instance that is warming up or rate-limited
+	// would have come too late.
 	Limited int   `json:"instances_limited"`
 	NoTurn  int64 `json:"no_turn"`
-	// Quarantine is about requests that crash upstream instances.
-	Quarantine quarantineFigures `json:"quarantine"`
+	// Quarantine has the counters of the quarantine.
+	Quarantine quarantineVars `json:"quarantine"`
 }
 
-func (p *Process) publish() {
+func (p *Process) publishVars() {
 	n := p.node
 	telemetry.Publish("hornbeamsill", func() any {
-		operator := n.fresh.view()
+		operator := n.freshness.view()
 		limited, _ := n.table.LimitsInForce()
-		return figures{
-			Config: n.configVersion(), Operator: operator.read, OperatorAgeMS: n.clock.Since(operator.at).Milliseconds(), Reader: n.reader(),
+		return debugVars{
+			Config: n.configVersion(), Operator: operator.readRevision, OperatorAgeMS: n.clock.Since(operator.confirmedAt).Milliseconds(), Reader: n.isReader(),
 			List: n.table.Revision(), ListAgeMS: n.table.Age().Milliseconds(),
 			Daemons: len(n.registry.Live()), StoreCalls: n.store.Calls(), Dials: n.pool.Dials(),
 			Goroutines: runtime.NumGoroutine(), Requests: n.metrics,
-			PeerCalls: n.peers.Traffic(), PeerServed: p.peers.Traffic(), Quarantine: n.quarantine.figures(),
+			PeerCalls: n.peers.Traffic(), PeerServed: p.peers.Traffic(), Quarantine: n.quarantine.vars(),
 			Evacuated: len(n.evacuations.InForce()), Withdrawn: n.metrics.Withdrawn.Load(),
 			Limited: limited, NoTurn: n.metrics.NoTurn.Load(),
 		}
--- a/internal/entry/node_test.go
+++ b/internal/entry/node_test.go
@@ -23,11 +23,11 @@
 	"github.com/hornbeamsill/hornbeamsill/platform"
 )
 
-// daemons is the number of daemons in these tests: more than one group.
+// daemons is the number of other daemons in these tests, more than maxFleetWorkGroup.
 const daemons = 40
 
-// newFleetNode returns a daemon that knows a fleet, of which it is not one of
-// those that read the store for the others. Its loops do not run.
+// newFleetNode returns a daemon that knows a fleet and is not a reader in it. Its loops do not
+// run.
 func newFleetNode(t *testing.T, clock clockwork.Clock) *Node {
 	t.Helper()
 	for {
@@ -39,30 +39,29 @@
 			})
 		}
 		n.registry.Merge(others)
-		if !n.reader() {
+		if !n.isReader() {
 			return n
 		}
 	}
 }
 
-// know gives a daemon a configuration, a list and a confirmed state of the
-// operator's rows, as if it had read them just now.
-func (n *Node) know() {
-	n.install(&catalog.Catalog{Version: 3}, []byte("{}"), "test")
+// setKnownState gives a daemon a configuration, a list and confirmed operator rows as if it
+// had just read them.
+func (n *Node) setKnownState() {
+	n.installConfig(&catalog.Catalog{Version: 3}, []byte("{}"), "test")
 	n.evacuations.Replace(nil, 5)
 	n.table.Replace(inventory.Snapshot{Revision: 5, Instances: []inventory.Instance{{ID: "i", Service: "s"}}}, time.Time{})
-	n.fresh.note(n.clock.Now(), 5, true)
-	n.contact.note(n.clock.Now(), n.clock.Now(), nil)
+	n.freshness.record(n.clock.Now(), 5, true)
+	n.storeHealth.record(n.clock.Now(), n.clock.Now(), nil)
 }
 
-// On a calm day 88 daemons sent each other 41 MB of lists between failure
-// domains: whenever two differed in anything, the one that lacked something was
-// sent all that the other knew.
-func TestBeliefsAreSentByNeed(t *testing.T) {
+// Guards against sync replies that contain all state whenever two daemons differ in anything,
+// which sent 41 MB of lists between the failure domains of an idle fleet of 88 daemons.
+func TestSyncReplyHasOnlyWhatWasRequested(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	n := newFleetNode(t, clock)
-	n.know()
-	n.ordered(shift.Order{ID: 4, Service: "s", To: "v2", Allowed: time.Minute}, "test")
+	n.setKnownState()
+	n.addOrder(shift.Order{ID: 4, Service: "s", To: "v2", Allowed: time.Minute}, "test")
 
 	require.Equal(t, peer.SyncReply{}, n.OnSync(peer.SyncRequest{Config: 3}))
 	b := n.OnSync(peer.SyncRequest{Config: 2})
@@ -75,69 +74,68 @@
 	require.Nil(t, n.OnSync(peer.SyncRequest{Config: 3, Instances: true, List: 5}).Instances)
 }
 
-// A peer knows of other daemons and of a newer list. While news of daemons still
-// comes in, and the reader's news of the list is not late, nothing is asked for;
-// what stays different is.
-func TestWhatIsAskedOfAPeer(t *testing.T) {
+// A peer knows other daemons and a newer list. Guards against requesting state whose update is
+// still on its way: nothing is requested while membership still changes and the reader's
+// updates are not late, but lasting differences are.
+func TestSyncRequestAsksOnlyForMissingState(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	n := newFleetNode(t, clock)
-	n.know()
-	mine := n.beliefs()
-	theirs := mine
-	theirs.Digest++
-	theirs.List++
+	n.setKnownState()
+	mine := n.heartbeat()
+	peerBeat := mine
+	peerBeat.Digest++
+	peerBeat.List++
 
-	_, lacking := n.lacks(theirs, mine)
+	_, lacking := n.missingFrom(peerBeat, mine)
 	require.False(t, lacking)
 
-	clock.Advance(settleTime + time.Millisecond)
-	ask, lacking := n.lacks(theirs, mine)
+	clock.Advance(membershipSettleTime + time.Millisecond)
+	request, lacking := n.missingFrom(peerBeat, mine)
 	require.True(t, lacking)
-	require.True(t, ask.Members)
-	require.True(t, ask.Instances, "the store is silent and the list is old")
+	require.True(t, request.Members)
+	require.True(t, request.Instances, "the store is silent and the list is old")
 
-	n.contact.note(clock.Now(), clock.Now(), nil)
-	ask, _ = n.lacks(theirs, mine)
-	require.False(t, ask.Instances, "the store answers")
+	n.storeHealth.record(clock.Now(), clock.Now(), nil)
+	request, _ = n.missingFrom(peerBeat, mine)
+	require.False(t, request.Instances, "the store answers")
 
-	theirs = mine
-	theirs.Shifts++
-	ask, lacking = n.lacks(theirs, mine)
-	require.True(t, lacking && ask.Shifts)
-	require.False(t, ask.Members || ask.Instances)
+	peerBeat = mine
+	peerBeat.Shifts++
+	request, lacking = n.missingFrom(peerBeat, mine)
+	require.True(t, lacking && request.Shifts)
+	require.False(t, request.Members || request.Instances)
 
 	started := newFleetNode(t, clock)
-	ask, _ = started.lacks(mine, started.beliefs())
-	require.True(t, ask.Instances, "a daemon that has just started has no list")
+	request, _ = started.missingFrom(mine, started.heartbeat())
+	require.True(t, request.Instances, "a daemon that has just started has no list")
 }
 
-// The store was away for seven seconds and 88 daemons asked it 1,700 times, each
-// of them for list and operator's rows by itself. Only readers need to find out
-// quickly that it is back; any other daemon asks for the list, seldom.
-func TestWhoAsksAStoreThatIsAway(t *testing.T) {
+// Guards against overloading a store that is unavailable: in an outage of seven seconds, 88
+// daemons that each retried both reads made 1,700 calls. Only readers must notice quickly that
+// the store is back; other daemons only read the list, and seldom.
+func TestOnlyReadersPollALostStore(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	n := newFleetNode(t, clock)
-	n.know()
-	require.False(t, n.mustReadList() || n.mustReadOperator(), "its readers tell it")
-	clock.Advance(lateAge(n))
-	require.True(t, n.mustReadList() && n.mustReadOperator(), "news is late")
-	n.contact.note(clock.Now(), clock.Now(), errors.New("no answer"))
+	n.setKnownState()
+	require.False(t, n.mustReadList() || n.mustReadOperator(), "its readers send updates")
+	clock.Advance(lateListAge(n))
+	require.True(t, n.mustReadList() && n.mustReadOperator(), "updates are late")
+	n.storeHealth.record(clock.Now(), clock.Now(), errors.New("no answer"))
 	require.True(t, n.mustReadList())
 	require.False(t, n.mustReadOperator())
 	n.behind.Store(true)
-	require.True(t, n.mustReadOperator(), "a peer told of something newer")
+	require.True(t, n.mustReadOperator(), "a peer has newer rows")
 
 	started := newFleetNode(t, clock)
 	require.True(t, started.mustReadList() && started.mustReadOperator())
-	started.contact.note(clock.Now(), clock.Now(), errors.New("no answer"))
+	started.storeHealth.record(clock.Now(), clock.Now(), errors.New("no answer"))
 	require.True(t, started.mustReadOperator())
 	require.False(t, started.mustReadList())
 }
 
-// The list is empty when the first daemons start, and has the revision 0. It is
-// known all the same: the daemons took it for unknown and read it again and again
-// instead of waiting for their readers' news.
-func TestEmptyListIsKnown(t *testing.T) {
+// The list is empty, at revision 0, when the first daemons start. Guards against daemons that
+// take it for missing and read it repeatedly instead of waiting for their readers' updates.
+func TestEmptyListCountsAsLoaded(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	n := newFleetNode(t, clock)
 	require.True(t, n.mustReadList())
@@ -148,26 +146,26 @@
 	require.Equal(t, int64(2), n.table.Revision())
 }
 
-// The holder of a duty is turned away by the store. A few daemons take their turn
-// first; all others wait until these have had the time to take it.
-func TestFewDaemonsTakeOverADuty(t *testing.T) {
+// Guards against all daemons trying to take a duty whose holder is rejected by the store. A
+// few daemons try first; the others wait until these have had the time to take it.
+func TestFewDaemonsTryToTakeOverADuty(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	first := 0
 	for range 200 {
 		n := newFleetNode(t, clock)
-		if n.duties.takeOverAfter("s") == holderSilence {
+		if n.duties.takeOverAfter("s") == holderTimeout {
 			first++
 		} else {
-			require.Equal(t, lastResort, n.duties.takeOverAfter("s"))
+			require.Equal(t, lastTakeoverTimeout, n.duties.takeOverAfter("s"))
 		}
 	}
 	require.Less(t, first, 100)
 }
 
-// All daemons have lost power and the store is away when they start again. A
-// caller that returns too soon is refused a second time and gives up; one that
-// meets a daemon about to learn its configuration need not wait long.
-func TestCallersReturnWhenADaemonIsLikelyReady(t *testing.T) {
+// Guards against a bad Retry-After when all daemons restart while the store is unavailable. A
+// caller that retries too early is refused again and gives up; one whose daemon is about to
+// get its configuration need not wait long.
+func TestRetryAfterMatchesExpectedReadiness(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	n := newFleetNode(t, clock)
 	w := make(chan *httptest.ResponseRecorder)
@@ -179,11 +177,11 @@
 	}
 	go ask()
 	require.NoError(t, clock.BlockUntilContext(t.Context(), 1))
-	clock.Advance(startTime)
+	clock.Advance(startupTime)
 	require.Equal(t, "0.300", refusal())
-	n.contact.note(n.clock.Now(), n.clock.Now(), errors.New("no answer"))
+	n.storeHealth.record(n.clock.Now(), n.clock.Now(), errors.New("no answer"))
 	go ask()
-	require.Equal(t, "2.000", refusal(), "at once")
+	require.Equal(t, "2.000", refusal(), "without waiting")
 }
 
 func askOnce(n *Node) *httptest.ResponseRecorder {
@@ -192,82 +190,83 @@
 	return w
 }
 
-// All daemons were killed. A caller, on its last try, meets one that is back and reads
-// its configuration in the next moment. It is held for that moment: refused, it would
-// not come again.
-func TestCallerOfADaemonAboutToBeReadyIsHeld(t *testing.T) {
+// After all daemons were killed, a caller on its last attempt reaches a daemon that is just
+// about to get its configuration. Guards against refusing the request, after which the caller
+// would not retry.
+func TestRequestWaitsForADaemonAboutToBeReady(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	n := newFleetNode(t, clock)
 	n.callerAddress = "127.0.0.1:2"
 	answer := make(chan *httptest.ResponseRecorder)
 	go func() { answer <- askOnce(n) }()
 	require.NoError(t, clock.BlockUntilContext(t.Context(), 1))
-	n.know()
-	n.offer()
-	require.Equal(t, http.StatusNotFound, (<-answer).Code, "by the configuration, not refused for want of one")
+	n.setKnownState()
+	n.publishCallerURL()
+	require.Equal(t, http.StatusNotFound, (<-answer).Code, "answered by the configuration instead of refused")
 }
 
-// One of two readers was cut off from the store while servers left. When it is
-// back it doubts that they are gone, and told all daemons of its failure domain
-// so, which used them for three seconds. They had the other reader's news all the
-// while. After an outage of the store itself, when nobody had news, doubt counts,
-// also for entries that lapse a moment after the store's return.
-func TestDoubtOfAReaderThatWasCutOff(t *testing.T) {
+// Guards against spreading the grace period of a reader that was cut off from the store while
+// instances left. If the other daemons adopted it although they had the other reader's
+// updates, they would use these instances for three seconds more. After an outage of the store
+// itself, in which no daemon had updates, the grace period applies, also to entries that
+// expire shortly after the outage.
+func TestGraceOfAReaderThatWasCutOff(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	n := newFleetNode(t, clock)
-	n.know()
-	gone := func(list int64, id string, doubted time.Duration) {
+	n.setKnownState()
+	remove := func(list int64, id string, doubted time.Duration) {
 		n.OnStoreUpdate(peer.StoreUpdate{From: "127.0.1.1:1", Base: 5, List: list, Changes: []inventory.Change{{ID: id}}, Doubted: doubted})
 	}
-	gone(6, "i", 2*time.Second)
+	remove(6, "i", 2*time.Second)
 	require.Empty(t, n.table.Usable("s"))
 
 	n = newFleetNode(t, clock)
-	n.know()
+	n.setKnownState()
 	other := inventory.Instance{ID: "j", Service: "s"}
 	n.table.Apply([]inventory.Change{{ID: "j", Instance: &other}}, 5, time.Time{})
-	clock.Advance(lateAge(n))
-	gone(6, "i", 2*time.Second)
+	clock.Advance(lateListAge(n))
+	remove(6, "i", 2*time.Second)
 	require.Len(t, n.table.Usable("s"), 2)
 	clock.Advance(100 * time.Millisecond)
-	gone(7, "j", 1900*time.Millisecond)
+	remove(7, "j", 1900*time.Millisecond)
 	require.Len(t, n.table.Usable("s"), 2)
 	clock.Advance(1901 * time.Millisecond)
 	n.table.Expire()
 	require.Empty(t, n.table.Usable("s"))
 }
 
-// Two daemons read the list for the others. While one of them waits for its
-// answer, the other tells it that a server leaves; a third daemon misses that
-// news. The answer has the leaving too, which is not new any more to the first
-// and is left out of what it tells: the third must not take this for all that
-// there is, or it uses the server until its entry vanishes.
-func TestMissedNewsIsNotSkipped(t *testing.T) {
+// Guards against a skipped change. A reader learns from the other reader that an instance is
+// leaving while it waits for its own read; a third daemon misses that update. The read
+// contains the change too, but it is not new to the reader and is left out of the reader's
+// update. The third daemon must not take this update for complete, or it uses the instance
+// until its entry expires.
+func TestMissedUpdateIsNotSkipped(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	reader, third := newFleetNode(t, clock), newFleetNode(t, clock)
-	reader.know()
-	third.know()
+	reader.setKnownState()
+	third.setKnownState()
 	leaving := inventory.Instance{ID: "i", Service: "s", Leaving: true}
 	change := inventory.Change{ID: "i", Instance: &leaving}
 	reader.OnStoreUpdate(peer.StoreUpdate{From: "127.0.1.1:1", Base: 5, List: 6, Changes: []inventory.Change{change}})
 	require.Empty(t, reader.table.Usable("s"))
 
-	told, ok := reader.takeChanges(platform.InstanceNews{Revision: 7, Changes: []inventory.Change{change}}, time.Time{})
+	update, ok := reader.applyChanges(platform.InstanceNews{Revision: 7, Changes: []inventory.Change{change}}, time.Time{})
 	require.True(t, ok)
-	clock.Advance(lateAge(third))
-	third.OnStoreUpdate(told)
+	clock.Advance(lateListAge(third))
+	third.OnStoreUpdate(update)
 	require.Equal(t, int64(5), third.table.Revision())
-	require.True(t, third.mustReadList(), "it reads the list itself")
+	require.True(t, third.mustReadList(), "the daemon must read the list itself")
 }
 
-// lateAge is the age of the list at which a daemon reads it itself.
-func lateAge(n *Node) time.Duration { return n.listPace() + lateNews + time.Millisecond }
+// lateListAge is the age of the list at which a daemon reads it itself.
+func lateListAge(n *Node) time.Duration {
+	return n.listInterval() + lateUpdateMargin + time.Millisecond
+}
 
-// What became of a call to the store must be the same to the holder of a duty
-// whether it made the call itself or a peer did: a check that failed taken for a
-// lost answer, or the other way round, would have it write on what it no longer
-// holds.
-func TestOutcomesOfRelayedCalls(t *testing.T) {
+// Guards against a call whose outcome changes when it is relayed. If a failed check were taken
+// for an unknown outcome, or the reverse, the holder of a duty would continue to write without
+// its lease.
+func TestRelayedCallsKeepTheirOutcome(t *testing.T) {
 	for _, err := range []error{
 		nil, trace.NotFound("x"), trace.CompareFailed("x"), trace.ConnectionProblem(nil, "x"),
 		&backing.UnknownOutcomeError{Cause: trace.ConnectionProblem(nil, "x")},
@@ -281,51 +280,51 @@
 	}
 }
 
-// A daemon that the store does not answer either says so at once, so that the
-// asker goes on to the next peer.
+// A daemon that has no access to the store either refuses to relay at once, so that the caller
+// tries the next peer.
 func TestPeerWithoutStoreDoesNotRelay(t *testing.T) {
 	n := newFleetNode(t, clockwork.NewFakeClock())
-	n.contact.note(n.clock.Now(), n.clock.Now(), errors.New("no answer"))
+	n.storeHealth.record(n.clock.Now(), n.clock.Now(), errors.New("no answer"))
 	require.Equal(t, peer.StoreNotDone, n.OnStoreCall(peer.StoreCall{Get: "x"}).Outcome)
 }
 
-// The store was away. A reader found it back at once and told so; a daemon that is no
-// reader notices two seconds later, with its own read or with the list of a peer that
-// has not noticed yet. A server that left meanwhile must not be doubted from then on
-// for two seconds more: it got a request 3.5 s after it had left.
-func TestDoubtEndsWhenTheReadersDoes(t *testing.T) {
+// Guards against a grace period that outlasts that of the readers. After an outage a reader
+// notices at once that the store is back and sends an update. Another daemon notices two
+// seconds later, by its own read or by a peer's list, and must not then keep missing entries
+// for two seconds more: an instance would get requests 3.5 s after it has left.
+func TestGraceEndsWithThatOfTheReader(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	n := newFleetNode(t, clock)
-	n.know()
-	n.contact.note(clock.Now(), clock.Now(), errors.New("no answer"))
+	n.setKnownState()
+	n.storeHealth.record(clock.Now(), clock.Now(), errors.New("no answer"))
 	clock.Advance(3 * time.Second)
 	n.OnStoreUpdate(peer.StoreUpdate{From: "127.0.1.1:1", Base: 5, List: 5, Doubted: 2 * time.Second})
 	end := clock.Now().Add(2 * time.Second)
 	clock.Advance(1900 * time.Millisecond)
-	require.Equal(t, end, n.doubtedUntil(clock.Now()), "the store has not answered here yet")
-	n.contact.note(clock.Now(), clock.Now(), nil)
-	require.Equal(t, end, n.doubtedUntil(clock.Now()))
-	require.Equal(t, 100*time.Millisecond, n.doubt(), "told to peers")
+	require.Equal(t, end, n.graceEnd(clock.Now()), "the store has not answered this daemon yet")
+	n.storeHealth.record(clock.Now(), clock.Now(), nil)
+	require.Equal(t, end, n.graceEnd(clock.Now()))
+	require.Equal(t, 100*time.Millisecond, n.graceLeft(), "sent to peers")
 
-	n.contact.note(clock.Now(), clock.Now(), errors.New("no answer"))
+	n.storeHealth.record(clock.Now(), clock.Now(), errors.New("no answer"))
 	clock.Advance(time.Second)
-	n.contact.note(clock.Now(), clock.Now(), nil)
-	require.Equal(t, clock.Now().Add(doubtTime), n.doubtedUntil(clock.Now()), "no reader has told since a later outage")
+	n.storeHealth.record(clock.Now(), clock.Now(), nil)
+	require.Equal(t, clock.Now().Add(missingEntryGrace), n.graceEnd(clock.Now()), "no update from a reader since a later outage")
 }
 
-// Guards against streams that a stopping daemon takes from callers with an old answer of the
-// directory, and cuts when its process ends. Short requests are served to the end.
+// Guards against streams that a stopping daemon accepts from callers with an old directory
+// answer and cuts when its process ends. Short requests are served to the end.
 func TestStoppingDaemonRefusesLateStreams(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	n := newFleetNode(t, clock)
-	n.know()
-	n.install(catalog.New(catalog.Declared{Version: 4, Services: []catalog.Service{{Name: "s"}}, Routes: []catalog.Route{
+	n.setKnownState()
+	n.installConfig(catalog.New(catalog.Declared{Version: 4, Services: []catalog.Service{{Name: "s"}}, Routes: []catalog.Route{
 		{Name: "stream", Host: "example.com", Prefix: "/x/", Kind: catalog.Stream, Public: true, Timeout: time.Second, Backends: []catalog.Backend{{Service: "s", Weight: 1}}},
 	}}), []byte("{}"), "test")
 	late := func() bool { return strings.Contains(askOnce(n).Body.String(), string(fault.Stopping)) }
 	require.False(t, n.refusesStreams())
 	n.leave(member.Leaving)
-	clock.Advance(lateStream - time.Millisecond)
+	clock.Advance(refuseStreamsAfter - time.Millisecond)
 	require.False(t, n.refusesStreams())
 	clock.Advance(time.Millisecond)
 	n.leave(member.Left)
--- a/internal/entry/operator.go
+++ b/internal/entry/operator.go
@@ -12,23 +12,23 @@
 	"github.com/hornbeamsill/hornbeamsill/platform"
 )
 
-// operatorWait is how long the store holds a question for news from the
-// operator. News is answered at once; a dead connection is noticed by its
-// keep-alive probes, and a question that is never answered by what the list
-// tells of the store.
-const operatorWait = 10 * time.Second
+// longPollTime is how long the store may hold a long poll for operator rows. New rows are
+// returned at once. Keep-alive probes detect a broken connection, and reads of the instance
+// list detect a long poll that is never answered.
+const longPollTime = 10 * time.Second
 
-// confirmTime is how long the news of the list waits for the operator's rows: a hundred
-// times the store's usual answer, and short enough that instances that leave are known
-// everywhere in time. Daemons that are not told by then read by themselves.
-const confirmTime = lateNews
+// confirmTimeout limits how long an update of the instance list waits for a read of the
+// operator's rows. It is a hundred times the store's usual response time and short enough that
+// leaving instances become known to all daemons in time. Daemons without an update by then
+// read the store themselves.
+const confirmTimeout = lateUpdateMargin
 
-// watchOperator follows what the operator writes.
+// watchOperator keeps the operator's rows up to date.
 func (n *Node) watchOperator(ctx context.Context) {
 	var wait backoff
 	for ctx.Err() == nil {
 		if !n.mustReadOperator() {
-			n.pause(ctx, checkInterval)
+			n.sleep(ctx, checkInterval)
 			continue
 		}
 		err := n.readOperator(ctx)
@@ -43,162 +43,162 @@
 	}
 }
 
-// readOperator reads what the operator wrote since the last time. A daemon that
-// reads for others lets the store hold the question until there is something.
+// readOperator reads the changes of the operator's rows since the last read. A reader uses a
+// long poll.
 func (n *Node) readOperator(ctx context.Context) error {
-	view := n.fresh.view()
-	if n.settling.takeOperatorDue(n.clock.Now()) {
-		n.lostHistory = true
+	view := n.freshness.view()
+	if n.staleWindow.takeOperatorDue(n.clock.Now()) {
+		n.wholeReadDue = true
 	}
-	if n.lostHistory || view.at.IsZero() {
+	if n.wholeReadDue || view.confirmedAt.IsZero() {
 		return n.readAllOperator(ctx)
 	}
 	hold := time.Duration(0)
-	if n.reader() {
-		hold = operatorWait
+	if n.isReader() {
+		hold = longPollTime
 	}
-	call, done := n.question.ask(ctx)
+	call, done := n.operatorPoll.begin(ctx)
 	defer done()
-	_, err := n.readOperatorAfter(call, view.read, hold)
+	_, err := n.readOperatorAfter(call, view.readRevision, hold)
 	switch {
 	case ctx.Err() != nil:
 		return ctx.Err()
 	case call.Err() != nil:
-		// Its news came another way.
+		// The poll was aborted because its rows were read by another call.
 		return nil
 	case errors.Is(err, platform.ErrCompacted):
-		n.lostHistory = true
-		if n.clock.Since(n.readWholeAt) < n.listPace() {
-			// The store keeps no history; all rows are read at the pace of the list.
-			n.pause(ctx, n.listPace())
+		n.wholeReadDue = true
+		if n.clock.Since(n.lastWholeRead) < n.listInterval() {
+			// The store keeps no history; all rows are read at the interval of the list.
+			n.sleep(ctx, n.listInterval())
 		}
 		return nil
 	}
 	return err
 }
 
-// readAllOperator reads all that the operator has written.
+// readAllOperator reads all rows of the operator.
 func (n *Node) readAllOperator(ctx context.Context) error {
 	asked := n.clock.Now()
-	news, err := n.store.Operator(ctx)
+	rows, err := n.store.Operator(ctx)
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	n.contact.note(asked, n.clock.Now(), err)
+	n.storeHealth.record(asked, n.clock.Now(), err)
 	if err != nil {
-		n.logNotRead(0, asked, err)
+		n.logReadFailure(0, asked, err)
 		return err
 	}
-	news = n.withoutStale(news)
-	// An order without its state looks like one that has just begun, which
-	// keeps everything on old instances: after a restart of all daemons
-	// those may be gone, and every request would be refused until the duty
-	// is taken.
+	rows = n.withoutStale(rows)
+	// The states are read before the orders are applied. An order without its state looks like
+	// a roll-out that has just begun, which keeps everything on old instances. After a restart
+	// of all daemons these may be gone, and every request would be refused until a daemon
+	// holds the duty.
 	asked = n.clock.Now()
-	if err := n.readStates(ctx, news.Orders); err != nil {
-		n.contact.note(asked, n.clock.Now(), err)
+	if err := n.loadRolloutStates(ctx, rows.Orders); err != nil {
+		n.storeHealth.record(asked, n.clock.Now(), err)
 		return err
 	}
-	n.lostHistory, n.readWholeAt = false, n.clock.Now()
-	// Orders that are not in force any more are not among the rows, so what is told leads
-	// on from nothing.
-	const fromNothing = math.MaxInt64
-	n.haveRead(ctx, news, fromNothing)
+	n.wholeReadDue, n.lastWholeRead = false, n.clock.Now()
+	// The rows do not contain orders that are no longer in force, so the update does not
+	// continue from any revision.
+	const noBase = math.MaxInt64
+	n.applyRead(ctx, rows, noBase)
 	return nil
 }
 
-// readOperatorAfter reads what the operator wrote after a revision, and reports whether
-// that is anything.
+// readOperatorAfter reads and applies the operator's changes after a revision and reports
+// whether there are any.
 func (n *Node) readOperatorAfter(ctx context.Context, after int64, hold time.Duration) (changed bool, err error) {
 	asked := n.clock.Now()
-	news, err := n.store.OperatorAfter(ctx, after, hold)
+	rows, err := n.store.OperatorAfter(ctx, after, hold)
 	if ctx.Err() != nil {
 		return false, ctx.Err()
 	}
-	n.contact.note(asked, n.clock.Now(), err)
+	n.storeHealth.record(asked, n.clock.Now(), err)
 	switch {
 	case errors.Is(err, platform.ErrCompacted):
 		slog.Warn("store.history_gone", "table", "operator", "revision", after)
 		return false, err
 	case err != nil:
-		n.logNotRead(after, asked, err)
+		n.logReadFailure(after, asked, err)
 		return false, err
 	}
-	return n.haveRead(ctx, news, after), nil
+	return n.applyRead(ctx, rows, after), nil
 }
 
-// logNotRead tells of a question for the rows after a revision that got no answer.
-func (n *Node) logNotRead(after int64, asked time.Time, err error) {
-	slog.Warn("operator.not_read", "revision", after, "reader", n.reader(), "asked_ms", n.clock.Since(asked).Milliseconds(), "error", err)
+// logReadFailure logs a failed read of the rows after a revision.
+func (n *Node) logReadFailure(after int64, asked time.Time, err error) {
+	slog.Warn("operator.not_read", "revision", after, "reader", n.isReader(), "asked_ms", n.clock.Since(asked).Milliseconds(), "error", err)
 }
 
-// haveRead takes in what was read of the operator's rows after the revision base, and
-// passes it on. It reports whether there was anything.
-func (n *Node) haveRead(ctx context.Context, news platform.OperatorNews, base int64) (changed bool) {
+// applyRead applies operator rows read after revision base and sends them to the group. It
+// reports whether there were changes.
+func (n *Node) applyRead(ctx context.Context, rows platform.OperatorNews, base int64) (changed bool) {
 	n.behind.Store(false)
-	evacuated := n.takeEvacuations(news)
-	changed = evacuated || news.Catalog != nil || len(news.Orders) > 0
-	n.fresh.note(n.clock.Now(), news.Revision, changed)
-	n.takeOperator(news)
+	evacuated := n.applyEvacuations(rows)
+	changed = evacuated || rows.Catalog != nil || len(rows.Orders) > 0
+	n.freshness.record(n.clock.Now(), rows.Revision, changed)
+	n.applyOperator(rows)
 	if changed {
-		n.tellOperator(ctx, news, base, evacuated)
+		n.sendOperatorRows(ctx, rows, base, evacuated)
 	}
 	return changed
 }
 
-// confirmOperator compares the operator's rows as they are known here with the store's
-// newest revision, which each answer about the list tells.
+// confirmOperator compares the revision of the known operator rows with the newest revision of
+// the store, which every read of the list returns.
 //
-// The store may never answer a question that it holds: it was asked during an outage, or
-// its answer was lost. Its connection stays open, and its silence looks like that of a
-// store without news. Taken for news that nothing had changed, it kept all daemons from
-// asking: callers got 404 on routes accepted up to eleven seconds before. One count of
-// revisions serves all tables of the store, so rows known up to the newest revision have
-// not changed, and where others are newer the rows are asked for at once. A lost question
-// so delays a configuration by one read of the list.
+// The store may never answer a long poll, because it was received during an outage or because
+// its answer was lost. The connection stays open and looks like that of a store without
+// changes. If that silence counted as confirmation, no daemon would read the rows: callers
+// would get 404 on routes that were accepted up to eleven seconds before. All tables of the
+// store share one revision counter. Rows known up to the newest revision are therefore
+// current; otherwise a reader reads them at once. A lost long poll thus delays a configuration
+// by one read of the list.
 func (n *Node) confirmOperator(ctx context.Context, newest int64) {
-	view := n.fresh.view()
+	view := n.freshness.view()
 	switch {
-	case view.at.IsZero():
-		// All rows are being read.
-	case view.read >= newest:
-		n.fresh.note(n.clock.Now(), view.read, false)
-	case n.reader():
-		call, cancel := context.WithTimeout(ctx, confirmTime)
+	case view.confirmedAt.IsZero():
+		// A read of all rows is in progress.
+	case view.readRevision >= newest:
+		n.freshness.record(n.clock.Now(), view.readRevision, false)
+	case n.isReader():
+		call, cancel := context.WithTimeout(ctx, confirmTimeout)
 		defer cancel()
-		changed, err := n.readOperatorAfter(call, view.read, 0)
+		changed, err := n.readOperatorAfter(call, view.readRevision, 0)
 		if changed || errors.Is(err, platform.ErrCompacted) {
-			// The held question should have told this.
-			n.question.abandon()
+			// The long poll should have returned these rows, so it is lost.
+			n.operatorPoll.abort()
 		}
 	}
 }
 
-func (n *Node) takeOperator(news platform.OperatorNews) {
-	for _, err := range news.Malformed {
-		slog.Error("operator.unreadable", "revision", news.Revision, "error", err)
+func (n *Node) applyOperator(rows platform.OperatorNews) {
+	for _, err := range rows.Malformed {
+		slog.Error("operator.unreadable", "revision", rows.Revision, "error", err)
 	}
-	if news.Catalog != nil {
-		n.install(news.Catalog, news.Manifest, "store")
-		n.offer()
-		n.kickBeat()
+	if rows.Catalog != nil {
+		n.installConfig(rows.Catalog, rows.Manifest, "store")
+		n.publishCallerURL()
+		n.requestHeartbeat()
 	}
-	for _, o := range news.Orders {
-		n.ordered(o, "store")
+	for _, o := range rows.Orders {
+		n.addOrder(o, "store")
 	}
 }
 
-// readStates takes in orders with their stored states.
-func (n *Node) readStates(ctx context.Context, orders []shift.Order) error {
+// loadRolloutStates applies orders together with their stored states.
+func (n *Node) loadRolloutStates(ctx context.Context, orders []shift.Order) error {
 	if len(orders) == 0 {
 		return nil
 	}
-	rows, err := n.kv.List(ctx, statePrefix, "", len(orders))
+	rows, err := n.kv.List(ctx, rolloutStatePrefix, "", len(orders))
 	if err != nil {
 		return err
 	}
 	for _, o := range orders {
-		n.ordered(o, "store")
+		n.addOrder(o, "store")
 	}
 	for _, row := range rows {
 		var s shift.State
@@ -206,73 +206,73 @@
 			slog.Error("rollout.state_unreadable", "key", row.Key, "error", err)
 			continue
 		}
-		n.learnState(s, "store")
+		n.applyRolloutState(s, "store")
 	}
 	return nil
 }
 
-func (n *Node) ordered(o shift.Order, source string) {
-	if n.book.AddOrder(o) {
+func (n *Node) addOrder(o shift.Order, source string) {
+	if n.rollouts.AddOrder(o) {
 		slog.Info("rollout.ordered", "service", o.Service, "to", o.To, "order", o.ID, "allowed_ms", o.Allowed.Milliseconds(), "source", source)
 	}
 }
 
-// heldQuestion is the question for the operator's news that the store holds.
+// longPoll is the long poll for operator rows in progress.
 //
-// Lock order: mu is taken alone.
-type heldQuestion struct {
-	mu   sync.Mutex
-	drop context.CancelFunc
+// Lock order: no other lock is taken while mu is held.
+type longPoll struct {
+	mu     sync.Mutex
+	cancel context.CancelFunc
 }
 
-// ask returns the context of a question, which ends when the question is abandoned; done is
-// to be called after its answer.
-func (q *heldQuestion) ask(ctx context.Context) (call context.Context, done func()) {
+// begin returns the context of a long poll, which ends when the poll is aborted. The caller
+// calls done after the answer.
+func (q *longPoll) begin(ctx context.Context) (call context.Context, done func()) {
 	call, cancel := context.WithCancel(ctx)
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.drop = cancel
+	q.cancel = cancel
 	return call, cancel
 }
 
-// abandon ends the question that is held, so that it is asked anew.
-func (q *heldQuestion) abandon() {
+// abort cancels the current long poll, so that a new one starts.
+func (q *longPoll) abort() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.drop != nil {
-		q.drop()
+	if q.cancel != nil {
+		q.cancel()
 	}
 }
 
-// freshness is when this daemon's knowledge of the operator's rows was known to
-// be the newest.
+// freshness tracks up to which revision, and at what time, this daemon's operator rows were
+// known to be the newest.
 //
-// Lock order: mu is taken alone.
+// Lock order: no other lock is taken while mu is held.
 type freshness struct {
 	mu sync.Mutex
 	operatorView
 }
 
-// operatorView is a state of the operator's rows.
+// operatorView is the freshness of the operator's rows at one time.
 type operatorView struct {
-	// at is when it was known to be the newest; zero before the first read. A
-	// store without rows has the revision 0, so that does not tell.
-	at time.Time
-	// read is the store's revision up to which the rows were read, and changed
+	// confirmedAt is when the rows were last known to be the newest; zero before the first
+	// read. The revision cannot show that, since it is 0 in a store without rows.
+	confirmedAt time.Time
+	// readRevision is the store revision up to which the rows were read, and changedRevision
 	// the one at which they last changed.
-	read, changed int64
+	readRevision, changedRevision int64
 }
 
-// note takes in that the rows were read at a time up to a revision.
-func (f *freshness) note(at time.Time, read int64, changed bool) {
+// record records that the rows were current up to revision read at the given time.
+func (f *freshness) record(at time.Time, read int64, changed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if at.After(f.at) {
-		f.at = at
+	if at.After(f.confirmedAt) {
+		f.confirmedAt = at
 	}
-	f.read = max(f.read, read)
+	f.readRevision = max(f.readRevision, read)
 	if changed {
-		f.changed = max(f.changed, read)
+		f.changedRevision = max(f.changedRevision, read)
 	}
 }
 
--- a/internal/entry/operator_test.go
+++ b/internal/entry/operator_test.go
@@ -16,11 +16,11 @@
 	"github.com/hornbeamsill/hornbeamsill/platform/wire"
 )
 
-// inForce is the time in which an accepted configuration must be in force.
-const inForce = 2 * time.Second
+// configDeadline is the time within which an accepted configuration must be in force.
+const configDeadline = 2 * time.Second
 
-// storeReader is a daemon that reads a stand-in of the store, with its loops for the
-// operator's rows and the list. It knows no other daemon, so it reads for all.
+// storeReader is a daemon that reads a test store with its loops for the operator's rows and
+// the list. It knows no other daemons, so it is a reader.
 type storeReader struct {
 	*Node
 	t     *testing.T
@@ -28,7 +28,7 @@
 	store *platformtest.Store
 }
 
-// newStoreReader returns one before instances that may take some time to leave.
+// newStoreReader returns a storeReader whose instances may take drainMS milliseconds to leave.
 func newStoreReader(t *testing.T, drainMS int64) *storeReader {
 	t.Helper()
 	r := &storeReader{t: t, clock: clockwork.NewFakeClock(), store: platformtest.NewStore()}
@@ -48,7 +48,7 @@
 	return r
 }
 
-// routeTo is a configuration with one route.
+// routeTo returns a configuration with one route.
 func routeTo(version int64, prefix string) wire.Manifest {
 	return wire.Manifest{
 		Version: version,
@@ -61,127 +61,123 @@
 	}
 }
 
-// until waits for a condition that needs no time to pass on the daemon's clock.
-func (r *storeReader) until(why string, ok func() bool) {
+// eventually waits for a condition that does not need the daemon's clock to advance.
+func (r *storeReader) eventually(why string, ok func() bool) {
 	r.t.Helper()
 	require.Eventually(r.t, ok, 20*time.Second, time.Millisecond, why)
 }
 
-// pass lets time pass in steps of a read of the list, each of which ends before the next
-// one begins.
-func (r *storeReader) pass(d time.Duration) {
+// advance advances the clock in steps of one read of the list, and waits for the end of each
+// read.
+func (r *storeReader) advance(d time.Duration) {
 	r.t.Helper()
-	for ; d > 0; d -= r.listPace() {
+	for ; d > 0; d -= r.listInterval() {
 		reads, _ := r.store.Counts()
-		r.clock.Advance(min(d, r.listPace()))
-		if d < r.listPace() {
+		r.clock.Advance(min(d, r.listInterval()))
+		if d < r.listInterval() {
 			return
 		}
-		r.until("the list is read", func() bool { now, _ := r.store.Counts(); return now > reads })
-		r.listRead()
+		r.eventually("the list is read", func() bool { now, _ := r.store.Counts(); return now > reads })
+		r.awaitListRead()
 	}
 }
 
-// listRead waits until no read of the list is under way.
-func (r *storeReader) listRead() {
+// awaitListRead waits until no read of the list is in progress.
+func (r *storeReader) awaitListRead() {
 	r.t.Helper()
 	require.NoError(r.t, r.clock.BlockUntilContext(r.t.Context(), 1))
 }
 
-// loseQuestion waits until the store holds this daemon's question for the operator's news,
-// which then is never answered.
-func (r *storeReader) loseQuestion() {
+// losePoll waits until the store holds this daemon's long poll for operator rows, which the
+// store then never answers.
+func (r *storeReader) losePoll() {
 	r.t.Helper()
-	r.until("the store holds the question", func() bool { return r.store.Held() == 1 })
-	r.listRead()
+	r.eventually("the store holds the long poll", func() bool { return r.store.Held() == 1 })
+	r.awaitListRead()
 	r.store.LoseHeld()
 }
 
-// After an outage of the store callers were refused with 404 at every daemon, on a route
-// that the operator had been told was accepted seconds before. The daemon that reads the
-// store for the others had asked for news during the outage. The store never answered that
-// question and did not close its connection either; until the question was given up, eleven
-// seconds after it had been asked, silence was taken for "nothing new".
-// Evidence: all calls for the list were answered meanwhile, and the store's revision in
-// these answers was one ahead of that of the configuration in force.
-func TestQuestionThatIsNeverAnswered(t *testing.T) {
+// Guards against taking the silence of the store for unchanged rows. A long poll that a reader
+// sends during an outage may never be answered although its connection stays open. Until it
+// failed, after eleven seconds, all daemons answered 404 on a route whose acceptance the
+// operator had already seen, although every read of the list showed a newer revision of the
+// store than that of the configuration in force.
+func TestLongPollThatIsNeverAnswered(t *testing.T) {
 	r := newStoreReader(t, 2000)
-	r.loseQuestion()
+	r.losePoll()
 	r.store.Declare(routeTo(2, "/new/"))
-	r.pass(inForce)
-	require.Equal(t, int64(2), r.configVersion(), "in force in time")
+	r.advance(configDeadline)
+	require.Equal(t, int64(2), r.configVersion(), "the configuration is in force in time")
 }
 
-// Where instances may take ten seconds to leave, the list need not be read often. It is all
-// the same, since nothing else shows that the question was lost.
-func TestLostQuestionWhereInstancesLeaveSlowly(t *testing.T) {
+// Guards against reading the list too rarely where instances may take ten seconds to leave:
+// only the read of the list shows that the long poll was lost.
+func TestLostLongPollWithSlowListReads(t *testing.T) {
 	r := newStoreReader(t, 10_000)
-	r.loseQuestion()
+	r.losePoll()
 	r.store.Declare(routeTo(2, "/new/"))
-	r.pass(inForce)
-	require.Equal(t, int64(2), r.configVersion(), "in force in time")
+	r.advance(configDeadline)
+	require.Equal(t, int64(2), r.configVersion(), "the configuration is in force in time")
 }
 
-// A server leaves. In the same moment the store answers no question for the operator's
-// rows, and one is asked because the list is newer than these are known to be. Other
-// daemons must hear of the server all the same, before that question has failed: told
-// only then, they went on sending to it for as long as a call may take.
-func TestNewsOfTheListDoesNotWaitForTheOperatorsRows(t *testing.T) {
+// Guards against an update of the list that waits for a read of the operator's rows. An
+// instance leaves while the store does not answer reads of these rows, one of which starts
+// because the list has a newer revision. If other daemons got the update only after that read
+// has failed, they would send requests to the instance until its timeout.
+func TestListChangesAreSentBeforeOperatorRowsAreConfirmed(t *testing.T) {
 	r := newStoreReader(t, 2000)
 	other := newTestNode(r.clock, func(s *settings.Routes) { s.PeerListen = "127.0.0.1:0" })
-	heard := make(chan bool, 1)
-	server, err := peer.ListenRoutes("127.0.0.1:0", &listener{Node: other, news: func(n peer.StoreUpdate) {
+	storeLost := make(chan bool, 1)
+	server, err := peer.ListenRoutes("127.0.0.1:0", &updateRecorder{Node: other, onUpdate: func(n peer.StoreUpdate) {
 		if len(n.Changes) > 0 {
-			heard <- r.contact.away()
+			storeLost <- r.storeHealth.isLost()
 		}
 	}})
 	require.NoError(t, err)
 	t.Cleanup(server.Close)
 	other.registry.SetSelf(func(d *member.Daemon) { d.PeerAddress = server.Address() })
 	r.registry.Merge([]member.Daemon{other.registry.Self()})
-	r.until("the store holds the question", func() bool { return r.store.Held() == 1 })
-	r.listRead()
+	r.eventually("the store holds the long poll", func() bool { return r.store.Held() == 1 })
+	r.awaitListRead()
 	r.store.Silence(wire.TableOperator)
 	r.store.Put(wire.TableInstances, "i", wire.Instance{Service: "s", Address: "127.0.0.1:1", Zone: "a", Version: "v1", Slots: 8, State: wire.StateDraining})
-	r.clock.Advance(r.listPace())
-	require.False(t, <-heard, "told after the question for the operator's rows had failed")
+	r.clock.Advance(r.listInterval())
+	require.False(t, <-storeLost, "the update was sent after the read of the operator's rows had failed")
 }
 
-// listener is a daemon whose news is looked at.
-type listener struct {
+// updateRecorder is a daemon that passes the updates it receives to a function.
+type updateRecorder struct {
 	*Node
-	news func(peer.StoreUpdate)
+	onUpdate func(peer.StoreUpdate)
 }
 
-// OnNews implements peer.RoutesHandler.
-func (l *listener) OnStoreUpdate(n peer.StoreUpdate) { l.news(n) }
+// OnStoreUpdate implements peer.RoutesHandler.
+func (l *updateRecorder) OnStoreUpdate(n peer.StoreUpdate) { l.onUpdate(n) }
 
-// The same question, seen by a daemon that reads nothing as long as its reader tells it that
-// nothing is new. It must not be told anything younger than the store's last answer: only
-// then does it notice that news is late, and asks by itself.
-func TestUnansweredQuestionIsNoNews(t *testing.T) {
+// Guards against a reader that confirms the operator's rows to other daemons although its long
+// poll is lost. Its updates must not confirm the rows for a time after the store's last
+// answer, so that another daemon notices that they are late and reads the rows itself.
+func TestUnansweredLongPollConfirmsNothing(t *testing.T) {
 	r := newStoreReader(t, 2000)
-	r.loseQuestion()
+	r.losePoll()
 	other := newFleetNode(t, r.clock)
-	other.know()
-	r.clock.Advance(lateAge(other))
-	other.OnStoreUpdate(r.dated(peer.StoreUpdate{From: "127.0.1.1:1", List: noList}))
+	other.setKnownState()
+	r.clock.Advance(lateListAge(other))
+	other.OnStoreUpdate(r.withFreshness(peer.StoreUpdate{From: "127.0.1.1:1", List: noList}))
 	require.True(t, other.mustReadOperator())
 }
 
-// A question for the operator's news was lost, and failed eleven seconds after it had been
-// asked. The daemon took that for a loss of the store, although the store had answered every
-// call that was made since, and doubted the list once more: for two seconds it went on using
-// upstream instances that left without saying so.
-// Evidence: store.lost of a question asked 11.5 s before and store.regained 0.14 s later, with
-// the list read twice a second all the while.
-func TestOldQuestionTellsNothingOfTheStoreNow(t *testing.T) {
+// Guards against counting the late failure of a lost long poll as an outage of the store. The
+// poll failed 11.5 s after it was sent, while the list was read twice a second. Counted as an
+// outage, it started a grace period of two seconds in which requests went to instances that
+// had left unannounced.
+func TestFailureOfAnOldCallIsNoStoreLoss(t *testing.T) {
 	r := newStoreReader(t, 2000)
-	r.loseQuestion()
-	r.pass(inForce)
+	r.losePoll()
+	r.advance(configDeadline)
 	r.store.RefuseLost()
-	r.until("the question has failed", func() bool { return r.store.Held() == 0 })
-	require.NoError(t, r.clock.BlockUntilContext(t.Context(), 2), "it is to be asked again")
-	require.False(t, r.contact.away())
-	require.Zero(t, r.doubt())
+	r.eventually("the long poll has failed", func() bool { return r.store.Held() == 0 })
+	require.NoError(t, r.clock.BlockUntilContext(t.Context(), 2), "the next read must be scheduled")
+	require.False(t, r.storeHealth.isLost())
+	require.Zero(t, r.graceLeft())
 }
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -16,44 +16,45 @@
 )
 
 const (
-	// beatInterval is the time between heartbeats, and beatTimeout what one may
-	// take: hundreds of times the way between failure domains.
-	beatInterval = 700 * time.Millisecond
-	beatTimeout  = 500 * time.Millisecond
-	// suspectAfter is how many heartbeats in a row must go unanswered before a
-	// daemon is left out of what callers are told: 1.4 s, within the second
-	// that callers allow for a new connection plus the life of an answer.
+	// heartbeatInterval is the time between heartbeats. peerCallTimeout limits a heartbeat and
+	// other calls to peers; it is hundreds of times the latency between failure domains.
+	heartbeatInterval = 700 * time.Millisecond
+	peerCallTimeout   = 500 * time.Millisecond
+	// suspectAfter is how many consecutive heartbeats must fail before a daemon is suspected
+	// and left out of the directory. That takes 1.4 s, less than the second that callers allow
+	// for a new connection plus the TTL of a directory answer.
 	suspectAfter = 2
-	// storeSilence is how long the store must not have answered before the
-	// list of a peer is taken in place of it.
+	// storeSilence is how long the store must not have answered before a peer's instance list
+	// is used instead.
 	storeSilence = 1200 * time.Millisecond
-	// announcePause is the time between tries to write this daemon's row.
-	announcePause = 2 * time.Second
-	// aloneTime is how long no peer must be known before the store is asked for
-	// some, and the time between two such questions.
-	aloneTime = 1500 * time.Millisecond
-	// kickPause gathers news that comes together into one round of heartbeats:
-	// when many daemons start at once each would otherwise set off many rounds.
-	kickPause = 30 * time.Millisecond
+	// announceRetry is the interval between attempts to write this daemon's row or to load the
+	// quarantine.
+	announceRetry = 2 * time.Second
+	// noPeersTime is how long this daemon must know no peers before it looks for some in the
+	// store, and the interval between such reads.
+	noPeersTime = 1500 * time.Millisecond
+	// heartbeatBatchDelay combines the changes of a short time into one round of heartbeats.
+	// Otherwise each of many daemons that start at the same time would trigger many rounds.
+	heartbeatBatchDelay = 30 * time.Millisecond
 )
 
-// daemonRow tells daemons that start later where to find this one.
+// daemonRow is the row through which daemons that start later find this one.
 type daemonRow struct {
 	PeerAddress string `json:"peer_address"`
 }
 
 const daemonPrefix = "daemon/"
 
-// announce writes this daemon's row once it is one of those that read the store
-// for the others: a few rows are enough to find everybody.
+// announce writes this daemon's row once it is a reader; a few rows are enough to find all
+// daemons.
 //
-// The row is written again after the store has come back from a copy that may lack it.
+// It writes the row again after the store has been restored from a copy that may lack it.
 func (n *Node) announce(ctx context.Context) {
 	const never = -1
 	announced := int64(never)
-	for n.pause(ctx, announcePause) {
+	for n.sleep(ctx, announceRetry) {
 		era := n.store.Era()
-		if announced == era || !n.reader() {
+		if announced == era || !n.isReader() {
 			continue
 		}
 		if err := n.announceOnce(ctx); err != nil {
@@ -71,19 +72,19 @@
 	return err
 }
 
-// findPeers returns addresses to ask for peers: the seeds, and while no peer is
-// known for some time, the rows of other daemons.
+// findPeers returns addresses at which to look for peers: the seeds and, if no peer has been
+// known for noPeersTime, the addresses in the rows of other daemons.
 func (n *Node) findPeers(ctx context.Context) []string {
-	alone := len(n.registry.All()) == 1
-	if !alone || n.clock.Since(n.started) < aloneTime {
-		return n.unknown(*n.seeds.Load())
+	noPeers := len(n.registry.All()) == 1
+	if !noPeers || n.clock.Since(n.lastPeerSearch) < noPeersTime {
+		return n.unknownAddresses(*n.seeds.Load())
 	}
-	n.started = n.clock.Now()
-	const most = 100
-	rows, err := n.kv.List(ctx, daemonPrefix, "", most)
+	n.lastPeerSearch = n.clock.Now()
+	const maxRows = 100
+	rows, err := n.kv.List(ctx, daemonPrefix, "", maxRows)
 	if err != nil {
 		slog.Debug("daemons.not_read", "error", err)
-		return n.unknown(*n.seeds.Load())
+		return n.unknownAddresses(*n.seeds.Load())
 	}
 	addresses := slices.Clone(*n.seeds.Load())
 	for _, row := range rows {
@@ -94,11 +95,11 @@
 		}
 		addresses = append(addresses, d.PeerAddress)
 	}
-	return n.unknown(addresses)
+	return n.unknownAddresses(addresses)
 }
 
-// unknown returns the addresses at which no daemon is known.
-func (n *Node) unknown(addresses []string) []string {
+// unknownAddresses returns those addresses at which no daemon is known.
+func (n *Node) unknownAddresses(addresses []string) []string {
 	known := map[string]bool{n.registry.Self().PeerAddress: true}
 	for _, d := range n.registry.All() {
 		if d.State != member.Left {
@@ -115,21 +116,21 @@
 	return out
 }
 
-func (n *Node) kickBeat() {
+func (n *Node) requestHeartbeat() {
 	select {
-	case n.kick <- struct{}{}:
+	case n.heartbeatNow <- struct{}{}:
 	default:
 	}
 }
 
-// heartbeatLoop exchanges heartbeats, on time and when there is news.
+// heartbeatLoop sends heartbeats at the regular interval and when there are changes to spread.
 func (n *Node) heartbeatLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		n.heartbeatRound(ctx)
 		select {
-		case <-n.kick:
-			n.pause(ctx, kickPause)
-		case <-n.clock.After(beatInterval):
+		case <-n.heartbeatNow:
+			n.sleep(ctx, heartbeatBatchDelay)
+		case <-n.clock.After(heartbeatInterval):
 		case <-ctx.Done():
 		}
 	}
@@ -138,17 +139,17 @@
 func (n *Node) heartbeatRound(ctx context.Context) {
 	var round sync.WaitGroup
 	for _, d := range n.registry.HeartbeatTargets() {
-		round.Go(func() { n.beat(ctx, d.PeerAddress, d.Incarnation) })
+		round.Go(func() { n.sendHeartbeat(ctx, d.PeerAddress, d.Incarnation) })
 	}
 	for _, address := range n.findPeers(ctx) {
-		round.Go(func() { n.beat(ctx, address, "") })
+		round.Go(func() { n.sendHeartbeat(ctx, address, "") })
 	}
 	round.Wait()
 }
 
-// callEach calls daemons at once and waits for all of them, at most for some time.
-func (n *Node) callEach(ctx context.Context, most time.Duration, daemons []member.Daemon, f func(ctx context.Context, address string)) {
-	call, cancel := context.WithTimeout(ctx, most)
+// callEach calls f for all daemons in parallel with a common timeout and waits for all calls.
+func (n *Node) callEach(ctx context.Context, timeout time.Duration, daemons []member.Daemon, f func(ctx context.Context, address string)) {
+	call, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var all sync.WaitGroup
 	for _, d := range daemons {
@@ -157,15 +158,15 @@
 	all.Wait()
 }
 
-// beliefs is what a heartbeat says of this daemon.
-func (n *Node) beliefs() peer.RoutesHeartbeat {
+// heartbeat returns a heartbeat with the current state of this daemon.
+func (n *Node) heartbeat() peer.RoutesHeartbeat {
 	b := peer.RoutesHeartbeat{
 		From: n.registry.Self(), News: n.registry.NextUpdates(), Digest: n.registry.Digest(),
 		Config: n.configVersion(), List: n.table.Revision(), Quarantine: n.quarantine.list.Checksum(), Left: n.table.RecentlyLeaving(),
 		Evacuated: n.evacuations.Checksum(), Limits: n.table.RecentLimits(),
 	}
 	_, b.Limited = n.table.LimitsInForce()
-	_, states := n.book.Orders()
+	_, states := n.rollouts.Orders()
 	for _, s := range states {
 		b.Shifts += max(s.Order, s.Restated) + int64(s.Step)
 		if s.Stopped {
@@ -175,131 +176,134 @@
 	return b
 }
 
-func (n *Node) beat(ctx context.Context, address, incarnation string) {
-	call, cancel := context.WithTimeout(ctx, beatTimeout)
+func (n *Node) sendHeartbeat(ctx context.Context, address, incarnation string) {
+	call, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
-	mine := n.beliefs()
+	mine := n.heartbeat()
 	reply, err := n.peers.RoutesHeartbeat(call, address, mine)
 	if err != nil || (incarnation != "" && reply.From.Incarnation != incarnation) {
 		if incarnation != "" && ctx.Err() == nil {
-			n.missed(incarnation, err)
+			n.recordMiss(incarnation, err)
 		}
 	}
 	if err != nil {
 		return
 	}
-	n.heard(reply)
-	if ask, lacking := n.lacks(reply, mine); lacking {
-		n.fetchBeliefs(ctx, address, ask)
+	n.applyHeartbeat(reply)
+	if request, lacking := n.missingFrom(reply, mine); lacking {
+		n.syncFromPeer(ctx, address, request)
 	}
 }
 
-// heard takes in a heartbeat.
-func (n *Node) heard(b peer.RoutesHeartbeat) {
-	n.missesMu.Lock()
-	delete(n.misses, b.From.Incarnation)
-	n.missesMu.Unlock()
+// applyHeartbeat applies a heartbeat or a reply to one.
+func (n *Node) applyHeartbeat(b peer.RoutesHeartbeat) {
+	n.missedMu.Lock()
+	delete(n.missedHeartbeats, b.From.Incarnation)
+	n.missedMu.Unlock()
 	n.store.NoteRevision(b.List)
-	n.heardLeaving(b)
-	n.heardLimits(b.Limits, b.From.PeerAddress)
+	n.mergeLeaving(b)
+	n.mergeLimits(b.Limits, b.From.PeerAddress)
 	before := n.registry.Epoch()
 	n.registry.Merge(append(b.News, b.From))
 	if n.registry.Epoch() != before {
 		slog.Info("daemons.changed", "live", len(n.registry.Live()), "from", b.From.PeerAddress)
-		n.kickBeat()
+		n.requestHeartbeat()
 	}
 }
 
-// heardLeaving takes in which instances a peer found to be leaving, and passes it on.
-func (n *Node) heardLeaving(b peer.RoutesHeartbeat) {
-	news := false
+// mergeLeaving merges the instances that a peer found to be leaving, and triggers heartbeats
+// if there are new ones.
+func (n *Node) mergeLeaving(b peer.RoutesHeartbeat) {
+	changed := false
 	for _, life := range b.Left {
 		if n.table.NoteLeaving(life) {
-			news = true
+			changed = true
 			slog.Info("instance.leaving", "instance", life.ID, "source", b.From.PeerAddress)
 		}
 	}
-	if news {
-		n.kickBeat()
+	if changed {
+		n.requestHeartbeat()
 	}
 }
 
-// heardLimits takes in what a peer knows of the limits of instances, and passes it on.
-func (n *Node) heardLimits(limits []inventory.Limit, source string) {
-	news := n.table.MergeLimits(limits)
-	for _, l := range news {
+// mergeLimits merges a peer's rate limits of instances, and triggers heartbeats if there are
+// new ones.
+func (n *Node) mergeLimits(limits []inventory.Limit, source string) {
+	changed := n.table.MergeLimits(limits)
+	for _, l := range changed {
 		l.Log(source)
 	}
-	if len(news) > 0 {
-		n.kickBeat()
+	if len(changed) > 0 {
+		n.requestHeartbeat()
 	}
 }
 
-// lacks tells what the sender of a heartbeat knows that this daemon does not.
-func (n *Node) lacks(b, mine peer.RoutesHeartbeat) (ask peer.SyncRequest, lacking bool) {
-	ask = peer.SyncRequest{
+// missingFrom compares a peer's heartbeat b with this daemon's heartbeat mine and returns a
+// request for the state that only the peer has. lacking is false if there is none.
+func (n *Node) missingFrom(b, mine peer.RoutesHeartbeat) (request peer.SyncRequest, lacking bool) {
+	request = peer.SyncRequest{
 		Config: mine.Config, List: mine.List,
-		Instances: b.List > mine.List && n.listFromPeers(),
+		Instances: b.List > mine.List && n.useListFromPeers(),
 		Shifts:    b.Shifts > mine.Shifts,
 		Members:   b.Digest != n.registry.Digest() && n.membersSettled(),
-		// An empty list is no news of any.
+		// The checksum 0 stands for an empty list, which has nothing to fetch.
 		Quarantine:  b.Quarantine != 0 && b.Quarantine != mine.Quarantine,
 		Evacuations: b.Evacuated != 0 && b.Evacuated != mine.Evacuated,
 		Limits:      b.Limited != mine.Limited,
 	}
-	return ask, b.Config > mine.Config || ask.Instances || ask.Shifts || ask.Members || ask.Quarantine || ask.Evacuations || ask.Limits
+	return request, b.Config > mine.Config || request.Instances || request.Shifts || request.Members || request.Quarantine || request.Evacuations || request.Limits
 }
 
-// listFromPeers reports whether the list of a peer is to be taken: this daemon
-// has none, or the store is silent and no reader has told of a newer one.
-func (n *Node) listFromPeers() bool {
-	return !n.table.Loaded() || n.contact.silent(n.clock.Now(), storeSilence) && n.table.Age() > n.listPace()
+// useListFromPeers reports whether this daemon uses instance lists of peers: it has none, or
+// the store is silent and no reader has confirmed the list recently.
+func (n *Node) useListFromPeers() bool {
+	return !n.table.Loaded() || n.storeHealth.silentFor(n.clock.Now(), storeSilence) && n.table.Age() > n.listInterval()
 }
 
-// settleTime is how long no news of daemons must have come before one that knows
-// others than its peer asks for all of them: most differences are news under
-// way, which two rounds of heartbeats bring.
-const settleTime = 2 * beatInterval
+// membershipSettleTime is how long the known daemons must not have changed before a daemon
+// that differs from a peer requests all of the peer's daemons. Most differences are updates in
+// transit, which arrive within two rounds of heartbeats.
+const membershipSettleTime = 2 * heartbeatInterval
 
-// membersSettled reports whether what is known of daemons has not changed for
-// some time, or is nothing at all.
+// membersSettled reports whether the known daemons have not changed for membershipSettleTime,
+// or this daemon knows at most one other.
 func (n *Node) membersSettled() bool {
-	return len(n.registry.All()) <= 2 || n.clock.Since(n.registry.ChangedAt()) > settleTime
+	return len(n.registry.All()) <= 2 || n.clock.Since(n.registry.ChangedAt()) > membershipSettleTime
 }
 
-// fetchBeliefs takes over what a peer knows better.
-func (n *Node) fetchBeliefs(ctx context.Context, address string, ask peer.SyncRequest) {
-	call, cancel := context.WithTimeout(ctx, beatTimeout)
+// syncFromPeer requests the state that a peer has and this daemon lacks, and applies it.
+func (n *Node) syncFromPeer(ctx context.Context, address string, request peer.SyncRequest) {
+	call, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
-	b, err := n.peers.Sync(call, address, ask)
+	b, err := n.peers.Sync(call, address, request)
 	if err != nil {
-		slog.Debug("peer.no_beliefs", "peer", address, "error", err)
+		slog.Debug("peer.sync_failed", "peer", address, "error", err)
 		return
 	}
 	n.registry.Merge(b.Members)
 	if b.EvacuationsKnown {
-		n.learnEvacuations(b.Evacuations, address)
+		n.mergeEvacuations(b.Evacuations, address)
 	}
-	n.heardLimits(b.Limits, address)
-	n.takeManifest(b.Manifest, address)
-	if b.Instances != nil && n.listFromPeers() {
-		doubted := n.doubts.bound(n.clock.Now().Add(b.Doubted), n.contact.lostSince())
-		if n.table.Replace(*b.Instances, doubted) {
+	n.mergeLimits(b.Limits, address)
+	n.applyManifest(b.Manifest, address)
+	if b.Instances != nil && n.useListFromPeers() {
+		graceEnd := n.readerGrace.limit(n.clock.Now().Add(b.Doubted), n.storeHealth.lastLostAt())
+		if n.table.Replace(*b.Instances, graceEnd) {
 			slog.Info("instances.from_peer", "peer", address, "revision", b.Instances.Revision, "count", len(b.Instances.Instances))
 		}
 	}
 	for _, o := range b.Orders {
-		n.ordered(o, address)
+		n.addOrder(o, address)
 	}
 	for _, s := range b.States {
-		n.learnState(s, address)
+		n.applyRolloutState(s, address)
 	}
-	n.quarantine.learnQuarantine(b.Quarantine, address)
-	n.offer()
+	n.quarantine.applyEntries(b.Quarantine, address)
+	n.publishCallerURL()
 }
 
-// takeManifest puts the configuration of a peer in force; none is nothing new.
-func (n *Node) takeManifest(manifest []byte, source string) {
+// applyManifest puts an encoded configuration from a peer in force; an empty one is ignored.
+func (n *Node) applyManifest(manifest []byte, source string) {
 	if len(manifest) == 0 {
 		return
 	}
@@ -308,29 +312,30 @@
 		slog.Error("config.unreadable", "source", source, "error", err)
 		return
 	}
-	n.install(c, manifest, source)
-	n.offer()
+	n.installConfig(c, manifest, source)
+	n.publishCallerURL()
 }
 
-func (n *Node) learnState(s shift.State, source string) {
+func (n *Node) applyRolloutState(s shift.State, source string) {
 	if now, ok := n.store.Clock(); ok && s.OrderedMS > 0 {
 		age := time.Duration(now-s.OrderedMS) * time.Millisecond
-		if n.book.UpdateAge(s.Service, s.Order, age) {
+		if n.rollouts.UpdateAge(s.Service, s.Order, age) {
 			slog.Info("rollout.aged", "service", s.Service, "order", s.Order, "age_ms", age.Milliseconds(), "source", source)
 		}
 	}
-	if n.book.ApplyState(s) {
+	if n.rollouts.ApplyState(s) {
 		slog.Info("rollout.state", "service", s.Service, "to", s.To, "phase", string(s.Phase), "share", s.Share,
 			"stopped", s.Stopped, "step", s.Step, "held", len(s.Held), "source", source)
 	}
 }
 
-// missed suspects a daemon that did not answer several times in a row.
-func (n *Node) missed(incarnation string, err error) {
-	n.missesMu.Lock()
-	n.misses[incarnation]++
-	count := n.misses[incarnation]
-	n.missesMu.Unlock()
+// recordMiss counts a failed heartbeat and suspects the daemon after suspectAfter consecutive
+// failures.
+func (n *Node) recordMiss(incarnation string, err error) {
+	n.missedMu.Lock()
+	n.missedHeartbeats[incarnation]++
+	count := n.missedHeartbeats[incarnation]
+	n.missedMu.Unlock()
 	if count != suspectAfter {
 		return
 	}
@@ -340,27 +345,28 @@
 	}
 	n.registry.Suspect(incarnation)
 	slog.Warn("daemon.suspected", "daemon", d.PeerAddress, "missed", count, "error", err)
-	n.kickBeat()
+	n.requestHeartbeat()
 }
 
-// stoppedSteps is what a stopped version counts for in a heartbeat: more steps than
-// a roll-out ever takes, so that whoever has not heard of it asks.
+// stoppedSteps is what a stopped roll-out adds to the sum of steps in a heartbeat: more steps
+// than a roll-out ever takes, so that a daemon that does not know of the stop requests the
+// states.
 const stoppedSteps = 1 << 20
 
-// OnBeat implements peer.RoutesHandler.
+// OnHeartbeat implements peer.RoutesHandler.
 func (n *Node) OnHeartbeat(b peer.RoutesHeartbeat) peer.RoutesHeartbeat {
-	n.heard(b)
-	return n.beliefs()
+	n.applyHeartbeat(b)
+	return n.heartbeat()
 }
 
-// OnBeliefs implements peer.RoutesHandler.
+// OnSync implements peer.RoutesHandler.
 func (n *Node) OnSync(r peer.SyncRequest) peer.SyncReply {
 	var b peer.SyncReply
 	if r.Members {
 		b.Members = n.registry.All()
 	}
 	if r.Shifts {
-		b.Orders, b.States = n.book.Orders()
+		b.Orders, b.States = n.rollouts.Orders()
 	}
 	if r.Quarantine {
 		b.Quarantine = n.quarantine.list.Entries()
@@ -378,7 +384,7 @@
 	n.configMu.Unlock()
 	if r.Instances {
 		if s := n.table.Snapshot(); s.Revision > r.List {
-			b.Instances, b.Doubted = &s, n.doubt()
+			b.Instances, b.Doubted = &s, n.graceLeft()
 		}
 	}
 	return b
@@ -387,10 +393,10 @@
 // OnEvidence implements peer.RoutesHandler.
 func (n *Node) OnEvidence(r peer.EvidenceRequest) shift.Evidence {
 	if r.Holder {
-		n.duties.heardHolder(r.Service)
+		n.duties.noteHolder(r.Service)
 	}
 	return n.ownEvidence(r.Service)
 }
 
-// OnState implements peer.RoutesHandler.
-func (n *Node) OnRolloutState(s shift.State) { n.learnState(s, "holder") }
+// OnRolloutState implements peer.RoutesHandler.
+func (n *Node) OnRolloutState(s shift.State) { n.applyRolloutState(s, "holder") }
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -14,114 +14,118 @@
 )
 
 const (
-	// settleEvidence is how long a judge waits after news of a crash for what the other
-	// daemons tell of it: each finds out within some milliseconds.
-	settleEvidence = 80 * time.Millisecond
-	// secondJudge is how much later the second judge decides. What the first one has
-	// decided by then is known.
-	secondJudge = 300 * time.Millisecond
-	// inquiryTime bounds the question to all daemons before a request is quarantined.
-	inquiryTime = 250 * time.Millisecond
-	// judgeAgain is the first pause until suspects that are not condemned are judged
-	// again. It doubles each time, up to judgeTimes: what clears a request beside the one
-	// at fault is that it runs to its end, after some hundred milliseconds or seconds.
-	judgeAgain = 100 * time.Millisecond
-	judgeTimes = 6
-	// maxFreed bounds the releases that wait; a request that runs again asks again.
-	maxFreed = 16
-	// inquiryWithin is how old the crashes are that daemons are asked for.
-	inquiryWithin = 30 * time.Second
+	// crashSettleTime is how long a judge waits after a crash report for the reports of other
+	// daemons, each of which detects the crash within some milliseconds.
+	crashSettleTime = 80 * time.Millisecond
+	// judgeRankDelay is how much later the second judge decides. By then it knows the
+	// decisions of the first.
+	judgeRankDelay = 300 * time.Millisecond
+	// inquiryTimeout limits the request to all daemons for evidence before a request is
+	// quarantined.
+	inquiryTimeout = 250 * time.Millisecond
+	// rejudgeDelay is the delay before the first of maxRejudges further decisions about
+	// suspects that have not been quarantined; it doubles each time. A request that only ran
+	// beside the culprit is cleared when it finishes, which takes some hundred milliseconds to
+	// seconds.
+	rejudgeDelay = 100 * time.Millisecond
+	maxRejudges  = 6
+	// maxPendingReleases limits the releases that are queued. A dropped one is queued again
+	// when the request next finishes.
+	maxPendingReleases = 16
+	// inquiryWindow is the maximum age of the crashes that daemons are asked for.
+	inquiryWindow = 30 * time.Second
 )
 
-// quarantined refuses the requests that crash instances, and judges which do.
-type quarantined struct {
-	*crashes
+// quarantineManager refuses quarantined requests and, on a judge, decides which requests to
+// quarantine.
+type quarantineManager struct {
+	*crashReporter
 	list     *quarantine.List
 	evidence *quarantine.Evidence
-	ran      *quarantine.Finished
-	refused  atomic.Int64
-	// due is signalled when crashes were told.
-	due chan struct{}
-	// freed are quarantined requests that have run to their end.
-	freed chan quarantine.Digest
-	// unsaved are decisions that the store does not have yet.
+	finished *quarantine.Finished
+	refusals atomic.Int64
+	// judgeDue is signalled when a crash report has arrived.
+	judgeDue chan struct{}
+	// pendingReleases are quarantined requests that have finished without a crash.
+	pendingReleases chan quarantine.Digest
+	// unsaved are decisions that are not stored yet.
 	unsaved chan []quarantine.Entry
 }
 
-func newQuarantined(n *Node) *quarantined {
-	return &quarantined{
-		crashes: newCrashes(n), list: quarantine.NewList(n.clock), evidence: quarantine.NewEvidence(n.clock),
-		ran: quarantine.NewFinished(n.clock), due: make(chan struct{}, 1),
-		freed:   make(chan quarantine.Digest, maxFreed),
-		unsaved: make(chan []quarantine.Entry, maxUnsaved),
+func newQuarantineManager(n *Node) *quarantineManager {
+	return &quarantineManager{
+		crashReporter: newCrashReporter(n), list: quarantine.NewList(n.clock), evidence: quarantine.NewEvidence(n.clock),
+		finished: quarantine.NewFinished(n.clock), judgeDue: make(chan struct{}, 1),
+		pendingReleases: make(chan quarantine.Digest, maxPendingReleases),
+		unsaved:         make(chan []quarantine.Entry, maxUnsaved),
 	}
 }
 
 // Refused implements forward.Quarantine.
-func (q *quarantined) Refused(d quarantine.Digest) (time.Duration, bool) {
+func (q *quarantineManager) Refused(d quarantine.Digest) (time.Duration, bool) {
 	left, refused := q.list.Refused(d)
 	if refused {
-		q.refused.Add(1)
+		q.refusals.Add(1)
 	}
 	return left, refused
 }
 
 // Finished implements forward.Quarantine.
 //
-// A quarantined request that runs to its end, begun before it was refused or after its time
-// was over, crashes nothing, or nothing any more. Kept on the list, the next loss of power
-// under it would have it refused again.
-func (q *quarantined) Finished(d quarantine.Digest) {
-	q.ran.Record(d)
+// A quarantined request can still finish if it began before the quarantine or after its time
+// was over. It then does not crash instances, or no longer does, so it is released. If it
+// stayed on the list, a single unrelated crash under it, such as a power failure, would
+// quarantine it again.
+func (q *quarantineManager) Finished(d quarantine.Digest) {
+	q.finished.Record(d)
 	if !q.list.Held(d) {
 		return
 	}
 	select {
-	case q.freed <- d:
+	case q.pendingReleases <- d:
 	default:
 	}
 }
 
-// judgeLoop weighs what daemons tell of crashes, and again while suspects are left that
-// nothing is decided of.
+// judgeLoop decides after crash reports, and again later while there are undecided suspects.
 //
-// Another request may be on the same ended instances as the one at fault, and run to its end
-// elsewhere a moment later. Judged with the next crash only, the one at fault ends one more
-// instance by then.
-func (q *quarantined) judgeLoop(ctx context.Context) {
+// Another request may have run on the same ended instances as the culprit and finish elsewhere
+// a moment later, which clears it. If the judge waited for the next crash report to decide
+// again, the culprit would have crashed one more instance by then.
+func (q *quarantineManager) judgeLoop(ctx context.Context) {
 	var again <-chan time.Time
 	tries := 0
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case d := <-q.freed:
+		case d := <-q.pendingReleases:
 			q.Release(ctx, d)
 			continue
-		case <-q.due:
-			q.pause(ctx, settleEvidence+time.Duration(q.judgeRank())*secondJudge)
+		case <-q.judgeDue:
+			q.sleep(ctx, crashSettleTime+time.Duration(q.judgeRank())*judgeRankDelay)
 			tries = 0
 		case <-again:
 		}
 		again = nil
-		if q.judge(ctx) && tries < judgeTimes {
-			again = q.clock.After(judgeAgain << tries)
+		if q.judge(ctx) && tries < maxRejudges {
+			again = q.clock.After(rejudgeDelay << tries)
 			tries++
 		}
 	}
 }
 
-// signalDue asks the judge's loop to look at what was told.
-func (q *quarantined) signalDue() {
+// signalJudge triggers a decision in judgeLoop.
+func (q *quarantineManager) signalJudge() {
 	select {
-	case q.due <- struct{}{}:
+	case q.judgeDue <- struct{}{}:
 	default:
 	}
 }
 
-// judgeRank is this daemon's place among the judges, from 0. One that is none was told by
-// a daemon that knows others, and comes last.
-func (q *quarantined) judgeRank() int {
+// judgeRank returns this daemon's rank among the judges, starting at 0. A daemon that is not a
+// judge, but got a report from a daemon that considers it one, decides last.
+func (q *quarantineManager) judgeRank() int {
 	judges, own := q.judges(), q.registry.Self().Incarnation
 	for rank, d := range judges {
 		if d.Incarnation == own {
@@ -131,9 +135,9 @@
 	return len(judges)
 }
 
-// judge quarantines what is condemned by all that is known. It reports whether suspects are
-// left that may be, once more is known.
-func (q *quarantined) judge(ctx context.Context) (undecided bool) {
+// judge quarantines the requests that the evidence of all daemons convicts. It reports whether
+// suspects are left that more evidence may convict.
+func (q *quarantineManager) judge(ctx context.Context) (undecided bool) {
 	refused := func(d quarantine.Digest) bool {
 		_, yes := q.list.Refused(d)
 		return yes
@@ -142,27 +146,28 @@
 	if len(suspected) == 0 {
 		return false
 	}
-	complete := q.inquire(ctx, suspected)
+	complete := q.collectEvidence(ctx, suspected)
 	var decided []quarantine.Entry
 	for _, c := range q.evidence.Culprits(complete, refused, q.list.OnProbation) {
 		decided = append(decided, q.list.Quarantine(c))
-		q.goOn([]quarantine.Digest{c.Digest})
+		q.resumeWaiting([]quarantine.Digest{c.Digest})
 		slog.Warn("quarantine.decided", "digest", c.Digest, "route", c.Route, "organisation", c.Organisation,
 			"ended", strings.Join(c.Ended, ","), "since_ms", c.Since.Milliseconds(), "complete_ms", complete.Milliseconds())
 	}
-	q.tellQuarantine(ctx, decided)
+	q.sendDecisions(ctx, decided)
 	return len(q.evidence.Suspected(refused, q.list.OnProbation)) > 0
 }
 
-// inquire asks all daemons which of the requests have run to their end, and for crashes
-// that they may not have been able to tell. It returns for how long back all know.
+// collectEvidence asks all daemons which of the suspected requests have finished, and for
+// crashes that they may have been unable to report. It returns how far back the evidence is
+// complete.
 //
-// A request that was beside the one at fault is saved by the first of these, or by
-// knowing of the other one. A daemon that does not answer may have either.
-func (q *quarantined) inquire(ctx context.Context, suspected []quarantine.Digest) (complete time.Duration) {
-	ask := peer.QuarantineEvidenceRequest{Within: inquiryWithin, Digests: suspected}
-	own := q.OnQuarantineEvidence(ask)
-	q.weigh(own)
+// A request that only ran beside the culprit is cleared by having finished, or by a crash it
+// had no part in. A daemon that does not answer may know of either, so the result is 0 then.
+func (q *quarantineManager) collectEvidence(ctx context.Context, suspected []quarantine.Digest) (complete time.Duration) {
+	request := peer.QuarantineEvidenceRequest{Within: inquiryWindow, Digests: suspected}
+	own := q.OnQuarantineEvidence(request)
+	q.addEvidence(own)
 	var mu sync.Mutex
 	complete = own.Up
 	atMost := func(d time.Duration) {
@@ -170,20 +175,20 @@
 		defer mu.Unlock()
 		complete = min(complete, d)
 	}
-	q.callEach(ctx, inquiryTime, q.everyOther(), func(call context.Context, address string) {
-		answer, err := q.peers.QuarantineEvidence(call, address, ask)
+	q.callEach(ctx, inquiryTimeout, q.otherRunningDaemons(), func(call context.Context, address string) {
+		answer, err := q.peers.QuarantineEvidence(call, address, request)
 		if err != nil {
 			atMost(0)
 			slog.Info("quarantine.no_answer", "peer", address, "error", err)
 			return
 		}
 		atMost(answer.Up)
-		q.weigh(answer)
+		q.addEvidence(answer)
 	})
 	return complete
 }
 
-func (q *quarantined) weigh(answer peer.QuarantineEvidence) {
+func (q *quarantineManager) addEvidence(answer peer.QuarantineEvidence) {
 	for d, age := range answer.Finished {
 		q.evidence.Clear(d, age)
 	}
@@ -192,9 +197,10 @@
 	}
 }
 
-// everyOther returns the daemons that may have requests: all that are not known to have
-// ended. At the address of one that was restarted its successor answers.
-func (n *Node) everyOther() []member.Daemon {
+// otherRunningDaemons returns the other daemons that may have requests: all that are not known
+// to have ended. It has one daemon per address, since a restarted daemon answers at the
+// address of its predecessor.
+func (n *Node) otherRunningDaemons() []member.Daemon {
 	own := n.registry.Self()
 	known := map[string]bool{own.PeerAddress: true}
 	var out []member.Daemon
@@ -207,46 +213,48 @@
 	return out
 }
 
-// tellQuarantine tells all daemons what was decided. Who misses it learns it by heartbeats.
-func (q *quarantined) tellQuarantine(ctx context.Context, decided []quarantine.Entry) {
+// sendDecisions sends decisions to all daemons and queues them to be stored. A daemon that
+// misses them gets them after a heartbeat.
+func (q *quarantineManager) sendDecisions(ctx context.Context, decided []quarantine.Entry) {
 	if len(decided) == 0 {
 		return
 	}
-	news := peer.QuarantineUpdate{From: q.registry.Self().PeerAddress, Entries: decided}
+	update := peer.QuarantineUpdate{From: q.registry.Self().PeerAddress, Entries: decided}
 	select {
 	case q.unsaved <- decided:
 	default:
 		slog.Warn("quarantine.not_stored", "count", len(decided))
 	}
-	q.callEach(ctx, beatTimeout, q.everyOther(), func(call context.Context, address string) {
-		if err := q.peers.SendQuarantineUpdate(call, address, news); err != nil {
-			slog.Debug("quarantine.not_told", "peer", address, "error", err)
+	q.callEach(ctx, peerCallTimeout, q.otherRunningDaemons(), func(call context.Context, address string) {
+		if err := q.peers.SendQuarantineUpdate(call, address, update); err != nil {
+			slog.Debug("quarantine.not_sent", "peer", address, "error", err)
 		}
 	})
 }
 
-// learnQuarantine takes in what a peer, or the store, tells.
-func (q *quarantined) learnQuarantine(told []quarantine.Entry, source string) {
-	for _, e := range q.list.Merge(told) {
+// applyEntries merges entries from a peer or the store.
+func (q *quarantineManager) applyEntries(entries []quarantine.Entry, source string) {
+	for _, e := range q.list.Merge(entries) {
 		if e.Released {
-			// What it had done before speaks against it no more.
+			// Crashes before the release no longer count against the request.
 			q.evidence.Clear(e.Digest, 0)
 		}
-		q.goOn([]quarantine.Digest{e.Digest})
+		q.resumeWaiting([]quarantine.Digest{e.Digest})
 		slog.Info("quarantine.learned", "digest", e.Digest, "route", e.Route, "organisation", e.Organisation,
 			"ended", strings.Join(e.Ended, ","), "released", e.Released, "left_ms", e.Left.Milliseconds(), "source", source)
 	}
 }
 
-// Release ends the quarantine of a request; it reports false when there is none.
-func (q *quarantined) Release(ctx context.Context, d quarantine.Digest) bool {
+// Release ends the quarantine of a request. It returns false if the request is not
+// quarantined.
+func (q *quarantineManager) Release(ctx context.Context, d quarantine.Digest) bool {
 	e, ok := q.list.Release(d)
 	if !ok {
 		return false
 	}
 	q.evidence.Clear(d, 0)
 	slog.Warn("quarantine.released", "digest", d, "route", e.Route, "organisation", e.Organisation)
-	q.tellQuarantine(ctx, []quarantine.Entry{e})
+	q.sendDecisions(ctx, []quarantine.Entry{e})
 	return true
 }
 
@@ -257,22 +265,22 @@
 		n.quarantine.evidence.Add(c)
 		reply.First = append(reply.First, n.quarantine.evidence.AtMostOneCrash(quarantine.Digests(c.Suspects))...)
 	}
-	n.quarantine.signalDue()
+	n.quarantine.signalJudge()
 	return reply
 }
 
-// OnInquiry implements peer.RoutesHandler.
+// OnQuarantineEvidence implements peer.RoutesHandler.
 func (n *Node) OnQuarantineEvidence(r peer.QuarantineEvidenceRequest) peer.QuarantineEvidence {
 	answer := peer.QuarantineEvidence{Up: n.clock.Since(n.startedAt), Finished: map[quarantine.Digest]time.Duration{}, Crashes: n.quarantine.recent(r.Within)}
 	for _, d := range r.Digests {
-		if age, ok := n.quarantine.ran.Age(d); ok {
+		if age, ok := n.quarantine.finished.Age(d); ok {
 			answer.Finished[d] = age
 		}
 	}
 	return answer
 }
 
-// OnQuarantine implements peer.RoutesHandler.
-func (n *Node) OnQuarantineUpdate(news peer.QuarantineUpdate) {
-	n.quarantine.learnQuarantine(news.Entries, news.From)
+// OnQuarantineUpdate implements peer.RoutesHandler.
+func (n *Node) OnQuarantineUpdate(update peer.QuarantineUpdate) {
+	n.quarantine.applyEntries(update.Entries, update.From)
 }
--- a/internal/entry/quarantine_store.go
+++ b/internal/entry/quarantine_store.go
@@ -12,29 +12,29 @@
 
 const (
 	quarantinePrefix = "quarantine/"
-	// maxStored bounds what a daemon reads at its start, one page.
-	maxStored = 500
-	// maxDeletes is how many rows that are over are removed then.
-	maxDeletes = 100
-	// storeTries and storeTryPause are how long a decision is tried to be stored: an
-	// outage of the store takes some ten seconds. Daemons that run know it anyway.
-	storeTries    = 30
-	storeTryPause = 2 * time.Second
-	// maxPuts is how many rows one transaction writes.
-	maxPuts = 100
-	// maxUnsaved bounds the decisions that wait for the store.
+	// maxLoadedRows limits the rows that a daemon loads at its start to one page.
+	maxLoadedRows = 500
+	// maxExpiredDeletes limits the expired rows that are deleted when the rows are loaded.
+	maxExpiredDeletes = 100
+	// maxSaveAttempts and saveRetryPause determine for how long storing a decision is retried.
+	// An outage of the store lasts some ten seconds. Running daemons know the decision anyway.
+	maxSaveAttempts = 30
+	saveRetryPause  = 2 * time.Second
+	// maxPutsPerTxn limits the rows written in one transaction.
+	maxPutsPerTxn = 100
+	// maxUnsaved limits the queued decisions that are not stored yet.
 	maxUnsaved = 64
 )
 
-// storedEntry is the row of a quarantined request. Its time is that of the store's clock,
-// which no restart and no wrong time of day changes.
+// storedEntry is the row of a quarantined request. UntilMS is a time of the store's clock, so
+// that restarts and wrong clocks of daemons do not change it.
 type storedEntry struct {
 	quarantine.Entry
 	UntilMS int64 `json:"until_ms"`
 }
 
-// saveLoop writes what was decided for daemons that start after all others have ended.
-func (q *quarantined) saveLoop(ctx context.Context) {
+// saveLoop stores decisions, for daemons that start after all others have ended.
+func (q *quarantineManager) saveLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -45,36 +45,37 @@
 	}
 }
 
-// saveAgain has what is quarantined written again, by one daemon of those that read the store.
-func (q *quarantined) saveAgain() {
-	first := q.readers(1, q.group())
+// saveAll queues all quarantined requests to be stored again. Only the first reader of the
+// group does so.
+func (q *quarantineManager) saveAll() {
+	first := q.readers(1, q.readerGroup())
 	entries := q.list.Entries()
 	if len(entries) == 0 || len(first) == 0 || first[0].Incarnation != q.registry.Self().Incarnation {
 		return
 	}
-	for part := range slices.Chunk(entries, maxPuts) {
+	for batch := range slices.Chunk(entries, maxPutsPerTxn) {
 		select {
-		case q.unsaved <- part:
+		case q.unsaved <- batch:
 		default:
-			slog.Warn("quarantine.not_stored", "count", len(part))
+			slog.Warn("quarantine.not_stored", "count", len(batch))
 		}
 	}
 }
 
-func (q *quarantined) save(ctx context.Context, decided []quarantine.Entry) {
-	for range storeTries {
+func (q *quarantineManager) save(ctx context.Context, decided []quarantine.Entry) {
+	for range maxSaveAttempts {
 		now, ok := q.store.Clock()
 		if ok && q.saveOnce(ctx, decided, now) == nil {
 			return
 		}
-		if !q.pause(ctx, storeTryPause) {
+		if !q.sleep(ctx, saveRetryPause) {
 			return
 		}
 	}
 	slog.Warn("quarantine.not_stored", "count", len(decided))
 }
 
-func (q *quarantined) saveOnce(ctx context.Context, decided []quarantine.Entry, nowMS int64) error {
+func (q *quarantineManager) saveOnce(ctx context.Context, decided []quarantine.Entry, nowMS int64) error {
 	var txn backing.Txn
 	for _, e := range decided {
 		row := storedEntry{Entry: e, UntilMS: nowMS + e.Left.Milliseconds()}
@@ -84,11 +85,11 @@
 	return err
 }
 
-// loadLoop reads what was decided before this daemon started, once, when it is one of those
-// that read the store for the others. These have it from their peers, or from it.
-func (q *quarantined) loadLoop(ctx context.Context) {
-	for q.pause(ctx, announcePause) {
-		if !q.reader() {
+// loadLoop loads the stored decisions once, when this daemon is a reader. Other daemons get
+// them from their peers.
+func (q *quarantineManager) loadLoop(ctx context.Context) {
+	for q.sleep(ctx, announceRetry) {
+		if !q.isReader() {
 			continue
 		}
 		if err := q.load(ctx); err != nil {
@@ -99,14 +100,14 @@
 	}
 }
 
-func (q *quarantined) load(ctx context.Context) error {
-	rows, err := q.kv.List(ctx, quarantinePrefix, "", maxStored)
+func (q *quarantineManager) load(ctx context.Context) error {
+	rows, err := q.kv.List(ctx, quarantinePrefix, "", maxLoadedRows)
 	if err != nil {
 		return err
 	}
 	now, _ := q.store.Clock()
-	var told []quarantine.Entry
-	var over []string
+	var entries []quarantine.Entry
+	var expired []string
 	for _, row := range rows {
 		var e storedEntry
 		if err := unmarshal(row, &e); err != nil {
@@ -115,15 +116,15 @@
 		}
 		e.Left = time.Duration(e.UntilMS-now) * time.Millisecond
 		if e.Left > 0 {
-			told = append(told, e.Entry)
+			entries = append(entries, e.Entry)
 		} else {
-			over = append(over, row.Key)
+			expired = append(expired, row.Key)
 		}
 	}
-	q.learnQuarantine(told, "store")
-	if len(over) == 0 {
+	q.applyEntries(entries, "store")
+	if len(expired) == 0 {
 		return nil
 	}
-	_, err = q.kv.Commit(ctx, backing.Txn{Deletes: over[:min(len(over), maxDeletes)]})
+	_, err = q.kv.Commit(ctx, backing.Txn{Deletes: expired[:min(len(expired), maxExpiredDeletes)]})
 	return err
 }
--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -15,9 +15,9 @@
 
 var suspect = quarantine.Suspect{Digest: quarantine.NewDigest("POST", "shop.example", "/notes/one", "visrad", nil), Route: "notes"}
 
-// A request was refused for what others had done, and a run of it that had begun before
-// comes to its end. It is let run again: no request that runs well crashes instances.
-func TestQuarantinedRequestThatRunsToItsEndIsReleased(t *testing.T) {
+// Guards against a request that stays quarantined for the crashes of others: a run of it that
+// began before the quarantine finishes, so it does not crash instances and is released.
+func TestQuarantinedRequestIsReleasedWhenItFinishes(t *testing.T) {
 	n := newTestNode(clockwork.NewRealClock(), nil)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -29,9 +29,10 @@
 	require.Eventually(t, func() bool { return !n.quarantine.list.Held(suspect.Digest) }, 10*time.Second, time.Millisecond)
 }
 
-// A daemon that has just been chosen to judge is told of three crashes, all at once and not
-// in their order. What ended beside them counts by when it ended.
-func TestJudgeIsToldOfCrashesOutOfOrder(t *testing.T) {
+// A newly chosen judge gets the reports of several crashes at once and not in order of time.
+// Guards against evaluating them in the order of arrival: the crash of an instance without the
+// request clears it by the time of that crash.
+func TestJudgeHandlesCrashesOutOfOrder(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	n := newTestNode(clock, nil)
 	clock.Advance(time.Hour)
@@ -45,27 +46,28 @@
 	n.OnCrashes(report)
 	n.quarantine.judge(context.Background())
 	_, refused := n.quarantine.Refused(suspect.Digest)
-	require.False(t, refused, "an instance has ended without it")
+	require.False(t, refused, "an instance ended without the request")
 }
 
-// Requests that broke off with an instance that has ended wait for the judges; one that was on
-// a single ended instance goes on as soon as it is told of.
-func TestFirstCrashHoldsNobodyBack(t *testing.T) {
+// Guards against delaying the next attempt of requests after a single crash. Requests whose
+// instance ended wait for the judges; one that was on only one ended instance continues as
+// soon as a judge has the report.
+func TestFirstCrashDoesNotDelayRetry(t *testing.T) {
 	n := newTestNode(clockwork.NewRealClock(), nil)
 	decided := n.quarantine.Broken(inventory.Instance{ID: "i", Address: "127.0.0.1:1"}, suspect)
-	<-n.quarantine.news
+	<-n.quarantine.pending
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	n.quarantine.signal()
-	go n.quarantine.tellLoop(ctx)
+	go n.quarantine.reportLoop(ctx)
 	<-decided
 	require.True(t, n.quarantine.Ended(inventory.Instance{ID: "i"}))
 }
 
-// A request and another one were on the same three instances that ended, so neither is
-// refused. Then the other one runs to its end elsewhere, and no instance ends any more: the
-// first one is refused at the next look. It was refused with the next crash only.
-func TestJudgeLooksAgainAtSuspects(t *testing.T) {
+// Two requests were on the same three instances that ended, so neither is quarantined. Then
+// one of them finishes elsewhere and no more instances end. Guards against quarantining the
+// other one only after a further crash.
+func TestJudgeReconsidersSuspects(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	n := newTestNode(clock, nil)
 	clock.Advance(time.Hour)
@@ -79,12 +81,12 @@
 	go n.quarantine.judgeLoop(ctx)
 	n.OnCrashes(report)
 	require.NoError(t, clock.BlockUntilContext(ctx, 1))
-	clock.Advance(settleEvidence)
-	require.NoError(t, clock.BlockUntilContext(ctx, 1), "it is to look again")
+	clock.Advance(crashSettleTime)
+	require.NoError(t, clock.BlockUntilContext(ctx, 1), "another decision must be scheduled")
 	_, refused := n.quarantine.Refused(suspect.Digest)
 	require.False(t, refused)
 	n.quarantine.Finished(beside.Digest)
-	clock.Advance(judgeAgain)
+	clock.Advance(rejudgeDelay)
 	require.Eventually(t, func() bool { _, yes := n.quarantine.Refused(suspect.Digest); return yes }, 20*time.Second, time.Millisecond)
 	_, refused = n.quarantine.Refused(beside.Digest)
 	require.False(t, refused)
--- a/internal/entry/readers.go
+++ b/internal/entry/readers.go
@@ -11,243 +11,245 @@
 	"github.com/hornbeamsill/hornbeamsill/platform"
 )
 
-// Few daemons read the store; they tell the others of their group. A daemon
-// that has heard nothing fresh for too long reads by itself, so that readers
-// that die, freeze or are turned away by the store delay nobody beyond the
-// bounds.
+// Only a few daemons, the readers, read the store; they send updates to the other daemons of
+// their group. A daemon that has not received an update for too long reads the store itself,
+// so that readers that crash, freeze or are rejected by the store delay no daemon beyond the
+// required times.
 const (
-	// wholeFleet is the number of daemons up to which they are one group of readers;
-	// above, each failure domain is a group of its own, so that news crosses
-	// domains only through the store. A reader tells no more daemons then than in
-	// a failure domain of a large fleet.
-	wholeFleet = 100
-	// wholeWork is the same for what waits at upstream instances, which is told ten times
-	// as often and takes most of a reader's link.
-	wholeWork = 32
-	// readerDuty names the order in which daemons are chosen.
-	readerDuty = "reader"
-	// readersPerGroup is two, so that one that fails is not even noticed.
+	// maxFleetGroup is the number of daemons up to which the whole fleet is one reader group,
+	// so that a reader serves no more daemons than a failure domain of a large fleet has. In a
+	// larger fleet each failure domain is a group, and updates cross domains only through the
+	// store.
+	maxFleetGroup = 100
+	// maxFleetWorkGroup is the same limit for the exchange of outstanding work at upstream
+	// instances. These updates are sent ten times as often and take most of a reader's
+	// bandwidth.
+	maxFleetWorkGroup = 32
+	// readerRankKey is the key of the rendezvous order in which readers are chosen.
+	readerRankKey = "reader"
+	// readersPerGroup is two, so that the failure of one reader has no effect.
 	readersPerGroup = 2
-	// wideLink is the part of the widest link of a group that a reader's should have:
-	// instances are of a few kinds, whose links differ by more than that.
-	wideLink = 0.5
-	// lateNews is how much later than the readers' pace news may come before a
-	// daemon reads by itself.
-	lateNews = 400 * time.Millisecond
-	// checkInterval is how often a daemon looks whether it must read.
+	// fastLinkFraction is the fraction of the fastest link in a group that a reader's link
+	// should have. Hosts come in a few kinds whose links differ by more than this factor.
+	fastLinkFraction = 0.5
+	// lateUpdateMargin is added to the interval between two reads of the list; a daemon that
+	// gets no update for longer reads the store itself.
+	lateUpdateMargin = 400 * time.Millisecond
+	// checkInterval is how often a daemon checks whether it must read the store.
 	checkInterval = 150 * time.Millisecond
-	// toldManifest is the longest encoded configuration that readers pass on.
-	// A longer one is read by each daemon itself: some have links of 10 Mbit/s,
-	// on which one of 400 kB for a dozen peers takes four seconds and delays
-	// all other news.
-	toldManifest = 32 << 10
+	// maxSentManifest is the size of the longest encoded configuration that readers send, in
+	// bytes. Each daemon reads a longer one itself: on a link of 10 Mbit/s, which some daemons
+	// have, 400 kB for a dozen peers take four seconds and delay all other updates.
+	maxSentManifest = 32 << 10
 )
 
-// group reports whether a daemon is in this one's group of readers.
-func (n *Node) group() func(member.Daemon) bool { return n.groupOf(wholeFleet) }
+// readerGroup returns a filter for the daemons of this daemon's reader group.
+func (n *Node) readerGroup() func(member.Daemon) bool { return n.groupUpTo(maxFleetGroup) }
 
-// workGroup reports whether a daemon is in the group that tells each other what waits at
-// upstream instances.
-func (n *Node) workGroup() func(member.Daemon) bool { return n.groupOf(wholeWork) }
+// workGroup returns a filter for the daemons with which this daemon exchanges the outstanding
+// work at upstream instances.
+func (n *Node) workGroup() func(member.Daemon) bool { return n.groupUpTo(maxFleetWorkGroup) }
 
-// groupOf is the whole fleet, up to a number of daemons, or else this failure domain.
-func (n *Node) groupOf(most int) func(member.Daemon) bool {
-	if len(n.registry.Live()) <= most {
+// groupUpTo returns a filter for the whole fleet if it has at most the given number of
+// daemons, or else for this daemon's failure domain.
+func (n *Node) groupUpTo(limit int) func(member.Daemon) bool {
+	if len(n.registry.Live()) <= limit {
 		return func(member.Daemon) bool { return true }
 	}
 	return func(d member.Daemon) bool { return d.FailureDomain == n.settings.FailureDomain }
 }
 
-// reader reports whether this daemon is one of those that read the store.
-func (n *Node) reader() bool {
+// isReader reports whether this daemon is one of the readers of its group and is not leaving.
+func (n *Node) isReader() bool {
 	own := n.registry.Self().Incarnation
-	return !n.leaving.Load() && slices.ContainsFunc(n.readers(readersPerGroup, n.group()),
+	return !n.leaving.Load() && slices.ContainsFunc(n.readers(readersPerGroup, n.readerGroup()),
 		func(d member.Daemon) bool { return d.Incarnation == own })
 }
 
-// readers returns the first daemons of a group that read the store for it: those with
-// wide links, and others only where there are too few of these.
+// readers returns the first count readers of a group: daemons with fast links, and others only
+// if there are too few of these.
 //
-// A reader sends news to all of its group several times a second, beside its callers'
-// answers. Where few instances have wide links, nearly all readers drawn from all alike
-// have narrow ones, and the answers of their callers come late.
+// A reader sends updates to its whole group several times a second over the link that also
+// carries its callers' answers. If few daemons have fast links, readers drawn from all daemons
+// mostly have slow links, and the updates delay their callers' answers.
 func (n *Node) readers(count int, inGroup func(member.Daemon) bool) []member.Daemon {
-	widest := 0.0
+	fastest := 0.0
 	for _, d := range n.registry.Live() {
 		if inGroup(d) {
-			widest = max(widest, d.LinkMbps)
+			fastest = max(fastest, d.LinkMbps)
 		}
 	}
-	wide := func(d member.Daemon) bool { return d.LinkMbps >= wideLink*widest }
-	first := n.registry.TopRanked(readerDuty, count, func(d member.Daemon) bool { return inGroup(d) && wide(d) })
-	rest := n.registry.TopRanked(readerDuty, count-len(first), func(d member.Daemon) bool { return inGroup(d) && !wide(d) })
+	fast := func(d member.Daemon) bool { return d.LinkMbps >= fastLinkFraction*fastest }
+	first := n.registry.TopRanked(readerRankKey, count, func(d member.Daemon) bool { return inGroup(d) && fast(d) })
+	rest := n.registry.TopRanked(readerRankKey, count-len(first), func(d member.Daemon) bool { return inGroup(d) && !fast(d) })
 	return append(first, rest...)
 }
 
-// listPace is the time between two reads of the list.
-func (n *Node) listPace() time.Duration {
-	share := time.Duration(listShare * float64(n.settings.DrainMS) * float64(time.Millisecond))
-	return min(share, maxListPace)
+// listInterval returns the interval between two reads of the instance list.
+func (n *Node) listInterval() time.Duration {
+	share := time.Duration(listReadFraction * float64(n.settings.DrainMS) * float64(time.Millisecond))
+	return min(share, maxListInterval)
 }
 
-// mustReadList reports whether this daemon has to read the list itself. One that
-// has just started and got no answer from the store leaves it to the operator's
-// rows to find out when the store is back.
+// mustReadList reports whether this daemon has to read the list itself. A daemon that has just
+// started and got no answer from the store does not read the list; its reads of the operator's
+// rows show when the store is available again.
 func (n *Node) mustReadList() bool {
-	if n.contact.away() && n.fresh.view().at.IsZero() {
+	if n.storeHealth.isLost() && n.freshness.view().confirmedAt.IsZero() {
 		return false
 	}
-	return n.reader() || n.listIsLate()
+	return n.isReader() || n.listIsLate()
 }
 
-// listIsLate reports whether no reader has told of the list for too long.
-func (n *Node) listIsLate() bool { return n.table.Age() > n.newsTime() }
+// listIsLate reports whether the list has not been confirmed for too long.
+func (n *Node) listIsLate() bool { return n.table.Age() > n.maxUpdateAge() }
 
-// newsTime is how old what readers tell may be before it is late.
-func (n *Node) newsTime() time.Duration { return n.listPace() + lateNews }
+// maxUpdateAge is the age of the last update from which it counts as late.
+func (n *Node) maxUpdateAge() time.Duration { return n.listInterval() + lateUpdateMargin }
 
-// mustReadOperator reports whether this daemon has to read the operator's rows
-// itself. While the store is away only readers do; another daemon finds out by
-// reading the list that it is back.
+// mustReadOperator reports whether this daemon has to read the operator's rows itself. While
+// the store is unavailable only readers do; another daemon notices through its reads of the
+// list that the store is available again.
 func (n *Node) mustReadOperator() bool {
-	view := n.fresh.view()
+	view := n.freshness.view()
 	switch {
-	case view.at.IsZero() || n.behind.Load() || n.reader():
+	case view.confirmedAt.IsZero() || n.behind.Load() || n.isReader():
 		return true
-	case n.contact.away():
+	case n.storeHealth.isLost():
 		return false
 	default:
-		return n.clock.Since(view.at) > n.newsTime()
+		return n.clock.Since(view.confirmedAt) > n.maxUpdateAge()
 	}
 }
 
-// tellList passes on what a read of the list brought; without changes it tells
-// that the list is as it was.
-func (n *Node) tellList(ctx context.Context, told peer.StoreUpdate) {
-	if !n.reader() {
+// sendListChanges sends the result of a read of the list to the group. An update without
+// changes confirms that the list is current.
+func (n *Node) sendListChanges(ctx context.Context, update peer.StoreUpdate) {
+	if !n.isReader() {
 		return
 	}
-	told.ListAge, told.Doubted = n.table.Age(), n.doubt()
-	n.tell(ctx, told)
+	update.ListAge, update.Doubted = n.table.Age(), n.graceLeft()
+	n.sendToGroup(ctx, update)
 }
 
-// toldInstances is the largest number of instances of which a whole list is passed on.
-const toldInstances = 300
+// maxSentInstances is the largest number of instances for which the whole list is sent.
+const maxSentInstances = 300
 
-// tellWholeList passes a list on that was read whole, so that the daemons of the group do not
-// all read it.
-func (n *Node) tellWholeList(ctx context.Context) {
+// sendWholeList sends a list that was read in full to the group, so that not every daemon has
+// to read it.
+func (n *Node) sendWholeList(ctx context.Context) {
 	whole := n.table.Snapshot()
-	if !n.reader() || len(whole.Instances) > toldInstances {
+	if !n.isReader() || len(whole.Instances) > maxSentInstances {
 		return
 	}
-	n.tell(ctx, peer.StoreUpdate{Whole: &whole, List: whole.Revision, ListAge: n.table.Age(), Doubted: n.doubt()})
+	n.sendToGroup(ctx, peer.StoreUpdate{Whole: &whole, List: whole.Revision, ListAge: n.table.Age(), Doubted: n.graceLeft()})
 }
 
-// tellOperator passes on what the operator wrote.
+// sendOperatorRows sends the operator's changes to the group.
 //
-// Told whole, news leads on from the revision base, so that daemons which know all up to
-// there need not ask the store themselves.
-func (n *Node) tellOperator(ctx context.Context, news platform.OperatorNews, base int64, evacuated bool) {
-	if !n.reader() {
+// The update contains every change after revision base unless the configuration is too long.
+// Daemons that have all rows up to base then need not read the store.
+func (n *Node) sendOperatorRows(ctx context.Context, rows platform.OperatorNews, base int64, evacuated bool) {
+	if !n.isReader() {
 		return
 	}
-	told := peer.StoreUpdate{Manifest: news.Manifest, Orders: news.Orders, List: noList, OperatorBase: base, OperatorWhole: true}
-	if len(told.Manifest) > toldManifest {
-		told.Manifest, told.OperatorWhole = nil, false
+	update := peer.StoreUpdate{Manifest: rows.Manifest, Orders: rows.Orders, List: noList, OperatorBase: base, OperatorWhole: true}
+	if len(update.Manifest) > maxSentManifest {
+		update.Manifest, update.OperatorWhole = nil, false
 	}
 	if evacuated {
-		told.Evacuations = n.evacuations.Orders()
+		update.Evacuations = n.evacuations.Orders()
 	}
-	n.tell(ctx, told)
+	n.sendToGroup(ctx, update)
 }
 
-// noList stands for the revision of a list in news that has none.
+// noList is the list revision of an update without a list.
 const noList = -1
 
-// dated adds to news who tells it and how new the operator's rows are here.
-func (n *Node) dated(news peer.StoreUpdate) peer.StoreUpdate {
-	news.From, news.Evacuated = n.registry.Self().PeerAddress, n.evacuations.Checksum()
-	view := n.fresh.view()
-	news.OperatorRead, news.OperatorChanged, news.OperatorAge = view.read, view.changed, n.clock.Since(view.at)
-	return news
+// withFreshness adds the sender and the age of its operator rows to an update.
+func (n *Node) withFreshness(update peer.StoreUpdate) peer.StoreUpdate {
+	update.From, update.Evacuated = n.registry.Self().PeerAddress, n.evacuations.Checksum()
+	view := n.freshness.view()
+	update.OperatorRead, update.OperatorChanged, update.OperatorAge = view.readRevision, view.changedRevision, n.clock.Since(view.confirmedAt)
+	return update
 }
 
-// tell sends news to the daemons of the group.
-func (n *Node) tell(ctx context.Context, news peer.StoreUpdate) {
-	news = n.dated(news)
-	n.callEach(ctx, beatTimeout, n.others(n.group()), func(call context.Context, address string) {
-		if err := n.peers.SendStoreUpdate(call, address, news); err != nil {
-			slog.Debug("news.not_told", "peer", address, "error", err)
+// sendToGroup sends an update to the other daemons of the reader group.
+func (n *Node) sendToGroup(ctx context.Context, update peer.StoreUpdate) {
+	update = n.withFreshness(update)
+	n.callEach(ctx, peerCallTimeout, n.otherDaemons(n.readerGroup()), func(call context.Context, address string) {
+		if err := n.peers.SendStoreUpdate(call, address, update); err != nil {
+			slog.Debug("update.not_sent", "peer", address, "error", err)
 		}
 	})
 }
 
-// others are the other daemons of a group.
-func (n *Node) others(inGroup func(member.Daemon) bool) []member.Daemon {
+// otherDaemons returns the live daemons that match the filter, except this one.
+func (n *Node) otherDaemons(inGroup func(member.Daemon) bool) []member.Daemon {
 	own := n.registry.Self().PeerAddress
 	return slices.DeleteFunc(n.registry.Live(), func(d member.Daemon) bool {
 		return d.PeerAddress == own || !inGroup(d)
 	})
 }
 
-// takeFreshness takes in how new the operator's rows are at a reader, if this daemon knows
-// them as well.
-func (n *Node) takeFreshness(news peer.StoreUpdate) {
-	view := n.fresh.view()
-	if view.at.IsZero() {
+// applyFreshness confirms this daemon's operator rows by those of a reader if this daemon has
+// the same ones. Otherwise it marks this daemon as behind, so that it reads the rows itself.
+func (n *Node) applyFreshness(update peer.StoreUpdate) {
+	view := n.freshness.view()
+	if view.confirmedAt.IsZero() {
 		return
 	}
-	follows := news.OperatorWhole && view.read >= news.OperatorBase
-	known := view.read >= news.OperatorChanged || follows || len(news.Manifest) > 0
-	if !known || news.Evacuated != n.evacuations.Checksum() {
+	continues := update.OperatorWhole && view.readRevision >= update.OperatorBase
+	upToDate := view.readRevision >= update.OperatorChanged || continues || len(update.Manifest) > 0
+	if !upToDate || update.Evacuated != n.evacuations.Checksum() {
 		n.behind.Store(true)
 		return
 	}
-	n.fresh.note(n.clock.Now().Add(-news.OperatorAge), news.OperatorRead, view.read < news.OperatorChanged)
+	n.freshness.record(n.clock.Now().Add(-update.OperatorAge), update.OperatorRead, view.readRevision < update.OperatorChanged)
 }
 
-// keptUntil is until when entries are kept that a reader's whole list lacks: as long as the
-// reader doubts it, or this daemon would if it had read it.
-func (n *Node) keptUntil(told time.Duration) time.Time {
+// wholeListGraceEnd returns until when entries are kept that are missing from a reader's whole
+// list: the later of the reader's grace period and this daemon's own.
+func (n *Node) wholeListGraceEnd(remaining time.Duration) time.Time {
 	now := n.clock.Now()
-	until := n.doubts.take(now, told, n.listIsLate())
-	if own := n.doubtedUntil(now); own.After(until) {
+	until := n.readerGrace.adopt(now, remaining, n.listIsLate())
+	if own := n.graceEnd(now); own.After(until) {
 		return own
 	}
 	return until
 }
 
-// OnNews implements peer.RoutesHandler.
-func (n *Node) OnStoreUpdate(news peer.StoreUpdate) {
-	n.store.NoteRevision(max(news.List, news.OperatorRead))
-	if len(news.Evacuations) > 0 {
-		n.evacuated(n.evacuations.MergeAll(news.Evacuations), news.From)
+// OnStoreUpdate implements peer.RoutesHandler.
+func (n *Node) OnStoreUpdate(update peer.StoreUpdate) {
+	n.store.NoteRevision(max(update.List, update.OperatorRead))
+	if len(update.Evacuations) > 0 {
+		n.enforceEvacuations(n.evacuations.MergeAll(update.Evacuations), update.From)
 	}
-	n.takeManifest(news.Manifest, news.From)
-	for _, o := range news.Orders {
-		n.ordered(o, news.From)
+	n.applyManifest(update.Manifest, update.From)
+	for _, o := range update.Orders {
+		n.addOrder(o, update.From)
 	}
-	if len(news.Manifest) > 0 || len(news.Orders) > 0 || len(news.Evacuations) > 0 {
-		n.kickBeat()
+	if len(update.Manifest) > 0 || len(update.Orders) > 0 || len(update.Evacuations) > 0 {
+		n.requestHeartbeat()
 	}
-	n.takeFreshness(news)
-	if news.List == noList {
+	n.applyFreshness(update)
+	if update.List == noList {
 		return
 	}
-	n.doubts.heard(n.clock.Now(), news.Doubted)
+	n.readerGrace.noteUpdate(n.clock.Now(), update.Doubted)
 	revision := n.table.Revision()
 	switch {
-	case news.Whole != nil && revision <= news.List:
-		n.table.Replace(*news.Whole, n.keptUntil(news.Doubted))
-		n.table.Confirm(news.ListAge)
-	case !n.table.Loaded() || revision < news.Base:
-		// Something was missed; this daemon reads, or asks, for all of it.
-	case revision >= news.List:
-		n.table.Confirm(news.ListAge)
+	case update.Whole != nil && revision <= update.List:
+		n.table.Replace(*update.Whole, n.wholeListGraceEnd(update.Doubted))
+		n.table.Confirm(update.ListAge)
+	case !n.table.Loaded() || revision < update.Base:
+		// An update was missed. The list becomes late, and this daemon then reads it or takes
+		// it from a peer.
+	case revision >= update.List:
+		n.table.Confirm(update.ListAge)
 	default:
-		doubted := n.doubts.take(n.clock.Now(), news.Doubted, n.listIsLate())
-		n.table.Apply(news.Changes, news.List, doubted)
-		n.table.Confirm(news.ListAge)
+		graceEnd := n.readerGrace.adopt(n.clock.Now(), update.Doubted, n.listIsLate())
+		n.table.Apply(update.Changes, update.List, graceEnd)
+		n.table.Confirm(update.ListAge)
 	}
 }
--- a/internal/entry/work.go
+++ b/internal/entry/work.go
@@ -12,153 +12,158 @@
 )
 
 const (
-	// workInterval is the least time between two rounds in which a reader collects and
-	// tells what waits at upstream instances: a tenth of what a long prompt takes to be
-	// read by a large model. Between two rounds all daemons choose by the same list, and
-	// an instance that looks idle there gets more than it can begin in time.
+	// workInterval is the minimum interval between two rounds in which a reader collects and
+	// sends the outstanding work at upstream instances. It is a tenth of the prefill time of a
+	// long prompt on a large model. Between two rounds all daemons choose by the same data, so
+	// an instance that looks idle gets more than it can start in time.
 	workInterval = 100 * time.Millisecond
-	// workPerInstance is the least time between two rounds for each instance told of:
-	// at some 7 bytes each, a daemon of a large fleet gets 7 kB a second.
-	workPerInstance = 1 * time.Millisecond
-	// domainTime is how long the sum of another failure domain is relied on.
-	domainTime = 4 * time.Second
-	// readingsPerSecond bounds the readings that each daemon is told of: 3 kB a second
-	// at 8 bytes each, whatever the size of the fleet. Daemons whose callers ask for more
-	// than that in a second place the rest by what they sent themselves.
-	readingsPerSecond = 375
-	// maxUntold bounds the readings that wait to be told: some seconds of them. Older
-	// ones are told no more, since what an engine read lately it most likely keeps.
-	maxUntold = 4 * readingsPerSecond
+	// workIntervalPerInstance is the minimum interval for each instance in a round. At some 7
+	// bytes per instance, a daemon of a large fleet receives 7 kB per second.
+	workIntervalPerInstance = 1 * time.Millisecond
+	// domainWorkTTL is how long the work reported by another failure domain is used.
+	domainWorkTTL = 4 * time.Second
+	// prefixesPerSecond limits the cached prefixes sent to each daemon: 3 kB per second at 8
+	// bytes each, whatever the size of the fleet. If callers send more prompts than that,
+	// daemons place the rest by the prefixes that they sent themselves.
+	prefixesPerSecond = 375
+	// maxPendingPrefixes limits the prefixes that wait to be sent to what can be sent in some
+	// seconds. The oldest are dropped, since engines most likely still cache what they
+	// processed last.
+	maxPendingPrefixes = 4 * prefixesPerSecond
 )
 
-// workSums add up what daemons have under way at upstream instances, and collect
-// which beginnings of prompts they sent where. Each daemon by itself sees too little of
-// it to tell a busy instance from an idle one: in a large fleet it sends an instance a
-// request or two in a minute.
+// workTotals add up the outstanding work of daemons at upstream instances and collect which
+// prompt prefixes they sent to which instance. A single daemon cannot tell a busy instance
+// from an idle one: in a large fleet it sends an instance one or two requests per minute.
 //
-// Lock order: mu is taken alone.
-type workSums struct {
+// Lock order: no other lock is taken while mu is held.
+type workTotals struct {
 	mu      sync.Mutex
 	group   *inventory.WorkSum
-	domains map[string]domainSum
-	// forGroup and forDomains are readings that were not told to them yet.
-	forGroup, forDomains []inventory.CachedPrefix
+	domains map[string]domainWork
+	// pendingForGroup and pendingForDomains are prefixes that were not sent to the group and
+	// to other failure domains yet.
+	pendingForGroup, pendingForDomains []inventory.CachedPrefix
 }
 
-type domainSum struct {
+type domainWork struct {
 	work inventory.Work
 	at   time.Time
 }
 
-func newWorkSums() *workSums {
-	return &workSums{group: inventory.NewWorkSum(), domains: map[string]domainSum{}}
+func newWorkTotals() *workTotals {
+	return &workTotals{group: inventory.NewWorkSum(), domains: map[string]domainWork{}}
 }
 
-// add takes in the work of a daemon of the group.
-func (w *workSums) add(own peer.DaemonWork, now time.Time) {
+// add records the work of a daemon of the group.
+func (w *workTotals) add(own peer.DaemonWork, now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.group.Add(own.Incarnation, peer.UnpackWork(own.Amounts), now)
-	read := peer.UnpackReadings(own.Readings)
-	w.forGroup = newest(append(w.forGroup, read...), maxUntold)
-	w.forDomains = newest(append(w.forDomains, read...), maxUntold)
+	prefixes := peer.UnpackReadings(own.Readings)
+	w.pendingForGroup = newest(append(w.pendingForGroup, prefixes...), maxPendingPrefixes)
+	w.pendingForDomains = newest(append(w.pendingForDomains, prefixes...), maxPendingPrefixes)
 }
 
-// addDomain takes in the work of another failure domain.
-func (w *workSums) addDomain(d peer.DomainWork, now time.Time) {
+// addDomain records the work of another failure domain.
+func (w *workTotals) addDomain(d peer.DomainWork, now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.domains[d.Domain] = domainSum{work: peer.UnpackWork(d.Amounts), at: now}
-	w.forGroup = newest(append(w.forGroup, peer.UnpackReadings(d.Readings)...), maxUntold)
+	w.domains[d.Domain] = domainWork{work: peer.UnpackWork(d.Amounts), at: now}
+	w.pendingForGroup = newest(append(w.pendingForGroup, peer.UnpackReadings(d.Readings)...), maxPendingPrefixes)
 }
 
-// newest returns the last n readings, or all if there are fewer.
+// newest returns the last n prefixes, or all if there are fewer.
 func newest(all []inventory.CachedPrefix, n int) []inventory.CachedPrefix {
 	return all[max(len(all)-n, 0):]
 }
 
-// split takes the last n readings off and returns them and the rest.
-func split(all []inventory.CachedPrefix, n int) (taken, rest []inventory.CachedPrefix) {
+// takeNewest splits off the last n prefixes and returns them and the rest.
+func takeNewest(all []inventory.CachedPrefix, n int) (taken, rest []inventory.CachedPrefix) {
 	at := max(len(all)-n, 0)
 	return all[at:], all[:at:at]
 }
 
-// readingsIn is how many readings may be told after some time without.
-func readingsIn(pause time.Duration) int { return int(readingsPerSecond * pause.Seconds()) }
+// prefixesIn returns how many prefixes may be sent after a pause.
+func prefixesIn(pause time.Duration) int { return int(prefixesPerSecond * pause.Seconds()) }
 
-// tellGroup returns the sum over all groups, and at most some readings to tell.
-func (w *workSums) tellGroup(now time.Time, most int) (inventory.Work, []inventory.CachedPrefix) {
+// fleetWork returns the work of all groups and removes and returns up to most prefixes to send
+// to the group.
+func (w *workTotals) fleetWork(now time.Time, maxPrefixes int) (inventory.Work, []inventory.CachedPrefix) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	out := w.group.Total(now)
 	for _, d := range w.domains {
-		if now.Sub(d.at) > domainTime {
+		if now.Sub(d.at) > domainWorkTTL {
 			continue
 		}
 		for instance, amount := range d.work {
 			out.Add(instance, amount)
 		}
 	}
-	read, rest := split(w.forGroup, most)
-	w.forGroup = rest
-	return out, read
+	prefixes, rest := takeNewest(w.pendingForGroup, maxPrefixes)
+	w.pendingForGroup = rest
+	return out, prefixes
 }
 
-// tellDomains returns the sum of this group, and at most some readings to tell others.
-func (w *workSums) tellDomains(now time.Time, most int) (inventory.Work, []inventory.CachedPrefix) {
+// groupWork returns the work of this group and removes and returns up to most prefixes to send
+// to other failure domains.
+func (w *workTotals) groupWork(now time.Time, maxPrefixes int) (inventory.Work, []inventory.CachedPrefix) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	read, rest := split(w.forDomains, most)
-	w.forDomains = rest
-	return w.group.Total(now), read
+	prefixes, rest := takeNewest(w.pendingForDomains, maxPrefixes)
+	w.pendingForDomains = rest
+	return w.group.Total(now), prefixes
 }
 
-// workLoop tells what waits at upstream instances, when this daemon is the first of
-// its group's readers.
+// workLoop exchanges the outstanding work at upstream instances while this daemon is the first
+// reader of its group.
 func (n *Node) workLoop(ctx context.Context) {
 	pause := workInterval
-	for n.pause(ctx, pause) {
+	for n.sleep(ctx, pause) {
 		first := n.readers(1, n.workGroup())
 		if len(first) == 0 || first[0].Incarnation != n.registry.Self().Incarnation {
 			continue
 		}
-		pause = workPause(n.tellWork(ctx, readingsIn(pause)))
-		if len(n.registry.Live()) > wholeWork {
-			n.tellDomainWork(ctx, readingsIn(pause))
+		pause = workRoundInterval(n.sendFleetWork(ctx, prefixesIn(pause)))
+		if len(n.registry.Live()) > maxFleetWorkGroup {
+			n.sendDomainWork(ctx, prefixesIn(pause))
 		}
 	}
 }
 
-// workPause is the time to the next round after one that told of some instances.
-func workPause(instances int) time.Duration {
-	return max(workInterval, time.Duration(instances)*workPerInstance)
+// workRoundInterval returns the time to the next round after one with the given number of
+// instances.
+func workRoundInterval(instances int) time.Duration {
+	return max(workInterval, time.Duration(instances)*workIntervalPerInstance)
 }
 
-// tellWork tells the group what all daemons have under way and at most some readings,
-// and collects what each of them has. It returns the number of instances told of.
-func (n *Node) tellWork(ctx context.Context, readings int) int {
-	n.work.add(n.ownWork(), n.clock.Now())
-	work, read := n.work.tellGroup(n.clock.Now(), readings)
+// sendFleetWork sends the outstanding work of all daemons and up to the given number of
+// prefixes to the group, and collects the work of each daemon from the replies. It returns the
+// number of instances sent.
+func (n *Node) sendFleetWork(ctx context.Context, readings int) int {
+	n.workTotals.add(n.ownWork(), n.clock.Now())
+	work, prefixes := n.workTotals.fleetWork(n.clock.Now(), readings)
 	n.table.SetFleetWork(work)
-	n.prompts.Merge(read)
-	told := peer.FleetWork{Amounts: peer.PackWork(work), Readings: peer.PackReadings(read)}
-	n.callEach(ctx, beatTimeout, n.others(n.workGroup()), func(call context.Context, address string) {
-		own, err := n.peers.SendFleetWork(call, address, told)
+	n.prefixes.Merge(prefixes)
+	update := peer.FleetWork{Amounts: peer.PackWork(work), Readings: peer.PackReadings(prefixes)}
+	n.callEach(ctx, peerCallTimeout, n.otherDaemons(n.workGroup()), func(call context.Context, address string) {
+		own, err := n.peers.SendFleetWork(call, address, update)
 		if err != nil {
-			slog.Debug("work.not_told", "peer", address, "error", err)
+			slog.Debug("work.not_sent", "peer", address, "error", err)
 			return
 		}
-		n.work.add(own, n.clock.Now())
+		n.workTotals.add(own, n.clock.Now())
 	})
 	return len(work)
 }
 
-// tellDomainWork tells the readers of other groups the sum of this one, and at most
-// some readings.
-func (n *Node) tellDomainWork(ctx context.Context, readings int) {
-	work, read := n.work.tellDomains(n.clock.Now(), readings)
+// sendDomainWork sends the work of this group and up to the given number of prefixes to the
+// readers of other groups.
+func (n *Node) sendDomainWork(ctx context.Context, readings int) {
+	work, prefixes := n.workTotals.groupWork(n.clock.Now(), readings)
 	mine := peer.DomainWork{
-		Domain: n.settings.FailureDomain, Amounts: peer.PackWork(work), Readings: peer.PackReadings(read),
+		Domain: n.settings.FailureDomain, Amounts: peer.PackWork(work), Readings: peer.PackReadings(prefixes),
 	}
 	var readers []member.Daemon
 	for domain := range n.settings.FailureDomains {
@@ -166,9 +171,9 @@
 			readers = append(readers, n.readers(1, inDomain(domain))...)
 		}
 	}
-	n.callEach(ctx, beatTimeout, readers, func(call context.Context, address string) {
+	n.callEach(ctx, peerCallTimeout, readers, func(call context.Context, address string) {
 		if err := n.peers.SendDomainWork(call, address, mine); err != nil {
-			slog.Debug("work.not_told", "peer", address, "error", err)
+			slog.Debug("work.not_sent", "peer", address, "error", err)
 		}
 	})
 }
@@ -180,16 +185,16 @@
 func (n *Node) ownWork() peer.DaemonWork {
 	return peer.DaemonWork{
 		Incarnation: n.registry.Self().Incarnation,
-		Amounts:     peer.PackWork(n.table.OwnWork()), Readings: peer.PackReadings(n.prompts.TakePending()),
+		Amounts:     peer.PackWork(n.table.OwnWork()), Readings: peer.PackReadings(n.prefixes.TakePending()),
 	}
 }
 
-// OnGroupWork implements peer.RoutesHandler.
+// OnFleetWork implements peer.RoutesHandler.
 func (n *Node) OnFleetWork(w peer.FleetWork) peer.DaemonWork {
 	n.table.SetFleetWork(peer.UnpackWork(w.Amounts))
-	n.prompts.Merge(peer.UnpackReadings(w.Readings))
+	n.prefixes.Merge(peer.UnpackReadings(w.Readings))
 	return n.ownWork()
 }
 
 // OnDomainWork implements peer.RoutesHandler.
-func (n *Node) OnDomainWork(w peer.DomainWork) { n.work.addDomain(w, n.clock.Now()) }
+func (n *Node) OnDomainWork(w peer.DomainWork) { n.workTotals.addDomain(w, n.clock.Now()) }
