--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -209,11 +209,11 @@
 	if q.service, ok = q.catalog.Service(route.PickService(rand.Float64())); !ok {
 		return fault.New(fault.NoUpstream, "the route has no service")
 	}
-	patience := route.Timeout
+	timeout := route.Timeout
 	if q.headers.HasPatience {
-		patience = min(patience, q.headers.Patience)
+		timeout = min(timeout, q.headers.Patience)
 	}
-	q.deadline = q.startedAt.Add(patience)
+	q.deadline = q.startedAt.Add(timeout)
 	q.lastEventID = q.headers.LastEvent
 	return nil
 }
