--- a/internal/forward/metrics.go
+++ b/internal/forward/metrics.go
@@ -9,56 +9,56 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/catalog"
 )
 
-// bounds are the upper bounds of the latency buckets, in milliseconds. They
-// double, from the work of a quick service to the longest deadline.
-var bounds = [...]int64{10, 20, 50, 100, 200, 300, 500, 1000, 2000, 4000, 8000, 16000, 32000}
+// bucketBoundsMS holds the upper bounds of the latency buckets, in milliseconds. They range
+// from the latency of a fast service to the longest deadline, each about twice the one before.
+var bucketBoundsMS = [...]int64{10, 20, 50, 100, 200, 300, 500, 1000, 2000, 4000, 8000, 16000, 32000}
 
-// histogram counts latencies by bucket; the last one is above every bound.
+// histogram counts latencies by bucket. The last bucket is for latencies above all bounds.
 type histogram struct {
-	Counts [len(bounds) + 1]int64 `json:"counts"`
-	Sum    int64                  `json:"sum_ms"`
+	Counts [len(bucketBoundsMS) + 1]int64 `json:"counts"`
+	Sum    int64                          `json:"sum_ms"`
 }
 
 func (h *histogram) add(d time.Duration) {
 	ms := d.Milliseconds()
 	i := 0
-	for i < len(bounds) && ms > bounds[i] {
+	for i < len(bucketBoundsMS) && ms > bucketBoundsMS[i] {
 		i++
 	}
 	h.Counts[i]++
 	h.Sum += ms
 }
 
-// routeFigures are the counters of one route.
-type routeFigures struct {
+// routeMetrics holds the counters of one route.
+type routeMetrics struct {
 	Done   int64            `json:"done"`
 	Errors map[string]int64 `json:"errors"`
-	// Total and First are latencies to the end and to the first byte.
+	// Total and First are the latencies to the end and to the first byte of the answer.
 	Total histogram `json:"total"`
 	First histogram `json:"first_byte"`
 }
 
-// Metrics are the counters of the request path.
+// Metrics holds the counters of the request path.
 //
 // Lock order: mu is taken alone.
 type Metrics struct {
-	// Open is the number of requests being served.
+	// Open is the number of requests in progress.
 	Open atomic.Int64
-	// Withdrawn is how often a request was stopped because its instance was withdrawn when
-	// it was about to go out.
+	// Withdrawn counts the attempts that were not sent because their instance was withdrawn after
+	// it was chosen.
 	Withdrawn atomic.Int64
-	// NoTurn is how many requests were refused because no turn at an instance that warms up
-	// or names a limit came in time.
+	// NoTurn counts the requests that were refused because they got no turn in time at an
+	// instance that warms up or has a limit.
 	NoTurn atomic.Int64
 
 	mu     sync.Mutex
-	routes map[string]*routeFigures
+	routes map[string]*routeMetrics
 }
 
 // NewMetrics returns empty counters.
-func NewMetrics() *Metrics { return &Metrics{routes: map[string]*routeFigures{}} }
+func NewMetrics() *Metrics { return &Metrics{routes: map[string]*routeMetrics{}} }
 
-// maxRoutes bounds the routes counted by name; the rest are counted together.
+// maxRoutes bounds the routes counted by name. All further ones are counted together.
 const maxRoutes = 200
 
 func (m *Metrics) count(route *catalog.Route, kind string, total, first time.Duration) {
@@ -74,7 +74,7 @@
 			name = "(other)"
 		}
 		if f, ok = m.routes[name]; !ok {
-			f = &routeFigures{Errors: map[string]int64{}}
+			f = &routeMetrics{Errors: map[string]int64{}}
 			m.routes[name] = f
 		}
 	}
@@ -95,6 +95,6 @@
 	return json.Marshal(struct {
 		Open     int64                    `json:"open"`
 		BoundsMS []int64                  `json:"bounds_ms"`
-		Routes   map[string]*routeFigures `json:"routes"`
-	}{m.Open.Load(), bounds[:], m.routes})
+		Routes   map[string]*routeMetrics `json:"routes"`
+	}{m.Open.Load(), bucketBoundsMS[:], m.routes})
 }
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -15,51 +15,54 @@
 )
 
 const (
-	// stallFactor times the route's longest pause is how long a stream may be
-	// silent before it is resumed elsewhere: by then the answer is late, and a
-	// sound engine under load pauses for less.
+	// stallFactor is how many times the route's MaxGap a stream may pause before it is resumed at
+	// another instance. By then the answer is late, and a healthy engine under load pauses for
+	// less.
 	stallFactor = 2
-	// eventBytes bounds one event.
-	eventBytes = 256 << 10
+	// maxEventBytes bounds the size of one event.
+	maxEventBytes = 256 << 10
 )
 
-// weakError says that the model's answer is likely not good enough.
-type weakError struct{ confidence int }
+// lowConfidenceError means that the model's answer is probably not good enough.
+type lowConfidenceError struct{ confidence int }
 
-func (e *weakError) Error() string { return fmt.Sprintf("confidence %d is too low", e.confidence) }
+func (e *lowConfidenceError) Error() string {
+	return fmt.Sprintf("confidence %d is too low", e.confidence)
+}
 
-// stream runs a request that is answered by events.
-func (q *request) stream(ctx context.Context) error {
-	if q.facts.Model == AnyModel && len(q.route.Models) > 0 {
+// runStream serves a request whose answer is a stream of events.
+func (q *request) runStream(ctx context.Context) error {
+	if q.headers.Model == AnyModel && len(q.route.Models) > 0 {
 		q.model = q.route.Models[0]
 	}
-	// An instance that is late for the caller and by what it has to do is likely
-	// stuck; begin tells how late that is.
+	// An instance that exceeds both the objective and the time expected for its work is probably
+	// stuck. startAttempt determines the expected time.
 	headTimeout := time.Duration(0)
 	if q.route.Idempotent() {
 		headTimeout = q.route.Objective
 	}
 	var failed *answer
 	for {
-		a, err := q.begin(ctx, headTimeout)
+		a, err := q.startAttempt(ctx, headTimeout)
 		if err == nil {
 			failed, err = q.relayStream(a)
 		}
-		var weak *weakError
+		var lowConfidence *lowConfidenceError
 		switch {
 		case err == nil:
 			return nil
-		case errors.As(err, &weak):
+		case errors.As(err, &lowConfidence):
 			q.model = q.route.Models[len(q.route.Models)-1]
-			delete(q.tried, q.last.ID)
+			delete(q.tried, q.lastInstance.ID)
 		case !q.mayRetry(ctx, err):
 			return q.giveUp(failed, err)
 		}
 	}
 }
 
-// relayStream passes the events of an attempt on as they come. After an error
-// the stream can be resumed after q.lastEvent.
+// relayStream sends the events of an attempt to the caller as they arrive. After an error, the
+// stream can be resumed after q.lastEventID. If the server answered with an error, relayStream
+// also returns that answer.
 func (q *request) relayStream(a *attempt) (*answer, error) {
 	if a.exchange.Status() >= http.StatusMultipleChoices {
 		return q.relay(a)
@@ -68,30 +71,30 @@
 		a.fail(err)
 		return nil, err
 	}
-	if q.weak(a) {
-		err := &weakError{confidence: a.facts.Confidence}
+	if q.shouldEscalate(a) {
+		err := &lowConfidenceError{confidence: a.answerHeaders.Confidence}
 		a.dropped = true
 		a.end(inventory.OutcomeSuccess)
 		return nil, err
 	}
-	stall := time.AfterFunc(q.stallTime(), a.cancel)
+	stall := time.AfterFunc(q.stallTimeout(), a.cancel)
 	defer stall.Stop()
-	events := newEvents(a.exchange)
+	events := newEventReader(a.exchange)
 	for {
 		e, err := events.next()
 		if err == io.EOF {
 			return nil, q.endStream(a)
 		}
 		if err != nil {
-			return nil, q.cutStream(a, err)
+			return nil, q.failStream(a, err)
 		}
-		stall.Reset(q.stallTime())
+		stall.Reset(q.stallTimeout())
 		a.noteEvent()
-		if !q.begun {
-			q.head(a.exchange.Status(), a.exchange.Header())
-			q.boundWrites()
+		if !q.headSent {
+			q.sendHead(a.exchange.Status(), a.exchange.Header())
+			q.setWriteDeadline()
 		}
-		if err := q.pass(e); err != nil {
+		if err := q.sendEvent(e); err != nil {
 			a.end(inventory.OutcomeNone)
 			return nil, fault.New(fault.Cancelled, "the caller cannot be written to: %v", err)
 		}
@@ -99,38 +102,39 @@
 }
 
 func (q *request) endStream(a *attempt) error {
-	a.finished()
+	a.noteFinished()
 	a.end(inventory.OutcomeSuccess)
 	q.ran = fault.RanYes
-	if !q.begun {
-		q.head(a.exchange.Status(), a.exchange.Header())
+	if !q.headSent {
+		q.sendHead(a.exchange.Status(), a.exchange.Header())
 	}
 	return nil
 }
 
-// cutStream ends an attempt whose stream broke off or fell silent.
-func (q *request) cutStream(a *attempt, err error) error {
-	err = fmt.Errorf("%w: %w", errCut, err)
+// failStream ends an attempt whose stream broke off or paused for too long.
+func (q *request) failStream(a *attempt, err error) error {
+	err = fmt.Errorf("%w: %w", errAnswerCut, err)
 	a.fail(err)
 	return err
 }
 
-func (q *request) stallTime() time.Duration {
+func (q *request) stallTimeout() time.Duration {
 	if q.route.MaxGap <= 0 || !q.route.Resumable {
 		return time.Until(q.deadline)
 	}
 	return stallFactor * q.route.MaxGap
 }
 
-// boundWrites keeps a caller that does not read from holding the request
-// beyond its deadline.
-func (q *request) boundWrites() {
-	// Not every writer has deadlines; then the caller's own close ends it.
+// setWriteDeadline prevents a caller that does not read from holding the request beyond its
+// deadline.
+func (q *request) setWriteDeadline() {
+	// Some writers do not support deadlines. The request then lasts until the caller closes the
+	// connection.
 	_ = http.NewResponseController(q.w).SetWriteDeadline(q.deadline.Add(time.Second))
 }
 
-// pass sends one event to the caller.
-func (q *request) pass(e event) error {
+// sendEvent sends one event to the caller.
+func (q *request) sendEvent(e event) error {
 	if _, err := q.w.Write(e.bytes); err != nil {
 		return err
 	}
@@ -138,37 +142,39 @@
 		return err
 	}
 	if e.id != "" {
-		q.lastEvent = e.id
+		q.lastEventID = e.id
 	}
 	return nil
 }
 
-// event is one event of a stream, with the blank line that ends it.
+// event is one event of a stream, including the blank line that ends it.
 type event struct {
 	bytes []byte
 	id    string
 }
 
-// events splits a stream into events. What follows the last blank line is no
-// event: a server that crashes may stop in the middle of one, and a caller that
-// got a part of it could not resume.
-type events struct {
+// eventReader splits a stream into events. Bytes after the last blank line are not an event: a
+// server that crashes may stop in the middle of one, and a caller that received part of an
+// event could not resume.
+type eventReader struct {
 	reader *bufio.Reader
 	buffer []byte
 }
 
-func newEvents(r io.Reader) *events { return &events{reader: bufio.NewReaderSize(r, 4<<10)} }
+func newEventReader(r io.Reader) *eventReader {
+	return &eventReader{reader: bufio.NewReaderSize(r, 4<<10)}
+}
 
 var (
-	errHalfEvent = errors.New("the stream ended inside an event")
-	errLongEvent = errors.New("an event is too long")
+	errPartialEvent = errors.New("the stream ended inside an event")
+	errEventTooLong = errors.New("an event is too long")
 )
 
 var idField = []byte("id:")
 
-// next returns the next event; io.EOF is the proper end of the stream. The
-// bytes are valid until the next call.
-func (s *events) next() (event, error) {
+// next returns the next event, or io.EOF at the proper end of the stream. The bytes of the
+// event are valid until the next call.
+func (s *eventReader) next() (event, error) {
 	s.buffer = s.buffer[:0]
 	var e event
 	for {
@@ -176,16 +182,16 @@
 		s.buffer = append(s.buffer, line...)
 		switch {
 		case errors.Is(err, bufio.ErrBufferFull):
-			if len(s.buffer) > eventBytes {
-				return e, errLongEvent
+			if len(s.buffer) > maxEventBytes {
+				return e, errEventTooLong
 			}
 			continue
 		case err == io.EOF && len(s.buffer) > 0:
-			return e, errHalfEvent
+			return e, errPartialEvent
 		case err != nil:
 			return e, err
-		case len(s.buffer) > eventBytes:
-			return e, errLongEvent
+		case len(s.buffer) > maxEventBytes:
+			return e, errEventTooLong
 		}
 		trimmed := bytes.TrimRight(line, "\r\n")
 		if id, ok := bytes.CutPrefix(trimmed, idField); ok {
