--- a/internal/caller/caller_test.go
+++ b/internal/caller/caller_test.go
@@ -49,7 +49,7 @@
 	return url, dev
 }
 
-func TestBadInput(t *testing.T) {
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	url, dev := startDev(t)
 	const good = `{"model":"auto","messages":[{"role":"user","content":"hi"}]}`
 	withModel := func(m string) string { return strings.Replace(good, "auto", m, 1) }
@@ -140,7 +140,7 @@
 
 // Every kind has a row in the answers table, and an answer that helps to come
 // back says when.
-func TestEveryKindHasAnAnswer(t *testing.T) {
+func TestEveryErrorKindHasAStatus(t *testing.T) {
 	for _, kind := range fault.Kinds() {
 		w := httptest.NewRecorder()
 		fault.Write(w, fault.New(kind, "x"))
--- a/internal/caller/chat.go
+++ b/internal/caller/chat.go
@@ -79,57 +79,57 @@
 }
 
 // incoming is a checked chat request.
-type incoming struct {
+type chatCall struct {
 	snapshot *config.Snapshot
 	request  dispatch.Request
 	key      *claim.Key
 	digest   string
-	usage    bool
+	includeUsage    bool
 }
 
 func (s *Server) chat(c *gin.Context) {
-	in, err := s.readChat(c)
+	in, err := s.parseChat(c)
 	if err != nil {
-		s.refuse(c, err)
+		s.writeError(c, err)
 		return
 	}
 	reader, id, err := s.submitChat(c, in)
 	if err != nil {
-		s.refuse(c, err)
+		s.writeError(c, err)
 		return
 	}
-	r := responder{server: s, c: c, id: id, after: -1, includeUsage: in.usage}
+	r := responder{server: s, c: c, id: id, after: -1, includeUsage: in.includeUsage}
 	if in.request.Chat.Stream {
-		r.stream(reader)
+		r.writeStream(reader)
 		return
 	}
-	r.whole(reader)
+	r.writeWhole(reader)
 }
 
-func (s *Server) readChat(c *gin.Context) (incoming, error) {
+func (s *Server) parseChat(c *gin.Context) (chatCall, error) {
 	snapshot, organisation, err := s.authenticate(c)
 	if err != nil {
-		return incoming{}, err
+		return chatCall{}, err
 	}
 	raw, err := s.readBody(c)
 	if err != nil {
-		return incoming{}, err
+		return chatCall{}, err
 	}
 	var body chatBody
 	if err := json.Unmarshal(raw, &body); err != nil {
-		return incoming{}, fault.New(fault.BadRequest, "body: %v", err)
+		return chatCall{}, fault.New(fault.BadRequest, "body: %v", err)
 	}
 	chat, err := body.toChat()
 	if err != nil {
-		return incoming{}, err
+		return chatCall{}, err
 	}
-	kindName, kind, err := kindOf(c, snapshot)
+	kindName, kind, err := workKind(c, snapshot)
 	if err != nil {
-		return incoming{}, err
+		return chatCall{}, err
 	}
-	deadline, err := s.deadline(c, kind.Deadline())
+	deadline, err := s.parseDeadline(c, kind.Deadline())
 	if err != nil {
-		return incoming{}, err
+		return chatCall{}, err
 	}
 	req := dispatch.Request{
 		Organisation: organisation,
@@ -139,15 +139,15 @@
 		Deadline:     deadline,
 	}
 	if err := selectModel(snapshot, organisation, body.Model, &req); err != nil {
-		return incoming{}, err
+		return chatCall{}, err
 	}
-	if err := s.readSession(c, &req); err != nil {
-		return incoming{}, err
+	if err := s.parseSession(c, &req); err != nil {
+		return chatCall{}, err
 	}
-	in := incoming{snapshot: snapshot, request: req, usage: body.StreamOptions.IncludeUsage}
-	in.key, err = readKey(c, organisation, kind.KeyRequired)
+	in := chatCall{snapshot: snapshot, request: req, includeUsage: body.StreamOptions.IncludeUsage}
+	in.key, err = parseIdempotencyKey(c, organisation, kind.KeyRequired)
 	in.digest = digest(kindName, string(raw))
-	in.request.Keyed = in.key != nil
+	in.request.HasIdempotencyKey = in.key != nil
 	return in, err
 }
 
@@ -206,7 +206,7 @@
 	return chat, nil
 }
 
-func kindOf(c *gin.Context, snapshot *config.Snapshot) (string, config.Kind, error) {
+func workKind(c *gin.Context, snapshot *config.Snapshot) (string, config.Kind, error) {
 	name := c.GetHeader(HeaderKind)
 	if name == "" {
 		name = defaultKind
@@ -218,7 +218,7 @@
 	return name, kind, nil
 }
 
-func (s *Server) deadline(c *gin.Context, usual time.Duration) (time.Time, error) {
+func (s *Server) parseDeadline(c *gin.Context, usual time.Duration) (time.Time, error) {
 	text := c.GetHeader(HeaderDeadline)
 	if text == "" {
 		return s.Clock.Now().Add(usual), nil
@@ -258,7 +258,7 @@
 	return fault.New(fault.ModelNotAllowed, "model: the organisation may not use %q", selector)
 }
 
-func (s *Server) readSession(c *gin.Context, req *dispatch.Request) error {
+func (s *Server) parseSession(c *gin.Context, req *dispatch.Request) error {
 	token := c.GetHeader(HeaderSession)
 	if token == "" {
 		return nil
@@ -274,7 +274,7 @@
 	return nil
 }
 
-func readKey(c *gin.Context, organisation string, required bool) (*claim.Key, error) {
+func parseIdempotencyKey(c *gin.Context, organisation string, required bool) (*claim.Key, error) {
 	value := c.GetHeader(HeaderKey)
 	switch {
 	case value == "" && required:
@@ -295,9 +295,9 @@
 
 // submitChat starts the request, or finds the earlier one with its key, and
 // returns a reader of the answer and the request id.
-func (s *Server) submitChat(c *gin.Context, in incoming) (Reader, string, error) {
+func (s *Server) submitChat(c *gin.Context, in chatCall) (Reader, string, error) {
 	id := s.Requests.Next()
-	reader, earlier, err := s.claim(c, in.key, in.digest, id)
+	reader, earlier, err := s.claimKey(c, in.key, in.digest, id)
 	if err != nil || reader != nil {
 		return reader, earlier, err
 	}
@@ -307,14 +307,14 @@
 	}
 	release, err := s.admit(in.snapshot, in.request.Organisation, tokens)
 	if err != nil {
-		s.unclaim(in.key, id)
+		s.releaseKey(in.key, id)
 		return nil, "", err
 	}
 	req := in.request
 	req.ID = id
-	req.NotRun = func() { s.unclaim(in.key, id) }
+	req.OnNotRun = func() { s.releaseKey(in.key, id) }
 	out := s.Store.Create(id, req.Organisation)
-	ctx := withTraceOf(s.Base, c.Request.Context())
+	ctx := withTraceFrom(s.Base, c.Request.Context())
 	go func() {
 		defer release()
 		ran := s.Dispatcher.Run(ctx, req, out)
@@ -325,7 +325,7 @@
 
 // claim decides on a request with an idempotency key. It returns the reader of
 // the earlier answer when the key has been used.
-func (s *Server) claim(c *gin.Context, key *claim.Key, digest, id string) (Reader, string, error) {
+func (s *Server) claimKey(c *gin.Context, key *claim.Key, digest, id string) (Reader, string, error) {
 	if key == nil {
 		return nil, "", s.Directory.Refusing()
 	}
@@ -335,7 +335,7 @@
 	}
 	if decision.Run {
 		if err := s.Directory.Refusing(); err != nil {
-			s.unclaim(key, id)
+			s.releaseKey(key, id)
 			return nil, "", err
 		}
 		return nil, "", nil
@@ -349,7 +349,7 @@
 	return reader, decision.RequestID, nil
 }
 
-func (s *Server) unclaim(key *claim.Key, id string) {
+func (s *Server) releaseKey(key *claim.Key, id string) {
 	if key != nil {
 		s.Claims.Release(*key, id)
 	}
--- a/internal/caller/requests.go
+++ b/internal/caller/requests.go
@@ -30,7 +30,7 @@
 		return nil, err
 	}
 	id := c.Param("id")
-	resume, err := s.readResume(c, id, organisation)
+	resume, err := s.parseResume(c, id, organisation)
 	if err != nil {
 		return nil, err
 	}
@@ -45,7 +45,7 @@
 	return reader, nil
 }
 
-func (s *Server) readResume(c *gin.Context, id, organisation string) (*session.Resume, error) {
+func (s *Server) parseResume(c *gin.Context, id, organisation string) (*session.Resume, error) {
 	token := c.GetHeader(HeaderResume)
 	if token == "" {
 		token = c.Query("resume")
@@ -63,15 +63,15 @@
 	return &resume, nil
 }
 
-func (s *Server) request(c *gin.Context) {
+func (s *Server) showRequest(c *gin.Context) {
 	reader, err := s.findReader(c)
 	if err != nil {
-		s.refuse(c, err)
+		s.writeError(c, err)
 		return
 	}
 	snapshotter, ok := reader.(interface{ View(after int) answer.View })
 	if !ok {
-		s.refuse(c, fault.New(fault.RequestNotFound, "request %s is only known as a stream", c.Param("id")))
+		s.writeError(c, fault.New(fault.RequestNotFound, "request %s is only known as a stream", c.Param("id")))
 		return
 	}
 	view := snapshotter.View(-1)
@@ -95,21 +95,21 @@
 }
 
 // stream continues the stream of an answer after an offset.
-func (s *Server) stream(c *gin.Context) {
+func (s *Server) resumeStream(c *gin.Context) {
 	after := -1
 	if text := c.Query("after"); text != "" {
 		n, err := strconv.Atoi(text)
 		if err != nil || n < -1 {
-			s.refuse(c, fault.New(fault.BadRequest, "after: want an offset, not %q", text))
+			s.writeError(c, fault.New(fault.BadRequest, "after: want an offset, not %q", text))
 			return
 		}
 		after = n
 	}
 	reader, err := s.findReader(c)
 	if err != nil {
-		s.refuse(c, err)
+		s.writeError(c, err)
 		return
 	}
 	r := responder{server: s, c: c, id: c.Param("id"), after: after}
-	r.stream(reader)
+	r.writeStream(reader)
 }
--- a/internal/caller/respond.go
+++ b/internal/caller/respond.go
@@ -17,13 +17,13 @@
 
 // withTraceOf returns base with the trace of ctx, so that work that outlives
 // the connection stays in the caller's trace.
-func withTraceOf(base, ctx context.Context) context.Context {
+func withTraceFrom(base, ctx context.Context) context.Context {
 	return trace.ContextWithSpanContext(base, trace.SpanContextFromContext(ctx))
 }
 
 // extension is what a streamed chunk carries beyond the OpenAI shape, in its
 // first event.
-type extension struct {
+type chunkExtension struct {
 	Request string `json:"request"`
 	// Resume lets any daemon continue the stream.
 	Resume string `json:"resume"`
@@ -37,7 +37,7 @@
 	Model        string          `json:"model"`
 	Choices      []chunkChoice   `json:"choices"`
 	Usage        *upstream.Usage `json:"usage,omitempty"`
-	Hornbeamsill *extension      `json:"hornbeamsill,omitempty"`
+	Hornbeamsill *chunkExtension      `json:"hornbeamsill,omitempty"`
 }
 
 type chunkChoice struct {
@@ -102,19 +102,19 @@
 }
 
 // whole waits for the end and answers in one piece.
-func (r *responder) whole(reader Reader) {
+func (r *responder) writeWhole(reader Reader) {
 	defer r.attach(reader)()
-	view, err := collect(r.c.Request.Context(), reader, r.after)
+	view, err := readWhole(r.c.Request.Context(), reader, r.after)
 	if err != nil {
-		r.server.refuse(r.c, lost(err))
+		r.server.writeError(r.c, readFailure(err))
 		return
 	}
 	if view.Err != nil {
-		r.server.refuse(r.c, view.Err)
+		r.server.writeError(r.c, view.Err)
 		return
 	}
 	if view.Head.HTTP != nil {
-		r.httpAnswer(view)
+		r.writeServiceAnswer(view)
 		return
 	}
 	r.setHeaders(view.Head)
@@ -141,7 +141,7 @@
 }
 
 // httpAnswer passes a plain service's answer on.
-func (r *responder) httpAnswer(view answer.View) {
+func (r *responder) writeServiceAnswer(view answer.View) {
 	for name, values := range view.Head.HTTP.Header {
 		for _, v := range values {
 			r.c.Writer.Header().Add(name, v)
@@ -154,7 +154,7 @@
 }
 
 // collect reads an answer to its end.
-func collect(ctx context.Context, reader Reader, after int) (answer.View, error) {
+func readWhole(ctx context.Context, reader Reader, after int) (answer.View, error) {
 	var all answer.View
 	for {
 		view, err := reader.Wait(ctx, after, all.Head != nil)
@@ -179,7 +179,7 @@
 
 // lost turns the failure to read an answer into an error. The request may go
 // on running.
-func lost(err error) error {
+func readFailure(err error) error {
 	if f := fault.From(err); f.Kind != fault.Internal {
 		return f
 	}
@@ -189,7 +189,7 @@
 // stream answers with server-sent events as they come. The id of each event is
 // its offset. Only a whole answer ends with [DONE]; anything else ends with an
 // error event.
-func (r *responder) stream(reader Reader) {
+func (r *responder) writeStream(reader Reader) {
 	defer r.attach(reader)()
 	ctx := r.c.Request.Context()
 	var head *answer.Head
@@ -199,15 +199,15 @@
 			return
 		}
 		if err != nil {
-			r.streamError(head != nil, lost(err))
+			r.writeStreamError(head != nil, readFailure(err))
 			return
 		}
 		if head == nil && view.Head != nil {
 			head = view.Head
-			r.openStream(head)
+			r.startStream(head)
 		}
 		for _, event := range view.Events {
-			r.event(head, event)
+			r.writeAnswerEvent(head, event)
 			r.after = event.Offset
 		}
 		if head != nil {
@@ -219,7 +219,7 @@
 			continue
 		}
 		if view.Err != nil {
-			r.streamError(head != nil, view.Err)
+			r.writeStreamError(head != nil, view.Err)
 			return
 		}
 		fmt.Fprint(r.c.Writer, "data: [DONE]\n\n")
@@ -227,14 +227,14 @@
 	}
 }
 
-func (r *responder) openStream(head *answer.Head) {
+func (r *responder) startStream(head *answer.Head) {
 	r.setHeaders(head)
 	r.c.Header("Content-Type", "text/event-stream")
 	r.c.Header("Cache-Control", "no-cache")
 	r.c.Writer.WriteHeaderNow()
 	first := r.chunk(head, chunkDelta{Role: "assistant"}, nil)
-	first.Hornbeamsill = &extension{Request: r.id, Resume: head.Resume}
-	r.send(-1, first)
+	first.Hornbeamsill = &chunkExtension{Request: r.id, Resume: head.Resume}
+	r.writeEvent(-1, first)
 }
 
 func (r *responder) chunk(head *answer.Head, delta chunkDelta, finish *string) chunk {
@@ -247,23 +247,23 @@
 	}
 }
 
-func (r *responder) event(head *answer.Head, event answer.Event) {
+func (r *responder) writeAnswerEvent(head *answer.Head, event answer.Event) {
 	var finish *string
 	if event.FinishReason != "" {
 		finish = &event.FinishReason
 	}
-	r.send(event.Offset, r.chunk(head, chunkDelta{Content: event.Delta}, finish))
+	r.writeEvent(event.Offset, r.chunk(head, chunkDelta{Content: event.Delta}, finish))
 	if finish == nil || !r.includeUsage {
 		return
 	}
 	usage := r.chunk(head, chunkDelta{}, nil)
 	usage.Choices = []chunkChoice{}
 	usage.Usage = event.Usage
-	r.send(-1, usage)
+	r.writeEvent(-1, usage)
 }
 
 // send writes one event; a negative offset is left out.
-func (r *responder) send(offset int, v any) {
+func (r *responder) writeEvent(offset int, v any) {
 	data, err := json.Marshal(v)
 	if err != nil {
 		return
@@ -276,13 +276,13 @@
 
 // streamError reports an error: as the whole answer while nothing was sent,
 // else as the last event.
-func (r *responder) streamError(opened bool, err error) {
+func (r *responder) writeStreamError(opened bool, err error) {
 	if !opened {
-		r.server.refuse(r.c, err)
+		r.server.writeError(r.c, err)
 		return
 	}
 	f := fault.From(err)
 	f.RequestID = r.id
-	r.send(-1, f.ToBody())
+	r.writeEvent(-1, f.ToBody())
 	r.c.Writer.Flush()
 }
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -110,13 +110,13 @@
 	v1.GET("/entries", s.entries)
 	v1.GET("/models", s.models)
 	v1.POST("/chat/completions", s.chat)
-	v1.GET("/requests/:id", s.request)
-	v1.GET("/requests/:id/stream", s.stream)
+	v1.GET("/requests/:id", s.showRequest)
+	v1.GET("/requests/:id/stream", s.resumeStream)
 	v1.Any("/services/:service", s.service)
 	v1.Any("/services/:service/*path", s.service)
-	r.NoRoute(func(c *gin.Context) { s.refuse(c, fault.New(fault.NotFound, "no such path: %s", c.Request.URL.Path)) })
+	r.NoRoute(func(c *gin.Context) { s.writeError(c, fault.New(fault.NotFound, "no such path: %s", c.Request.URL.Path)) })
 	r.NoMethod(func(c *gin.Context) {
-		s.refuse(c, fault.New(fault.NotFound, "%s is not possible on %s", c.Request.Method, c.Request.URL.Path))
+		s.writeError(c, fault.New(fault.NotFound, "%s is not possible on %s", c.Request.Method, c.Request.URL.Path))
 	})
 	return r
 }
@@ -132,11 +132,11 @@
 
 // refuse answers with an error; errors that another daemon may not give carry
 // the other daemons' addresses.
-func (s *Server) refuse(c *gin.Context, err error) {
+func (s *Server) writeError(c *gin.Context, err error) {
 	f := *fault.From(err)
 	switch f.Kind {
 	case fault.Stopping, fault.NotReady, fault.ConfigStale, fault.NoUpstream, fault.NoCapacity, fault.StoreUnavailable:
-		f.Entries = s.otherEntries()
+		f.Entries = s.entryURLs()
 	}
 	if f.RequestID != "" {
 		c.Header(HeaderRequest, f.RequestID)
@@ -145,7 +145,7 @@
 	c.Abort()
 }
 
-func (s *Server) otherEntries() []string {
+func (s *Server) entryURLs() []string {
 	entries, _ := s.Directory.Entries()
 	var out []string
 	for _, e := range entries {
@@ -156,7 +156,7 @@
 
 func (s *Server) ready(c *gin.Context) {
 	if err := s.Directory.Ready(); err != nil {
-		s.refuse(c, err)
+		s.writeError(c, err)
 		return
 	}
 	c.String(http.StatusOK, "ready\n")
@@ -201,7 +201,7 @@
 func (s *Server) models(c *gin.Context) {
 	snapshot, organisation, err := s.authenticate(c)
 	if err != nil {
-		s.refuse(c, err)
+		s.writeError(c, err)
 		return
 	}
 	c.JSON(http.StatusOK, gin.H{"object": "list", "data": allowedModels(snapshot, organisation)})
--- a/internal/caller/service.go
+++ b/internal/caller/service.go
@@ -14,32 +14,32 @@
 func (s *Server) service(c *gin.Context) {
 	snapshot, organisation, err := s.authenticate(c)
 	if err != nil {
-		s.refuse(c, err)
+		s.writeError(c, err)
 		return
 	}
 	name := c.Param("service")
 	declared, ok := snapshot.Doc.Services[name]
 	switch {
 	case !ok:
-		s.refuse(c, fault.New(fault.UnknownService, "there is no service %q", name))
+		s.writeError(c, fault.New(fault.UnknownService, "there is no service %q", name))
 		return
 	case !snapshot.AllowsService(organisation, name):
-		s.refuse(c, fault.New(fault.ModelNotAllowed, "the organisation may not use service %q", name))
+		s.writeError(c, fault.New(fault.ModelNotAllowed, "the organisation may not use service %q", name))
 		return
 	}
-	deadline, err := s.deadline(c, time.Duration(declared.DeadlineMS)*time.Millisecond)
+	deadline, err := s.parseDeadline(c, time.Duration(declared.DeadlineMS)*time.Millisecond)
 	if err != nil {
-		s.refuse(c, err)
+		s.writeError(c, err)
 		return
 	}
 	body, err := s.readBody(c)
 	if err != nil {
-		s.refuse(c, err)
+		s.writeError(c, err)
 		return
 	}
-	key, err := readKey(c, organisation, false)
+	key, err := parseIdempotencyKey(c, organisation, false)
 	if err != nil {
-		s.refuse(c, err)
+		s.writeError(c, err)
 		return
 	}
 	path := c.Param("path")
@@ -48,19 +48,19 @@
 	}
 	id := s.Requests.Next()
 	sum := digest(name, c.Request.Method, path, c.Request.URL.RawQuery, string(body))
-	reader, earlier, err := s.claim(c, key, sum, id)
+	reader, earlier, err := s.claimKey(c, key, sum, id)
 	if err != nil {
-		s.refuse(c, err)
+		s.writeError(c, err)
 		return
 	}
 	if reader != nil {
-		(&responder{server: s, c: c, id: earlier, after: -1}).whole(reader)
+		(&responder{server: s, c: c, id: earlier, after: -1}).writeWhole(reader)
 		return
 	}
 	release, err := s.admit(snapshot, organisation, 0)
 	if err != nil {
-		s.unclaim(key, id)
-		s.refuse(c, err)
+		s.releaseKey(key, id)
+		s.writeError(c, err)
 		return
 	}
 	req := dispatch.ServiceRequest{
@@ -74,14 +74,14 @@
 		Header:       c.Request.Header,
 		Body:         body,
 		Deadline:     deadline,
-		NotRun:       func() { s.unclaim(key, id) },
+		OnNotRun:       func() { s.releaseKey(key, id) },
 	}
 	out := s.Store.Create(id, organisation)
-	ctx := withTraceOf(s.Base, c.Request.Context())
+	ctx := withTraceFrom(s.Base, c.Request.Context())
 	go func() {
 		defer release()
 		ran := s.Dispatcher.RunService(ctx, req, out)
 		slog.InfoContext(ctx, "request.ended", "request", id, "organisation", organisation, "service", name, "ran", string(ran))
 	}()
-	(&responder{server: s, c: c, id: id, after: -1}).whole(out)
+	(&responder{server: s, c: c, id: id, after: -1}).writeWhole(out)
 }
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -30,25 +30,25 @@
 	// event in between.
 	maxResumes = 5
 	// resumePause is the first pause before a reconnection; it doubles.
-	resumePause = 20 * time.Millisecond
+	resumeBackoff = 20 * time.Millisecond
 	// queueLimit is how many attempts per slot an upstream is sent.
 	queueLimit = 1.5
 )
 
 // step runs one version to the end of its answer and adds it to the bill. emit
 // gets every event in order, the last one included.
-func (e *execution) step(ctx context.Context, ref config.VersionRef, emit emitter) (upstream.Event, error) {
+func (e *execution) runStep(ctx context.Context, ref config.VersionRef, emit emitFunc) (upstream.Event, error) {
 	excluded := map[string]bool{}
 	for range maxAttempts {
-		u, attempt, err := e.acquire(ctx, ref, excluded)
+		u, attempt, err := e.acquireUpstream(ctx, ref, excluded)
 		if err != nil {
 			return upstream.Event{}, err
 		}
-		result := e.attempt(ctx, ref, u, attempt, emit)
+		result := e.runAttempt(ctx, ref, u, attempt, emit)
 		e.Upstreams.Ended(u.Instance.ID, attempt, result.upstreamFailed)
 		if result.err == nil {
-			e.addStep(ctx, ref, result.last)
-			return result.last, nil
+			e.chargeStep(ctx, ref, result.lastEvent)
+			return result.lastEvent, nil
 		}
 		if !e.mayRetry(ctx, result) {
 			return upstream.Event{}, result.err
@@ -59,18 +59,18 @@
 }
 
 // emitter takes the events of an answer in order.
-type emitter func(upstream.Event) error
+type emitFunc func(upstream.Event) error
 
 // result is how an attempt ended.
-type result struct {
-	last upstream.Event
+type attemptResult struct {
+	lastEvent upstream.Event
 	err  error
 	// notRun is true when the upstream certainly did not start.
 	notRun bool
 	// upstreamFailed counts towards ejecting the upstream.
 	upstreamFailed bool
 	// final is true when another attempt must not follow.
-	final bool
+	noRetry bool
 }
 
 // mayRetry decides whether another attempt may follow a failed one.
@@ -80,8 +80,8 @@
 // draft would be sent twice. Nothing may follow events that the caller has
 // seen, as a second answer would be joined to the first. The budget keeps
 // retries from multiplying the load of failing upstreams.
-func (e *execution) mayRetry(ctx context.Context, r result) bool {
-	if ctx.Err() != nil || r.final {
+func (e *execution) mayRetry(ctx context.Context, r attemptResult) bool {
+	if ctx.Err() != nil || r.noRetry {
 		return false
 	}
 	if r.notRun {
@@ -92,10 +92,10 @@
 
 // acquire waits for room at an upstream that serves ref and counts the attempt
 // as sent there.
-func (e *execution) acquire(ctx context.Context, ref config.VersionRef, excluded map[string]bool) (member.Upstream, string, error) {
+func (e *execution) acquireUpstream(ctx context.Context, ref config.VersionRef, excluded map[string]bool) (member.Upstream, string, error) {
 	attempt := rand.Text()
 	tokens := e.expectedTokens()
-	timing := e.times.get(ref)
+	timing := e.latencies.estimate(ref)
 	work := limit.Work{
 		Priority:     e.req.Kind.Priority.Level(),
 		Organisation: e.req.Organisation,
@@ -103,12 +103,12 @@
 		Deadline:     e.req.Deadline,
 		ServiceTime:  timing.firstToken + time.Duration(tokens)*timing.perToken,
 	}
-	if !e.servedOutside(ref, excluded) {
+	if !e.servedByOther(ref, excluded) {
 		return member.Upstream{}, "", fault.New(fault.NoUpstream, "no upstream serves %s now", ref)
 	}
 	var chosen member.Upstream
-	err := e.queue(ref.String()).Wait(ctx, work, func() bool {
-		u, ok := e.choose(ref, excluded)
+	err := e.queueFor(ref.String()).Wait(ctx, work, func() bool {
+		u, ok := e.chooseUpstream(ref, excluded)
 		if ok {
 			chosen = u
 			e.Upstreams.Started(u.Instance.ID, attempt)
@@ -118,7 +118,7 @@
 	return chosen, attempt, err
 }
 
-func (e *execution) servedOutside(ref config.VersionRef, excluded map[string]bool) bool {
+func (e *execution) servedByOther(ref config.VersionRef, excluded map[string]bool) bool {
 	for _, u := range e.Upstreams.Usable(backing.RoleEngine) {
 		if u.Serves(ref) && !excluded[u.Instance.ID] {
 			return true
@@ -128,7 +128,7 @@
 }
 
 // choose picks an upstream for ref, or none while all are full.
-func (e *execution) choose(ref config.VersionRef, excluded map[string]bool) (member.Upstream, bool) {
+func (e *execution) chooseUpstream(ref config.VersionRef, excluded map[string]bool) (member.Upstream, bool) {
 	usable := e.Upstreams.Usable(backing.RoleEngine)
 	var loads []route.UpstreamLoad
 	byID := map[string]member.Upstream{}
@@ -145,7 +145,7 @@
 		})
 	}
 	bound := e.Policy().WithDefaults().AffinityBound
-	key := route.PrefixKey(e.req.Organisation, prompt(e.req))
+	key := route.PrefixKey(e.req.Organisation, promptText(e.req))
 	var picked route.UpstreamLoad
 	var ok bool
 	e.withRandom(func(random *mathrand.Rand) {
@@ -156,15 +156,15 @@
 
 // attempt sends one attempt and reads its answer, reconnecting when the stream
 // is cut.
-func (e *execution) attempt(ctx context.Context, ref config.VersionRef, u member.Upstream, id string, emit emitter) result {
+func (e *execution) runAttempt(ctx context.Context, ref config.VersionRef, u member.Upstream, id string, emit emitFunc) attemptResult {
 	ctx, span := tracer.Start(ctx, "attempt")
 	defer span.End()
 	span.SetAttributes(attribute.String("upstream", u.Instance.ID), attribute.String("version", ref.String()), attribute.String("attempt", id))
-	if err := e.record(ctx, ref, u, id); err != nil {
-		return result{err: err, notRun: true, final: true}
+	if err := e.recordAttempt(ctx, ref, u, id); err != nil {
+		return attemptResult{err: err, notRun: true, noRetry: true}
 	}
-	if err := e.confirm(ctx, ref); err != nil {
-		return result{err: err, notRun: true, final: true}
+	if err := e.checkVersion(ctx, ref); err != nil {
+		return attemptResult{err: err, notRun: true, noRetry: true}
 	}
 	chat := e.req.Chat
 	chat.Model = ref.String()
@@ -174,18 +174,18 @@
 		ID: id, RequestID: e.req.ID, Kind: e.req.KindName, Priority: e.req.Kind.Priority.Level(), Chat: chat,
 	})
 	if err != nil && upstream.NotRun(err) {
-		return e.refused(u, err)
+		return e.notRunResult(u, err)
 	}
 	if e.ran == fault.RanNo {
 		e.ran = fault.RanUnknown
 	}
-	reader := &attemptReader{execution: e, ref: ref, upstream: u, id: id, emit: emit, sent: sent}
+	reader := &attemptReader{execution: e, ref: ref, upstream: u, id: id, emit: emit, sentAt: sent}
 	return reader.read(ctx, stream, err)
 }
 
 // record makes the bill name this attempt before it is sent, so that after a
 // crash the right upstream is asked what ran.
-func (e *execution) record(ctx context.Context, ref config.VersionRef, u member.Upstream, attempt string) error {
+func (e *execution) recordAttempt(ctx context.Context, ref config.VersionRef, u member.Upstream, attempt string) error {
 	snapshot, _, err := e.Fresh.Ensure(ctx)
 	if err != nil {
 		return err
@@ -195,14 +195,14 @@
 	e.bill.Upstream = u.Instance.Address
 	e.bill.Attempt = attempt
 	e.bill.InputPrice, e.bill.OutputPrice = version.InputPrice, version.OutputPrice
-	if e.opened {
+	if e.billOpened {
 		e.bill.State = ledger.Open
 		return e.Billing.Update(ctx, e.bill)
 	}
 	if err := e.Billing.Open(ctx, e.bill); err != nil {
 		return err
 	}
-	e.opened = true
+	e.billOpened = true
 	return nil
 }
 
@@ -211,7 +211,7 @@
 // The plan may be old by now: the request waited in a queue, the bill waited
 // for a slow peer, or the daemon was paused. Sending then would give new work
 // to a version withdrawn in the meantime.
-func (e *execution) confirm(ctx context.Context, ref config.VersionRef) error {
+func (e *execution) checkVersion(ctx context.Context, ref config.VersionRef) error {
 	snapshot, provenOnly, err := e.Fresh.Ensure(ctx)
 	if err != nil {
 		return err
@@ -222,7 +222,7 @@
 		if e.req.Session != nil {
 			return fault.New(fault.SessionWithdrawn, "%s was withdrawn; start a new session", ref)
 		}
-		return fault.New(fault.VersionWithdrawn, "%s was withdrawn while the request waited", ref).WithRetryAfter(resumePause)
+		return fault.New(fault.VersionWithdrawn, "%s was withdrawn while the request waited", ref).WithRetryAfter(resumeBackoff)
 	case !snapshot.Allows(e.req.Organisation, ref):
 		return fault.New(fault.ModelNotAllowed, "the organisation may not use %s any more", ref)
 	case provenOnly && !snapshot.Proven(ref):
@@ -231,19 +231,19 @@
 	return nil
 }
 
-func (e *execution) refused(u member.Upstream, err error) result {
+func (e *execution) notRunResult(u member.Upstream, err error) attemptResult {
 	var refused *upstream.RefusedError
 	if errors.As(err, &refused) {
 		if refused.Reason == upstream.RefusedLeaving {
 			e.Upstreams.MarkLeaving(u.Instance.ID)
 		}
-		return result{err: fault.New(fault.NoUpstream, "%v", err), notRun: true}
+		return attemptResult{err: fault.New(fault.NoUpstream, "%v", err), notRun: true}
 	}
-	return result{err: fault.New(fault.UpstreamFailed, "%v", err), notRun: true, upstreamFailed: true}
+	return attemptResult{err: fault.New(fault.UpstreamFailed, "%v", err), notRun: true, upstreamFailed: true}
 }
 
 // addStep charges a finished run.
-func (e *execution) addStep(ctx context.Context, ref config.VersionRef, last upstream.Event) {
+func (e *execution) chargeStep(ctx context.Context, ref config.VersionRef, last upstream.Event) {
 	usage := upstream.Usage{}
 	if last.Usage != nil {
 		usage = *last.Usage
@@ -259,7 +259,7 @@
 
 // showHead signs the tokens and lets readers see the head of the answer. The
 // bill names the attempt that answers.
-func (e *execution) showHead() error {
+func (e *execution) startAnswer() error {
 	if e.out.Started() {
 		return nil
 	}
--- a/internal/dispatch/cascade.go
+++ b/internal/dispatch/cascade.go
@@ -13,9 +13,9 @@
 
 // collector keeps the events of an answer that the caller may not see yet. A
 // new attempt starts it afresh.
-type collector struct{ events []upstream.Event }
+type eventBuffer struct{ events []upstream.Event }
 
-func (c *collector) emit(event upstream.Event) error {
+func (c *eventBuffer) emit(event upstream.Event) error {
 	if event.Offset == 0 {
 		c.events = nil
 	}
@@ -23,7 +23,7 @@
 	return nil
 }
 
-func (c *collector) text() string {
+func (c *eventBuffer) text() string {
 	var b strings.Builder
 	for _, event := range c.events {
 		b.WriteString(event.Delta)
@@ -35,19 +35,19 @@
 // version when the judge does not accept it. The caller sees nothing of an
 // answer that was not accepted; both runs are on the one bill.
 func (e *execution) cascade(ctx context.Context, plan route.Plan) error {
-	var first collector
-	last, err := e.step(ctx, plan.Steps[0], first.emit)
-	if err == nil && e.accepted(ctx, plan.Steps[0], first.text()) {
-		return e.release(ctx, first, last)
+	var first eventBuffer
+	last, err := e.runStep(ctx, plan.Steps[0], first.emit)
+	if err == nil && e.judgeAccepts(ctx, plan.Steps[0], first.text()) {
+		return e.sendBuffered(ctx, first, last)
 	}
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	return e.answerWith(ctx, plan.Steps[1])
+	return e.answerWithVersion(ctx, plan.Steps[1])
 }
 
 // release passes collected events on and finishes.
-func (e *execution) release(ctx context.Context, c collector, last upstream.Event) error {
+func (e *execution) sendBuffered(ctx context.Context, c eventBuffer, last upstream.Event) error {
 	for _, event := range c.events {
 		if err := e.forward(event); err != nil {
 			return err
@@ -57,13 +57,13 @@
 }
 
 // accepted asks the judge. A judge that does not answer accepts nothing.
-func (e *execution) accepted(ctx context.Context, ref config.VersionRef, text string) bool {
+func (e *execution) judgeAccepts(ctx context.Context, ref config.VersionRef, text string) bool {
 	judgement, err := e.Judge.Judge(ctx, backing.JudgeRequest{
 		RequestID: e.req.ID,
 		Kind:      e.req.KindName,
 		Model:     ref.Model,
 		Version:   ref.Version,
-		Prompt:    prompt(e.req),
+		Prompt:    promptText(e.req),
 		Answer:    text,
 	})
 	step := &e.bill.Steps[len(e.bill.Steps)-1]
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -47,10 +47,10 @@
 	Deadline     time.Time
 	// Keyed requests carry an idempotency key: they run to their end even
 	// when nobody listens, so that a repeat finds the answer.
-	Keyed bool
+	HasIdempotencyKey bool
 	// NotRun is called before the answer ends when the work was not run, so
 	// that a caller who is told so can use its idempotency key again at once.
-	NotRun func()
+	OnNotRun func()
 }
 
 // Fresh tells whether the configuration may be relied on.
@@ -74,7 +74,7 @@
 }
 
 // Engines starts and resumes attempts; *upstream.Client is one.
-type Engines interface {
+type EngineClient interface {
 	Start(ctx context.Context, address string, a upstream.Attempt) (*upstream.Stream, error)
 	Resume(ctx context.Context, address, attempt string, next int) (*upstream.Stream, error)
 	Cancel(ctx context.Context, address, attempt string) error
@@ -87,7 +87,7 @@
 	Clock         clockwork.Clock
 	Fresh         Fresh
 	Upstreams     *member.Upstreams
-	Engines       Engines
+	Engines       EngineClient
 	Services      ServiceCaller
 	Billing       Billing
 	Judge         Judge
@@ -107,7 +107,7 @@
 type Dispatcher struct {
 	Deps
 	retries *limit.RetryBudget
-	times   *times
+	latencies   *latencyEstimator
 
 	mu     sync.Mutex
 	queues map[string]*limit.Queue
@@ -122,7 +122,7 @@
 	return &Dispatcher{
 		Deps:    deps,
 		retries: limit.NewRetryBudget(retryBurst),
-		times:   newTimes(),
+		latencies:   newLatencyEstimator(),
 		queues:  map[string]*limit.Queue{},
 		random:  rand.New(rand.NewPCG(deps.Seed, 2)),
 	}
@@ -135,7 +135,7 @@
 	out  *answer.Answer
 	bill ledger.Bill
 	// opened is true once the bill is recorded.
-	opened bool
+	billOpened bool
 	// ran is what is known about the work upstream.
 	ran     fault.Ran
 	started time.Time
@@ -199,22 +199,22 @@
 	if plan.Cascade() {
 		return e.cascade(ctx, plan)
 	}
-	return e.answerWith(ctx, plan.Steps[0])
+	return e.answerWithVersion(ctx, plan.Steps[0])
 }
 
 // answerWith runs a version. A caller that streams gets its events as they
 // come; for others they are collected, so that idempotent work can start
 // afresh at another upstream as long as nothing was sent.
-func (e *execution) answerWith(ctx context.Context, ref config.VersionRef) error {
+func (e *execution) answerWithVersion(ctx context.Context, ref config.VersionRef) error {
 	if !e.req.Chat.Stream {
-		var all collector
-		last, err := e.step(ctx, ref, all.emit)
+		var all eventBuffer
+		last, err := e.runStep(ctx, ref, all.emit)
 		if err != nil {
 			return err
 		}
-		return e.release(ctx, all, last)
+		return e.sendBuffered(ctx, all, last)
 	}
-	last, err := e.step(ctx, ref, e.forward)
+	last, err := e.runStep(ctx, ref, e.forward)
 	if err != nil {
 		return err
 	}
@@ -224,7 +224,7 @@
 // forward passes an event on. The last one is held back until the bill is
 // closed.
 func (e *execution) forward(event upstream.Event) error {
-	if err := e.showHead(); err != nil {
+	if err := e.startAnswer(); err != nil {
 		return err
 	}
 	if !event.Last() {
@@ -236,12 +236,12 @@
 // closeWait bounds how long the last event waits for the closed bill to be
 // held by peers. The open bill is durable before that, so that a crash after
 // this time still leads to one bill with the upstream's own count.
-const closeWait = time.Second
+const billCloseTimeout = time.Second
 
 // finish closes the bill and then sends the last event.
 func (e *execution) finish(ctx context.Context, last upstream.Event) error {
 	e.bill.State = ledger.Answered
-	closing, cancel := context.WithTimeout(context.WithoutCancel(ctx), closeWait)
+	closing, cancel := context.WithTimeout(context.WithoutCancel(ctx), billCloseTimeout)
 	defer cancel()
 	e.Billing.Close(closing, e.bill)
 	e.ran = fault.RanYes
@@ -255,18 +255,18 @@
 	f := e.classify(ctx, err)
 	f = f.WithRan(e.ran)
 	switch {
-	case !e.opened:
+	case !e.billOpened:
 	case e.ran == fault.RanNo && len(e.bill.Steps) == 0:
 		e.Billing.Void(e.req.ID)
 	default:
 		e.bill.State = ledger.Failed
 		e.bill.Reason = string(f.Kind)
-		closing, cancel := context.WithTimeout(context.WithoutCancel(ctx), closeWait)
+		closing, cancel := context.WithTimeout(context.WithoutCancel(ctx), billCloseTimeout)
 		defer cancel()
 		e.Billing.Close(closing, e.bill)
 	}
-	if e.ran == fault.RanNo && e.req.NotRun != nil {
-		e.req.NotRun()
+	if e.ran == fault.RanNo && e.req.OnNotRun != nil {
+		e.req.OnNotRun()
 	}
 	e.out.Fail(f, e.Clock.Now())
 }
@@ -293,7 +293,7 @@
 var errAbandoned = errors.New("abandoned")
 
 // queue returns the queue in front of what serves name.
-func (d *Dispatcher) queue(name string) *limit.Queue {
+func (d *Dispatcher) queueFor(name string) *limit.Queue {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	q, ok := d.queues[name]
@@ -325,7 +325,7 @@
 func (d *Dispatcher) PokeLoop(ctx context.Context) {
 	for {
 		changed := d.Upstreams.Changed()
-		d.poke()
+		d.grantWaiting()
 		select {
 		case <-changed:
 		case <-ctx.Done():
@@ -334,7 +334,7 @@
 	}
 }
 
-func (d *Dispatcher) poke() {
+func (d *Dispatcher) grantWaiting() {
 	for _, q := range d.allQueues() {
 		q.GrantWaiting()
 	}
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -16,7 +16,7 @@
 // An operator asks for the status while requests wait for a full engine. The
 // daemon answered nothing any more: the status held the dispatcher's lock and
 // waited for a queue's, and the queue's holder the other way round.
-func TestStatusWhileRequestsAreTried(t *testing.T) {
+func TestStatusDoesNotDeadlockWithQueues(t *testing.T) {
 	d := New(Deps{Clock: clockwork.NewRealClock()})
 	ctx, stop := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -24,7 +24,7 @@
 		running.Go(func() {
 			for ctx.Err() == nil {
 				work := limit.Work{Organisation: "o", Deadline: time.Now().Add(time.Hour)}
-				_ = d.queue(fmt.Sprint(i%2)).Wait(ctx, work, func() bool {
+				_ = d.queueFor(fmt.Sprint(i%2)).Wait(ctx, work, func() bool {
 					free := false
 					d.withRandom(func(r *rand.Rand) { free = r.IntN(2) == 0 })
 					return free
@@ -34,7 +34,7 @@
 	}
 	for range 20_000 {
 		d.Waiting()
-		d.poke()
+		d.grantWaiting()
 	}
 	stop()
 	running.Wait()
--- a/internal/dispatch/plan.go
+++ b/internal/dispatch/plan.go
@@ -20,7 +20,7 @@
 
 // defaultTokens is the expected length of an answer where the kind gives
 // none.
-const defaultTokens = 200
+const defaultExpectedTokens = 200
 
 // plan decides which versions answer.
 func (e *execution) plan(ctx context.Context) (route.Plan, error) {
@@ -34,11 +34,11 @@
 	case e.req.Version != "":
 		return e.pinnedPlan(snapshot, provenOnly)
 	default:
-		return e.freePlan(snapshot, provenOnly)
+		return e.routedPlan(snapshot, provenOnly)
 	}
 }
 
-func onePlan(ref config.VersionRef) route.Plan { return route.Plan{Steps: []config.VersionRef{ref}} }
+func singleStepPlan(ref config.VersionRef) route.Plan { return route.Plan{Steps: []config.VersionRef{ref}} }
 
 // sessionPlan keeps the session's version, or says that it cannot.
 func (e *execution) sessionPlan(snapshot *config.Snapshot, provenOnly bool) (route.Plan, error) {
@@ -56,7 +56,7 @@
 	if provenOnly && !snapshot.Proven(ref) {
 		return route.Plan{}, fault.New(fault.ConfigStale, "%s cannot be used until the configuration is confirmed", ref)
 	}
-	return onePlan(ref), nil
+	return singleStepPlan(ref), nil
 }
 
 // pinnedPlan uses the version that the caller named.
@@ -77,12 +77,12 @@
 	case state == config.RollingOut && !e.Exposure.Take(ref):
 		return route.Plan{}, fault.New(fault.NoCapacity, "model: %s is being rolled out and its exposure is used up", ref)
 	}
-	return onePlan(ref), nil
+	return singleStepPlan(ref), nil
 }
 
 // freePlan picks the cheapest way to meet the quality target, and then lets a
 // version that is being rolled out take its share.
-func (e *execution) freePlan(snapshot *config.Snapshot, provenOnly bool) (route.Plan, error) {
+func (e *execution) routedPlan(snapshot *config.Snapshot, provenOnly bool) (route.Plan, error) {
 	candidates, err := e.candidates(snapshot)
 	if err != nil {
 		return route.Plan{}, err
@@ -109,7 +109,7 @@
 			pick = route.Explore(pick, plans, req.Target, exploreShare, random)
 		}
 		if !provenOnly {
-			pick.Steps = e.substitute(snapshot, pick.Steps, random)
+			pick.Steps = e.substituteRollouts(snapshot, pick.Steps, random)
 		}
 	})
 	return pick, nil
@@ -117,7 +117,7 @@
 
 // substitute replaces a step by the version of its model that is being rolled
 // out, in the roll-out's share of new sessions and while there are credits.
-func (e *execution) substitute(snapshot *config.Snapshot, steps []config.VersionRef, random *rand.Rand) []config.VersionRef {
+func (e *execution) substituteRollouts(snapshot *config.Snapshot, steps []config.VersionRef, random *rand.Rand) []config.VersionRef {
 	out := slices.Clone(steps)
 	for i, ref := range out {
 		for _, r := range snapshot.Rollouts {
@@ -129,7 +129,7 @@
 			if state != config.RollingOut || !snapshot.Allows(e.req.Organisation, next) {
 				continue
 			}
-			if random.Float64() < r.Share && e.served(next) && e.Exposure.Take(next) {
+			if random.Float64() < r.Share && e.isServed(next) && e.Exposure.Take(next) {
 				out[i] = next
 				break
 			}
@@ -147,7 +147,7 @@
 	var out []route.Candidate
 	allowed := false
 	for _, model := range slices.Sorted(maps.Keys(snapshot.Doc.Models)) {
-		if !e.wantsModel(model) {
+		if !e.isEligibleModel(model) {
 			continue
 		}
 		for _, version := range slices.Sorted(maps.Keys(snapshot.Doc.Models[model].Versions)) {
@@ -156,7 +156,7 @@
 				continue
 			}
 			allowed = true
-			if state, _ := snapshot.State(ref); state == config.Serving && e.served(ref) {
+			if state, _ := snapshot.State(ref); state == config.Serving && e.isServed(ref) {
 				out = append(out, e.candidate(snapshot, ref))
 			}
 		}
@@ -167,7 +167,7 @@
 	return out, nil
 }
 
-func (e *execution) wantsModel(model string) bool {
+func (e *execution) isEligibleModel(model string) bool {
 	if e.req.Model != "" {
 		return e.req.Model == model
 	}
@@ -176,7 +176,7 @@
 
 func (e *execution) candidate(snapshot *config.Snapshot, ref config.VersionRef) route.Candidate {
 	tokens := e.expectedTokens()
-	timing := e.times.get(ref)
+	timing := e.latencies.estimate(ref)
 	version := snapshot.Doc.Models[ref.Model].Versions[ref.Version]
 	return route.Candidate{
 		Version:    ref,
@@ -188,7 +188,7 @@
 }
 
 // served reports whether a usable upstream serves a version.
-func (d *Dispatcher) served(ref config.VersionRef) bool {
+func (d *Dispatcher) isServed(ref config.VersionRef) bool {
 	for _, u := range d.Upstreams.Usable(backing.RoleEngine) {
 		if u.Serves(ref) {
 			return true
@@ -200,7 +200,7 @@
 func (e *execution) expectedTokens() int {
 	tokens := e.req.Kind.ExpectedTokens
 	if tokens == 0 {
-		tokens = defaultTokens
+		tokens = defaultExpectedTokens
 	}
 	if e.req.Chat.MaxTokens > 0 {
 		tokens = min(tokens, e.req.Chat.MaxTokens)
@@ -218,7 +218,7 @@
 }
 
 // prompt joins the messages, for the judge and for prefix affinity.
-func prompt(req Request) string {
+func promptText(req Request) string {
 	var b strings.Builder
 	for _, m := range req.Chat.Messages {
 		b.WriteString(m.Role)
--- a/internal/dispatch/reader.go
+++ b/internal/dispatch/reader.go
@@ -20,73 +20,73 @@
 	ref      config.VersionRef
 	upstream member.Upstream
 	id       string
-	emit     emitter
-	sent     time.Time
+	emit     emitFunc
+	sentAt     time.Time
 
-	next    int
-	failed  bool
-	firstAt time.Time
+	nextOffset    int
+	connectionLost  bool
+	firstEventAt time.Time
 }
 
 // read takes over an open stream, or the error of opening it.
-func (r *attemptReader) read(ctx context.Context, stream *upstream.Stream, err error) result {
+func (r *attemptReader) read(ctx context.Context, stream *upstream.Stream, err error) attemptResult {
 	tries := 0
 	for {
 		if err == nil {
-			before := r.next
+			before := r.nextOffset
 			var last upstream.Event
-			last, err = r.drain(ctx, stream)
+			last, err = r.readStream(ctx, stream)
 			stream.Close()
 			if err == nil {
-				r.observe(last)
-				return result{last: last, upstreamFailed: r.failed}
+				r.recordTiming(last)
+				return attemptResult{lastEvent: last, upstreamFailed: r.connectionLost}
 			}
-			if r.next > before {
+			if r.nextOffset > before {
 				tries = 0
 			}
 		}
-		if stop, final := r.stops(ctx, err, tries); stop {
+		if stop, final := r.shouldStop(ctx, err, tries); stop {
 			return final
 		}
-		r.failed = true
-		if !pause(ctx, resumePause<<tries) {
+		r.connectionLost = true
+		if !sleep(ctx, resumeBackoff<<tries) {
 			continue
 		}
 		tries++
-		stream, err = r.Engines.Resume(ctx, r.upstream.Instance.Address, r.id, r.next)
+		stream, err = r.Engines.Resume(ctx, r.upstream.Instance.Address, r.id, r.nextOffset)
 	}
 }
 
 // stops decides whether reading ends without the whole answer.
-func (r *attemptReader) stops(ctx context.Context, err error, tries int) (bool, result) {
-	base := result{upstreamFailed: r.failed || !errors.Is(err, errAbandoned)}
+func (r *attemptReader) shouldStop(ctx context.Context, err error, tries int) (bool, attemptResult) {
+	base := attemptResult{upstreamFailed: r.connectionLost || !errors.Is(err, errAbandoned)}
 	switch {
 	case errors.Is(err, errAbandoned):
 		r.cancel(ctx)
-		base.err, base.final = err, true
+		base.err, base.noRetry = err, true
 	case errors.Is(ctx.Err(), context.Canceled):
 		// The daemon stops. The upstream goes on: the caller can continue the
 		// answer there with its resume token.
-		base.err, base.final = ctx.Err(), true
+		base.err, base.noRetry = ctx.Err(), true
 	case ctx.Err() != nil:
 		r.cancel(ctx)
-		base.err, base.final = ctx.Err(), true
+		base.err, base.noRetry = ctx.Err(), true
 	case trace.IsNotFound(err):
 		// The engine does not know the attempt: it never arrived or the
 		// engine has restarted since. Which of the two cannot be told.
-		base.err = r.cut("the upstream lost the attempt")
+		base.err = r.incompleteError("the upstream lost the attempt")
 	case tries >= maxResumes:
 		r.cancel(ctx)
-		base.err = r.cut("the upstream cannot be reached")
+		base.err = r.incompleteError("the upstream cannot be reached")
 	default:
-		return false, result{}
+		return false, attemptResult{}
 	}
 	return true, base
 }
 
 // cut is the error for an answer that cannot be completed. It is never an
 // end: a caller that saw a part of the answer must not take it for the whole.
-func (r *attemptReader) cut(why string) error {
+func (r *attemptReader) incompleteError(why string) error {
 	if r.out.Started() {
 		return fault.New(fault.AnswerCut, "the answer broke off: %s", why).WithRan(fault.RanUnknown)
 	}
@@ -104,18 +104,18 @@
 }
 
 // drain passes events on until the last one, which it returns.
-func (r *attemptReader) drain(ctx context.Context, stream *upstream.Stream) (upstream.Event, error) {
+func (r *attemptReader) readStream(ctx context.Context, stream *upstream.Stream) (upstream.Event, error) {
 	for {
 		event, err := stream.Next()
 		if err != nil {
 			return upstream.Event{}, err
 		}
-		r.next = stream.Offset()
-		if r.firstAt.IsZero() {
-			r.firstAt = r.Clock.Now()
+		r.nextOffset = stream.NextOffset()
+		if r.firstEventAt.IsZero() {
+			r.firstEventAt = r.Clock.Now()
 			r.ran = fault.RanYes
 		}
-		if err := r.pass(ctx, event); err != nil {
+		if err := r.deliver(ctx, event); err != nil {
 			return upstream.Event{}, err
 		}
 		if event.Last() {
@@ -124,27 +124,27 @@
 	}
 }
 
-func (r *attemptReader) pass(ctx context.Context, event upstream.Event) error {
+func (r *attemptReader) deliver(ctx context.Context, event upstream.Event) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	if !r.req.Keyed && r.req.Kind.Idempotent && r.out.Abandoned(r.Clock.Now(), r.AbandonGrace) {
+	if !r.req.HasIdempotencyKey && r.req.Kind.Idempotent && r.out.Abandoned(r.Clock.Now(), r.AbandonGrace) {
 		return errAbandoned
 	}
 	return r.emit(event)
 }
 
 // observe learns the version's timing from a whole answer.
-func (r *attemptReader) observe(last upstream.Event) {
+func (r *attemptReader) recordTiming(last upstream.Event) {
 	if last.Usage == nil || last.Usage.CompletionTokens == 0 {
 		return
 	}
-	generation := r.Clock.Since(r.firstAt)
-	r.times.observe(r.ref, r.firstAt.Sub(r.sent), generation/time.Duration(last.Usage.CompletionTokens))
+	generation := r.Clock.Since(r.firstEventAt)
+	r.latencies.observe(r.ref, r.firstEventAt.Sub(r.sentAt), generation/time.Duration(last.Usage.CompletionTokens))
 }
 
 // pause waits, or reports false when ctx ended first.
-func pause(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/dispatch/service.go
+++ b/internal/dispatch/service.go
@@ -25,7 +25,7 @@
 )
 
 // maxReply bounds the answer of a plain service, in bytes.
-const maxReply = 16 << 20
+const maxServiceAnswerBytes = 16 << 20
 
 // ServiceCaller sends calls to plain services; *upstream.Client is one.
 type ServiceCaller interface {
@@ -46,7 +46,7 @@
 	Body     []byte
 	Deadline time.Time
 	// NotRun is called before the answer ends when the work was not run.
-	NotRun func()
+	OnNotRun func()
 }
 
 func (r ServiceRequest) repeatable() bool {
@@ -66,7 +66,7 @@
 		Organisation: req.Organisation,
 		Deadline:     req.Deadline,
 		Kind:         config.Kind{Idempotent: req.repeatable(), Priority: req.Service.Priority},
-		NotRun:       req.NotRun,
+		OnNotRun:       req.OnNotRun,
 	}, out)
 	e.bill.Service = req.Name
 	if err := e.callService(ctx, req); err != nil {
@@ -85,7 +85,7 @@
 		if err != nil {
 			return err
 		}
-		reply, r := e.tryService(ctx, req, u, id)
+		reply, r := e.sendServiceCall(ctx, req, u, id)
 		e.Upstreams.Ended(u.Instance.ID, id, r.upstreamFailed)
 		if r.err == nil {
 			return e.finishService(ctx, req, reply)
@@ -106,7 +106,7 @@
 		return chosen, "", fault.New(fault.NoUpstream, "no instance of service %q is there now", req.Name)
 	}
 	work := limit.Work{Priority: req.Service.Priority.Level(), Organisation: req.Organisation, Cost: 1, Deadline: req.Deadline}
-	err := e.queue("service/"+req.Name).Wait(ctx, work, func() bool {
+	err := e.queueFor("service/"+req.Name).Wait(ctx, work, func() bool {
 		loads := e.serviceLoads(req.Name, excluded)
 		var picked route.UpstreamLoad
 		var ok bool
@@ -124,7 +124,7 @@
 }
 
 // serviceSlots is the parallel calls assumed where a service reports none.
-const serviceSlots = 64
+const defaultServiceSlots = 64
 
 func (e *execution) serviceLoads(name string, excluded map[string]bool) []route.UpstreamLoad {
 	var loads []route.UpstreamLoad
@@ -134,7 +134,7 @@
 		}
 		slots := u.Report.Slots
 		if slots == 0 {
-			slots = serviceSlots
+			slots = defaultServiceSlots
 		}
 		loads = append(loads, route.UpstreamLoad{
 			ID:                u.Instance.ID,
@@ -163,12 +163,12 @@
 }
 
 // tryService sends the call to one instance and reads the whole answer.
-func (e *execution) tryService(ctx context.Context, req ServiceRequest, u member.Upstream, id string) (serviceReply, result) {
+func (e *execution) sendServiceCall(ctx context.Context, req ServiceRequest, u member.Upstream, id string) (serviceReply, attemptResult) {
 	ctx, span := tracer.Start(ctx, "call")
 	defer span.End()
 	span.SetAttributes(attribute.String("upstream", u.Instance.ID))
-	if err := e.openServiceBill(ctx, u, id); err != nil {
-		return serviceReply{}, result{err: err, notRun: true, final: true}
+	if err := e.recordServiceCall(ctx, u, id); err != nil {
+		return serviceReply{}, attemptResult{err: err, notRun: true, noRetry: true}
 	}
 	target := "http://" + u.Instance.Address + req.Path
 	if req.RawQuery != "" {
@@ -176,47 +176,47 @@
 	}
 	out, err := http.NewRequestWithContext(ctx, req.Method, target, bytes.NewReader(req.Body))
 	if err != nil {
-		return serviceReply{}, result{err: fault.New(fault.BadRequest, "path: %v", err), notRun: true, final: true}
+		return serviceReply{}, attemptResult{err: fault.New(fault.BadRequest, "path: %v", err), notRun: true, noRetry: true}
 	}
 	copyHeader(out.Header, req.Header)
 	out.Header.Set(upstream.HeaderRequest, e.req.ID)
 	resp, err := e.Services.Do(out, req.repeatable())
 	if err != nil && upstream.NotRun(err) {
-		return serviceReply{}, result{err: fault.New(fault.UpstreamFailed, "%v", err), notRun: true, upstreamFailed: true}
+		return serviceReply{}, attemptResult{err: fault.New(fault.UpstreamFailed, "%v", err), notRun: true, upstreamFailed: true}
 	}
 	e.ran = fault.RanUnknown
 	if err != nil {
-		return serviceReply{}, e.serviceFailed(ctx, err)
+		return serviceReply{}, e.serviceFailure(ctx, err)
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxReply+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxServiceAnswerBytes+1))
 	switch {
 	case err != nil:
-		return serviceReply{}, e.serviceFailed(ctx, err)
-	case len(body) > maxReply:
-		return serviceReply{}, result{err: fault.New(fault.AnswerCut, "the answer is longer than %d bytes", maxReply), final: true}
+		return serviceReply{}, e.serviceFailure(ctx, err)
+	case len(body) > maxServiceAnswerBytes:
+		return serviceReply{}, attemptResult{err: fault.New(fault.AnswerCut, "the answer is longer than %d bytes", maxServiceAnswerBytes), noRetry: true}
 	}
-	return serviceReply{status: resp.StatusCode, header: resp.Header, body: body}, result{}
+	return serviceReply{status: resp.StatusCode, header: resp.Header, body: body}, attemptResult{}
 }
 
-func (e *execution) serviceFailed(ctx context.Context, err error) result {
+func (e *execution) serviceFailure(ctx context.Context, err error) attemptResult {
 	if ctx.Err() != nil {
-		return result{err: ctx.Err(), upstreamFailed: errors.Is(ctx.Err(), context.DeadlineExceeded), final: true}
+		return attemptResult{err: ctx.Err(), upstreamFailed: errors.Is(ctx.Err(), context.DeadlineExceeded), noRetry: true}
 	}
-	return result{err: fault.New(fault.UpstreamFailed, "%v", err), upstreamFailed: true}
+	return attemptResult{err: fault.New(fault.UpstreamFailed, "%v", err), upstreamFailed: true}
 }
 
-func (e *execution) openServiceBill(ctx context.Context, u member.Upstream, id string) error {
+func (e *execution) recordServiceCall(ctx context.Context, u member.Upstream, id string) error {
 	e.bill.Upstream = u.Instance.Address
 	e.bill.Attempt = id
 	e.bill.State = ledger.Open
-	if e.opened {
+	if e.billOpened {
 		return e.Billing.Update(ctx, e.bill)
 	}
 	if err := e.Billing.Open(ctx, e.bill); err != nil {
 		return err
 	}
-	e.opened = true
+	e.billOpened = true
 	return nil
 }
 
@@ -230,14 +230,14 @@
 
 // hopHeaders belong to one connection and are not passed on, nor is what
 // identifies the caller to this system.
-var hopHeaders = []string{
+var unforwardedHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Authorization", "Idempotency-Key", "Traceparent",
 }
 
 func copyHeader(to, from http.Header) {
 	for name, values := range from {
-		if !slices.Contains(hopHeaders, textproto.CanonicalMIMEHeaderKey(name)) {
+		if !slices.Contains(unforwardedHeaders, textproto.CanonicalMIMEHeaderKey(name)) {
 			to[name] = slices.Clone(values)
 		}
 	}
--- a/internal/dispatch/times.go
+++ b/internal/dispatch/times.go
@@ -16,23 +16,23 @@
 // times keeps smoothed timings by version.
 //
 // Lock order: mu is taken alone.
-type times struct {
+type latencyEstimator struct {
 	mu    sync.Mutex
 	table map[config.VersionRef]timing
 }
 
-func newTimes() *times { return &times{table: map[config.VersionRef]timing{}} }
+func newLatencyEstimator() *latencyEstimator { return &latencyEstimator{table: map[config.VersionRef]timing{}} }
 
 // timeSmoothing is the weight of a new sample.
-const timeSmoothing = 0.05
+const smoothingWeight = 0.05
 
-func (t *times) get(ref config.VersionRef) timing {
+func (t *latencyEstimator) estimate(ref config.VersionRef) timing {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.table[ref]
 }
 
-func (t *times) observe(ref config.VersionRef, firstToken, perToken time.Duration) {
+func (t *latencyEstimator) observe(ref config.VersionRef, firstToken, perToken time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	have, seen := t.table[ref]
@@ -40,7 +40,7 @@
 		t.table[ref] = timing{firstToken: firstToken, perToken: perToken}
 		return
 	}
-	have.firstToken += time.Duration(timeSmoothing * float64(firstToken-have.firstToken))
-	have.perToken += time.Duration(timeSmoothing * float64(perToken-have.perToken))
+	have.firstToken += time.Duration(smoothingWeight * float64(firstToken-have.firstToken))
+	have.perToken += time.Duration(smoothingWeight * float64(perToken-have.perToken))
 	t.table[ref] = have
 }
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -54,7 +54,7 @@
 	r.Use(gin.Recovery())
 	r.GET("/debug/vars", gin.WrapH(expvar.Handler()))
 	r.GET("/healthz", func(c *gin.Context) { c.String(http.StatusOK, "ok\n") })
-	v1 := r.Group("/v1", s.authorise)
+	v1 := r.Group("/v1", s.authenticate)
 	v1.POST("/config/apply", s.apply)
 	v1.GET("/config", s.showConfig)
 	v1.GET("/config/history", s.history)
@@ -72,7 +72,7 @@
 	return r
 }
 
-func (s *Server) authorise(c *gin.Context) {
+func (s *Server) authenticate(c *gin.Context) {
 	if s.Token == "" {
 		return
 	}
@@ -84,15 +84,15 @@
 }
 
 // answer writes out, or the error.
-func answer(c *gin.Context, out any, err error) {
+func writeReply(c *gin.Context, out any, err error) {
 	if err != nil {
-		fault.Write(c.Writer, storeError(err))
+		fault.Write(c.Writer, classifyStoreError(err))
 		return
 	}
 	c.JSON(http.StatusOK, out)
 }
 
-func storeError(err error) error {
+func classifyStoreError(err error) error {
 	if f := fault.From(err); f.Kind != fault.Internal {
 		return f
 	}
@@ -102,7 +102,7 @@
 	return err
 }
 
-func decode(c *gin.Context, out any) bool {
+func decodeBody(c *gin.Context, out any) bool {
 	decoder := json.NewDecoder(c.Request.Body)
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(out); err != nil {
@@ -119,14 +119,14 @@
 
 func (s *Server) apply(c *gin.Context) {
 	var req config.ApplyRequest
-	if !decode(c, &req) {
+	if !decodeBody(c, &req) {
 		return
 	}
 	change, err := s.Config.Apply(c, req)
 	if err == nil {
 		s.Accepted(c)
 	}
-	answer(c, Applied{Change: change}, err)
+	writeReply(c, Applied{Change: change}, err)
 }
 
 // Shown is the configuration of a site.
@@ -143,15 +143,15 @@
 	out := Shown{Generation: s.Follower.Generation(), Site: c.DefaultQuery("site", s.Status().Site)}
 	var err error
 	if out.Head, _, err = s.Config.Head(c); err != nil {
-		answer(c, nil, err)
+		writeReply(c, nil, err)
 		return
 	}
 	if out.Base, err = s.Config.Document(c, config.Target("")); err != nil {
-		answer(c, nil, err)
+		writeReply(c, nil, err)
 		return
 	}
 	out.Overlay, err = s.Config.Document(c, config.Target(out.Site))
-	answer(c, out, err)
+	writeReply(c, out, err)
 }
 
 // historyLimit bounds the revisions shown.
@@ -162,7 +162,7 @@
 	if rows == nil {
 		rows = []config.StoredDocument{}
 	}
-	answer(c, rows, err)
+	writeReply(c, rows, err)
 }
 
 func (s *Server) ledger(c *gin.Context) {
@@ -170,7 +170,7 @@
 	if entries == nil {
 		entries = []ledger.Entry{}
 	}
-	answer(c, entries, err)
+	writeReply(c, entries, err)
 }
 
 func (s *Server) entries(c *gin.Context) {
@@ -187,7 +187,7 @@
 	if err == nil {
 		err = s.Keys.Refresh(c)
 	}
-	answer(c, gin.H{"keys": len(s.Keys.Keys())}, err)
+	writeReply(c, gin.H{"keys": len(s.Keys.Keys())}, err)
 }
 
 // RolloutRequest names a version to roll out or withdraw.
@@ -222,12 +222,12 @@
 
 func (s *Server) changeRollout(c *gin.Context, change func(RolloutRequest, config.VersionRef) (int64, error)) {
 	var req RolloutRequest
-	if !decode(c, &req) {
+	if !decodeBody(c, &req) {
 		return
 	}
 	generation, err := change(req, config.VersionRef{Model: req.Model, Version: req.Version})
 	if err == nil {
 		s.Accepted(c)
 	}
-	answer(c, RolloutAnswer{Generation: generation}, err)
+	writeReply(c, RolloutAnswer{Generation: generation}, err)
 }
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -113,7 +113,7 @@
 	req.Header.Set(HeaderRequest, a.RequestID)
 	req.Header.Set(HeaderKind, a.Kind)
 	req.Header.Set(HeaderPriority, strconv.Itoa(a.Priority))
-	return c.open(req, a.ID, 0)
+	return c.openStream(req, a.ID, 0)
 }
 
 // Resume asks for the events of an attempt after the first next events.
@@ -123,10 +123,10 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	return c.open(req, attempt, next)
+	return c.openStream(req, attempt, next)
 }
 
-func (c *Client) open(req *http.Request, attempt string, next int) (*Stream, error) {
+func (c *Client) openStream(req *http.Request, attempt string, next int) (*Stream, error) {
 	resp, err := c.Do(req, false)
 	if err != nil {
 		return nil, err
@@ -148,29 +148,29 @@
 
 // Cancel stops an attempt. Cancelling one that has ended is no error.
 func (c *Client) Cancel(ctx context.Context, address, attempt string) error {
-	return c.call(ctx, http.MethodDelete, address, "/v1/attempts/"+url.PathEscape(attempt), nil, nil)
+	return c.callJSON(ctx, http.MethodDelete, address, "/v1/attempts/"+url.PathEscape(attempt), nil, nil)
 }
 
 // Load fetches the load report.
 func (c *Client) Load(ctx context.Context, address string) (LoadReport, error) {
 	var report LoadReport
-	err := c.call(ctx, http.MethodGet, address, "/v1/load", nil, &report)
+	err := c.callJSON(ctx, http.MethodGet, address, "/v1/load", nil, &report)
 	return report, err
 }
 
 // Order sends an order and returns nil once the engine took it.
 func (c *Client) Order(ctx context.Context, address string, o Order) error {
-	return c.call(ctx, http.MethodPost, address, "/v1/orders", o, nil)
+	return c.callJSON(ctx, http.MethodPost, address, "/v1/orders", o, nil)
 }
 
 // Usage asks what was run for a request.
 func (c *Client) Usage(ctx context.Context, address, requestID string) (RequestUsage, error) {
 	var usage RequestUsage
-	err := c.call(ctx, http.MethodGet, address, "/v1/usage?request="+url.QueryEscape(requestID), nil, &usage)
+	err := c.callJSON(ctx, http.MethodGet, address, "/v1/usage?request="+url.QueryEscape(requestID), nil, &usage)
 	return usage, err
 }
 
-func (c *Client) call(ctx context.Context, method, address, path string, in, out any) error {
+func (c *Client) callJSON(ctx context.Context, method, address, path string, in, out any) error {
 	var body io.Reader
 	if in != nil {
 		data, err := json.Marshal(in)
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -14,7 +14,7 @@
 const reorderWindow = 64
 
 // ErrCut says that the connection ended before the answer did.
-var ErrCut = errors.New("stream ended before the answer")
+var ErrIncomplete = errors.New("stream ended before the answer")
 
 // maxEventBytes bounds one SSE event.
 const maxEventBytes = 1 << 20
@@ -28,18 +28,18 @@
 // the answer, and the end comes out only after everything before it.
 type Stream struct {
 	body io.Closer
-	next func() (sse.Event, error, bool)
+	pull func() (sse.Event, error, bool)
 	stop func()
-	asm  assembler
+	buffer  reorderBuffer
 }
 
 func newStream(body io.ReadCloser, attempt string, next int) *Stream {
 	pull, stop := iter.Pull2(sse.Read(body, &sse.ReadConfig{MaxEventSize: maxEventBytes}))
 	return &Stream{
 		body: body,
-		next: pull,
+		pull: pull,
 		stop: stop,
-		asm:  assembler{attempt: attempt, next: next, waiting: map[int]Event{}},
+		buffer:  reorderBuffer{attempt: attempt, next: next, pending: map[int]Event{}},
 	}
 }
 
@@ -47,28 +47,28 @@
 // ended first; the attempt can then be resumed after Offset events.
 func (s *Stream) Next() (Event, error) {
 	for {
-		if e, ok := s.asm.pop(); ok {
+		if e, ok := s.buffer.pop(); ok {
 			return e, nil
 		}
-		raw, err, ok := s.next()
+		raw, err, ok := s.pull()
 		if !ok || err != nil {
-			return Event{}, trace.Wrap(ErrCut)
+			return Event{}, trace.Wrap(ErrIncomplete)
 		}
 		if raw.Data == "[DONE]" {
 			continue
 		}
 		var e Event
 		if err := json.Unmarshal([]byte(raw.Data), &e); err != nil {
-			return Event{}, trace.Wrap(ErrCut, "undecodable event")
+			return Event{}, trace.Wrap(ErrIncomplete, "undecodable event")
 		}
-		if !s.asm.push(e) {
-			return Event{}, trace.Wrap(ErrCut, "more than %d events out of order", reorderWindow)
+		if !s.buffer.push(e) {
+			return Event{}, trace.Wrap(ErrIncomplete, "more than %d events out of order", reorderWindow)
 		}
 	}
 }
 
 // Offset is how many events have been returned, over all connections.
-func (s *Stream) Offset() int { return s.asm.next }
+func (s *Stream) NextOffset() int { return s.buffer.next }
 
 // Close ends the connection. It does not cancel the attempt.
 func (s *Stream) Close() {
@@ -77,28 +77,28 @@
 }
 
 // assembler puts events of one attempt in order.
-type assembler struct {
+type reorderBuffer struct {
 	attempt string
 	next    int
-	waiting map[int]Event
+	pending map[int]Event
 }
 
 // push takes an event in. It returns false when too many events wait for a
 // missing one.
-func (a *assembler) push(e Event) bool {
+func (a *reorderBuffer) push(e Event) bool {
 	if e.Attempt != a.attempt || e.Offset < a.next {
 		return true
 	}
-	a.waiting[e.Offset] = e
-	return len(a.waiting) <= reorderWindow
+	a.pending[e.Offset] = e
+	return len(a.pending) <= reorderWindow
 }
 
-func (a *assembler) pop() (Event, bool) {
-	e, ok := a.waiting[a.next]
+func (a *reorderBuffer) pop() (Event, bool) {
+	e, ok := a.pending[a.next]
 	if !ok {
 		return Event{}, false
 	}
-	delete(a.waiting, a.next)
+	delete(a.pending, a.next)
 	a.next++
 	return e, true
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -18,7 +18,7 @@
 // A server takes a call on a kept connection, runs it, and closes the
 // connection without an answer. net/http would send the call again by itself
 // when it carries an Idempotency-Key; a reply draft would go out twice.
-func TestCallsAreNotRepeatedBehindOurBack(t *testing.T) {
+func TestTransportDoesNotRepeatCalls(t *testing.T) {
 	for _, body := range []string{"", "draft"} {
 		var calls atomic.Int32
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestNotSentIsNotRun(t *testing.T) {
+func TestRefusedConnectionIsNotRun(t *testing.T) {
 	c := NewClient(time.Second)
 	_, err := c.Start(context.Background(), "127.0.0.1:1", Attempt{ID: "a"})
 	require.True(t, NotRun(err))
@@ -85,7 +85,7 @@
 
 // Events arrive in any order within the window, any number of times, and mixed
 // with those of another attempt. What comes out is the answer, in order.
-func TestAssembler(t *testing.T) {
+func TestReorderBufferYieldsAnswerInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, reorderWindow).Draw(t, "events")
 		var sent []Event
@@ -97,7 +97,7 @@
 				sent = append(sent, Event{Attempt: "b", Offset: i})
 			}
 		}
-		a := assembler{attempt: "a", waiting: map[int]Event{}}
+		a := reorderBuffer{attempt: "a", pending: map[int]Event{}}
 		var out []Event
 		for _, e := range rapid.Permutation(sent).Draw(t, "order") {
 			if !a.push(e) {
