--- a/internal/caller/chat.go
+++ b/internal/caller/chat.go
@@ -80,11 +80,11 @@
 
 // incoming is a checked chat request.
 type chatCall struct {
-	snapshot *config.Snapshot
-	request  dispatch.Request
-	key      *claim.Key
-	digest   string
-	includeUsage    bool
+	snapshot     *config.Snapshot
+	request      dispatch.Request
+	key          *claim.Key
+	digest       string
+	includeUsage bool
 }
 
 func (s *Server) chat(c *gin.Context) {
--- a/internal/caller/respond.go
+++ b/internal/caller/respond.go
@@ -37,7 +37,7 @@
 	Model        string          `json:"model"`
 	Choices      []chunkChoice   `json:"choices"`
 	Usage        *upstream.Usage `json:"usage,omitempty"`
-	Hornbeamsill *chunkExtension      `json:"hornbeamsill,omitempty"`
+	Hornbeamsill *chunkExtension `json:"hornbeamsill,omitempty"`
 }
 
 type chunkChoice struct {
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -114,7 +114,9 @@
 	v1.GET("/requests/:id/stream", s.resumeStream)
 	v1.Any("/services/:service", s.service)
 	v1.Any("/services/:service/*path", s.service)
-	r.NoRoute(func(c *gin.Context) { s.writeError(c, fault.New(fault.NotFound, "no such path: %s", c.Request.URL.Path)) })
+	r.NoRoute(func(c *gin.Context) {
+		s.writeError(c, fault.New(fault.NotFound, "no such path: %s", c.Request.URL.Path))
+	})
 	r.NoMethod(func(c *gin.Context) {
 		s.writeError(c, fault.New(fault.NotFound, "%s is not possible on %s", c.Request.Method, c.Request.URL.Path))
 	})
--- a/internal/caller/service.go
+++ b/internal/caller/service.go
@@ -74,7 +74,7 @@
 		Header:       c.Request.Header,
 		Body:         body,
 		Deadline:     deadline,
-		OnNotRun:       func() { s.releaseKey(key, id) },
+		OnNotRun:     func() { s.releaseKey(key, id) },
 	}
 	out := s.Store.Create(id, organisation)
 	ctx := withTraceFrom(s.Base, c.Request.Context())
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -24,19 +24,22 @@
 )
 
 const (
-	// maxAttempts bounds the attempts of one step, refused ones included.
+	// maxAttempts limits the attempts for one step, including refused ones.
 	maxAttempts = 8
-	// maxResumes bounds the reconnections to a running attempt without a new
-	// event in between.
+	// maxResumes limits the consecutive reconnections to a running attempt that
+	// yield no new event.
 	maxResumes = 5
-	// resumePause is the first pause before a reconnection; it doubles.
+	// resumeBackoff is the delay before the first reconnection; it doubles with
+	// each further one.
 	resumeBackoff = 20 * time.Millisecond
-	// queueLimit is how many attempts per slot an upstream is sent.
+	// queueLimit limits the attempts in progress at an upstream, as a multiple of
+	// its slots. Further requests wait in the queue of this daemon.
 	queueLimit = 1.5
 )
 
-// step runs one version to the end of its answer and adds it to the bill. emit
-// gets every event in order, the last one included.
+// runStep runs a version until its answer is complete, charges the step to the
+// bill, and returns the last event. emit receives every event in order,
+// including the last one.
 func (e *execution) runStep(ctx context.Context, ref config.VersionRef, emit emitFunc) (upstream.Event, error) {
 	excluded := map[string]bool{}
 	for range maxAttempts {
@@ -58,28 +61,30 @@
 	return upstream.Event{}, fault.New(fault.NoUpstream, "no upstream took the request in %d attempts", maxAttempts)
 }
 
-// emitter takes the events of an answer in order.
+// emitFunc receives the events of an answer in order.
 type emitFunc func(upstream.Event) error
 
-// result is how an attempt ended.
+// attemptResult describes how an attempt ended.
 type attemptResult struct {
 	lastEvent upstream.Event
-	err  error
-	// notRun is true when the upstream certainly did not start.
+	err       error
+	// notRun is true if the upstream is known not to have started the work.
 	notRun bool
-	// upstreamFailed counts towards ejecting the upstream.
+	// upstreamFailed is true if the attempt counts towards ejecting the
+	// upstream.
 	upstreamFailed bool
-	// final is true when another attempt must not follow.
+	// noRetry is true if no further attempt is allowed.
 	noRetry bool
 }
 
-// mayRetry decides whether another attempt may follow a failed one.
+// mayRetry reports whether another attempt is allowed after a failed one.
 //
-// What was certainly not run may always go elsewhere. After an unknown outcome
-// only idempotent work may, since the first attempt may still run: a reply
-// draft would be sent twice. Nothing may follow events that the caller has
-// seen, as a second answer would be joined to the first. The budget keeps
-// retries from multiplying the load of failing upstreams.
+// Work that is known not to have run may always be sent to another upstream.
+// After an unknown outcome, only idempotent work may be sent again, because the
+// first attempt may still be running: a reply draft would be sent twice. Once
+// the caller may have received events, no attempt is allowed, because a second
+// answer would be appended to the first. The retry budget keeps retries from
+// multiplying the load of failing upstreams.
 func (e *execution) mayRetry(ctx context.Context, r attemptResult) bool {
 	if ctx.Err() != nil || r.noRetry {
 		return false
@@ -90,8 +95,9 @@
 	return e.req.Kind.Idempotent && !e.out.Started() && e.retries.Take()
 }
 
-// acquire waits for room at an upstream that serves ref and counts the attempt
-// as sent there.
+// acquireUpstream waits until an upstream that serves ref has capacity. It
+// returns the upstream and the id of the new attempt, which is already counted
+// towards the load of that upstream.
 func (e *execution) acquireUpstream(ctx context.Context, ref config.VersionRef, excluded map[string]bool) (member.Upstream, string, error) {
 	attempt := rand.Text()
 	tokens := e.expectedTokens()
@@ -118,6 +124,8 @@
 	return chosen, attempt, err
 }
 
+// servedByOther reports whether a usable upstream that is not in excluded
+// serves ref.
 func (e *execution) servedByOther(ref config.VersionRef, excluded map[string]bool) bool {
 	for _, u := range e.Upstreams.Usable(backing.RoleEngine) {
 		if u.Serves(ref) && !excluded[u.Instance.ID] {
@@ -127,7 +135,8 @@
 	return false
 }
 
-// choose picks an upstream for ref, or none while all are full.
+// chooseUpstream picks an upstream for ref. It returns false if every upstream
+// is at its queue limit.
 func (e *execution) chooseUpstream(ref config.VersionRef, excluded map[string]bool) (member.Upstream, bool) {
 	usable := e.Upstreams.Usable(backing.RoleEngine)
 	var loads []route.UpstreamLoad
@@ -154,8 +163,8 @@
 	return byID[picked.ID], ok
 }
 
-// attempt sends one attempt and reads its answer, reconnecting when the stream
-// is cut.
+// runAttempt sends an attempt to u and reads its answer. It reconnects if the
+// stream is interrupted.
 func (e *execution) runAttempt(ctx context.Context, ref config.VersionRef, u member.Upstream, id string, emit emitFunc) attemptResult {
 	ctx, span := tracer.Start(ctx, "attempt")
 	defer span.End()
@@ -183,8 +192,9 @@
 	return reader.read(ctx, stream, err)
 }
 
-// record makes the bill name this attempt before it is sent, so that after a
-// crash the right upstream is asked what ran.
+// recordAttempt writes the upstream and the attempt into the bill before the
+// attempt is sent. After a crash, the usage is then requested from the right
+// upstream.
 func (e *execution) recordAttempt(ctx context.Context, ref config.VersionRef, u member.Upstream, attempt string) error {
 	snapshot, _, err := e.Fresh.Ensure(ctx)
 	if err != nil {
@@ -206,11 +216,13 @@
 	return nil
 }
 
-// confirm looks at the version once more, right before the attempt is sent.
+// checkVersion returns an error if ref may no longer be used. It is called
+// right before an attempt is sent.
 //
-// The plan may be old by now: the request waited in a queue, the bill waited
-// for a slow peer, or the daemon was paused. Sending then would give new work
-// to a version withdrawn in the meantime.
+// The plan may be outdated by then: the request may have waited in a queue, the
+// bill may have waited for a slow peer, or the daemon may have been paused.
+// Without this check, new work would be sent to a version that has been
+// withdrawn in the meantime.
 func (e *execution) checkVersion(ctx context.Context, ref config.VersionRef) error {
 	snapshot, provenOnly, err := e.Fresh.Ensure(ctx)
 	if err != nil {
@@ -231,6 +243,8 @@
 	return nil
 }
 
+// notRunResult returns the result of an attempt that err proves was not run. An
+// upstream that refuses because it is leaving gets no further attempts.
 func (e *execution) notRunResult(u member.Upstream, err error) attemptResult {
 	var refused *upstream.RefusedError
 	if errors.As(err, &refused) {
@@ -242,7 +256,7 @@
 	return attemptResult{err: fault.New(fault.UpstreamFailed, "%v", err), notRun: true, upstreamFailed: true}
 }
 
-// addStep charges a finished run.
+// chargeStep adds a completed step to the bill.
 func (e *execution) chargeStep(ctx context.Context, ref config.VersionRef, last upstream.Event) {
 	usage := upstream.Usage{}
 	if last.Usage != nil {
@@ -257,8 +271,9 @@
 	slog.DebugContext(ctx, "step.finished", "request", e.req.ID, "version", ref, "tokens", usage.CompletionTokens)
 }
 
-// showHead signs the tokens and lets readers see the head of the answer. The
-// bill names the attempt that answers.
+// startAnswer signs the session and resume tokens and sets the head of the
+// answer, unless it is set already. The resume token names the attempt that is
+// recorded in the bill.
 func (e *execution) startAnswer() error {
 	if e.out.Started() {
 		return nil
--- a/internal/dispatch/cascade.go
+++ b/internal/dispatch/cascade.go
@@ -11,11 +11,12 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/upstream"
 )
 
-// collector keeps the events of an answer that the caller may not see yet. A
-// new attempt starts it afresh.
+// eventBuffer holds the events of an answer that must not be sent to the caller
+// yet. Its add method discards the events of an earlier attempt when it gets
+// the first event of a new one.
 type eventBuffer struct{ events []upstream.Event }
 
-func (c *eventBuffer) emit(event upstream.Event) error {
+func (c *eventBuffer) add(event upstream.Event) error {
 	if event.Offset == 0 {
 		c.events = nil
 	}
@@ -31,12 +32,13 @@
 	return b.String()
 }
 
-// cascade runs the cheap version, has its answer judged, and runs the second
-// version when the judge does not accept it. The caller sees nothing of an
-// answer that was not accepted; both runs are on the one bill.
+// cascade runs the first version of the plan and asks the judge about its
+// answer. It runs the second version if the first one fails or the judge does
+// not accept its answer. The caller receives no part of an answer that was not
+// accepted; both runs are charged to the same bill.
 func (e *execution) cascade(ctx context.Context, plan route.Plan) error {
 	var first eventBuffer
-	last, err := e.runStep(ctx, plan.Steps[0], first.emit)
+	last, err := e.runStep(ctx, plan.Steps[0], first.add)
 	if err == nil && e.judgeAccepts(ctx, plan.Steps[0], first.text()) {
 		return e.sendBuffered(ctx, first, last)
 	}
@@ -46,7 +48,8 @@
 	return e.answerWithVersion(ctx, plan.Steps[1])
 }
 
-// release passes collected events on and finishes.
+// sendBuffered sends the buffered events to the caller and completes the
+// request.
 func (e *execution) sendBuffered(ctx context.Context, c eventBuffer, last upstream.Event) error {
 	for _, event := range c.events {
 		if err := e.forward(event); err != nil {
@@ -56,7 +59,9 @@
 	return e.finish(ctx, last)
 }
 
-// accepted asks the judge. A judge that does not answer accepts nothing.
+// judgeAccepts reports whether the judge accepts the answer of the last step. It
+// returns false if the judge does not respond. The judge's price is charged to
+// the step in either case.
 func (e *execution) judgeAccepts(ctx context.Context, ref config.VersionRef, text string) bool {
 	judgement, err := e.Judge.Judge(ctx, backing.JudgeRequest{
 		RequestID: e.req.ID,
@@ -76,7 +81,7 @@
 	return judgement.Accept
 }
 
-// judgePrice is what one judgement costs.
+// judgePrice returns the price of one judgement.
 func (e *execution) judgePrice(ctx context.Context) int64 {
 	snapshot, _, err := e.Fresh.Ensure(ctx)
 	if err != nil {
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,6 +1,6 @@
-// Package dispatch runs requests: it chooses a plan and an upstream, keeps the
-// bill, sends attempts, resumes cut streams, retries what may be retried, and
-// writes the answer.
+// Package dispatch runs requests: it chooses model versions and upstreams,
+// records the bill, sends attempts, resumes interrupted streams, retries where
+// this is safe, and writes the answer.
 package dispatch
 
 import (
@@ -31,13 +31,14 @@
 
 var tracer = otel.Tracer("github.com/hornbeamsill/hornbeamsill/internal/dispatch")
 
-// Request is an admitted request for a model.
+// Request is an admitted request to a model.
 type Request struct {
 	ID           string
 	Organisation string
 	KindName     string
 	Kind         config.Kind
-	// Model is empty for "auto"; Version is empty unless the caller pinned it.
+	// Model is empty if the caller selected "auto". Version is empty unless the
+	// caller selected a specific version.
 	Model   string
 	Version string
 	Chat    upstream.ChatRequest
@@ -45,22 +46,26 @@
 	Session      *session.Session
 	SessionToken string
 	Deadline     time.Time
-	// Keyed requests carry an idempotency key: they run to their end even
-	// when nobody listens, so that a repeat finds the answer.
+	// HasIdempotencyKey is set if the request has an idempotency key. Such a
+	// request runs to its end even without readers, because a repeated request
+	// with the same key returns its answer.
 	HasIdempotencyKey bool
-	// NotRun is called before the answer ends when the work was not run, so
-	// that a caller who is told so can use its idempotency key again at once.
+	// OnNotRun is called before the answer ends if the work was not run. It
+	// releases the idempotency key, so that a caller who learns this can use the
+	// key again at once.
 	OnNotRun func()
 }
 
-// Fresh tells whether the configuration may be relied on.
+// ConfigSource returns the configuration, provided that it is recent enough to
+// use.
 type Fresh interface {
-	// Ensure returns the snapshot to dispatch with. provenOnly is true when
-	// versions that are not proven may not be used.
+	// UsableSnapshot returns the configuration for a request, or an error if it
+	// has not been confirmed recently enough. If provenOnly is true, only proven
+	// versions may be used.
 	Ensure(ctx context.Context) (snapshot *config.Snapshot, provenOnly bool, err error)
 }
 
-// Billing keeps the bills; *ledger.Ledger is one.
+// Billing records the bills of requests. *ledger.Ledger implements it.
 type Billing interface {
 	Open(ctx context.Context, b ledger.Bill) error
 	Update(ctx context.Context, b ledger.Bill) error
@@ -68,19 +73,20 @@
 	Void(id string)
 }
 
-// Judge judges answers inside a cascade.
+// Judge assesses the answers of the first version in a cascade.
 type Judge interface {
 	Judge(ctx context.Context, req backing.JudgeRequest) (backing.Judgement, error)
 }
 
-// Engines starts and resumes attempts; *upstream.Client is one.
+// EngineClient starts, resumes and cancels attempts at model engines.
+// *upstream.Client implements it.
 type EngineClient interface {
 	Start(ctx context.Context, address string, a upstream.Attempt) (*upstream.Stream, error)
 	Resume(ctx context.Context, address, attempt string, next int) (*upstream.Stream, error)
 	Cancel(ctx context.Context, address, attempt string) error
 }
 
-// Deps is what a Dispatcher works with.
+// Deps holds the dependencies of a Dispatcher.
 type Deps struct {
 	Site          string
 	FailureDomain string
@@ -94,37 +100,39 @@
 	Signer        *session.Signer
 	Ratings       *rating.Counter
 	Exposure      *rollout.DaemonCredits
-	// Policy returns the policy in force for upstreams.
+	// Policy returns the current policy for upstreams.
 	Policy func() config.UpstreamPolicy
 	Seed   uint64
-	// AbandonGrace is how long an answer that nobody reads goes on.
+	// AbandonGrace is how long an answer is continued without readers.
 	AbandonGrace time.Duration
 }
 
-// Dispatcher runs requests.
+// Dispatcher runs requests. It is safe for concurrent use.
 //
-// Lock order: a queue's lock before mu; mu before nothing.
+// Lock order: the lock of a queue before mu. No other lock is taken while mu is
+// held.
 type Dispatcher struct {
 	Deps
-	retries *limit.RetryBudget
-	latencies   *latencyEstimator
+	retries   *limit.RetryBudget
+	latencies *latencyEstimator
 
 	mu     sync.Mutex
 	queues map[string]*limit.Queue
 	random *rand.Rand
 }
 
-// retryBurst is how many retries may be saved up.
+// retryBurst is the maximum number of unused retries that the retry budget
+// accumulates.
 const retryBurst = 10
 
 // New returns a dispatcher.
 func New(deps Deps) *Dispatcher {
 	return &Dispatcher{
-		Deps:    deps,
-		retries: limit.NewRetryBudget(retryBurst),
-		latencies:   newLatencyEstimator(),
-		queues:  map[string]*limit.Queue{},
-		random:  rand.New(rand.NewPCG(deps.Seed, 2)),
+		Deps:      deps,
+		retries:   limit.NewRetryBudget(retryBurst),
+		latencies: newLatencyEstimator(),
+		queues:    map[string]*limit.Queue{},
+		random:    rand.New(rand.NewPCG(deps.Seed, 2)),
 	}
 }
 
@@ -134,15 +142,15 @@
 	req  Request
 	out  *answer.Answer
 	bill ledger.Bill
-	// opened is true once the bill is recorded.
+	// billOpened is true once the bill is recorded.
 	billOpened bool
-	// ran is what is known about the work upstream.
+	// ran is what is known about whether an upstream ran the work.
 	ran     fault.Ran
 	started time.Time
 }
 
-// Run runs a request to its end and always ends the answer. It reports what
-// became of the work.
+// Run runs a request to its end and always ends the answer. It returns whether
+// the work was run.
 func (d *Dispatcher) Run(ctx context.Context, req Request, out *answer.Answer) fault.Ran {
 	ctx, cancel := context.WithDeadline(ctx, req.Deadline)
 	defer cancel()
@@ -175,8 +183,8 @@
 	}
 }
 
-// maxPlans bounds how often a plan is made again because a version was
-// withdrawn before the attempt was sent.
+// maxPlans limits how often a request is planned. It is planned again if a
+// version of the plan is withdrawn before the attempt is sent.
 const maxPlans = 3
 
 func (e *execution) run(ctx context.Context) error {
@@ -202,13 +210,14 @@
 	return e.answerWithVersion(ctx, plan.Steps[0])
 }
 
-// answerWith runs a version. A caller that streams gets its events as they
-// come; for others they are collected, so that idempotent work can start
-// afresh at another upstream as long as nothing was sent.
+// answerWithVersion runs ref and sends its answer. A streaming caller receives
+// the events as they arrive. For other callers the events are buffered, so that
+// idempotent work can be restarted at another upstream until the answer is
+// complete.
 func (e *execution) answerWithVersion(ctx context.Context, ref config.VersionRef) error {
 	if !e.req.Chat.Stream {
 		var all eventBuffer
-		last, err := e.runStep(ctx, ref, all.emit)
+		last, err := e.runStep(ctx, ref, all.add)
 		if err != nil {
 			return err
 		}
@@ -221,8 +230,8 @@
 	return e.finish(ctx, last)
 }
 
-// forward passes an event on. The last one is held back until the bill is
-// closed.
+// forward sends an event to the caller. The last event is held back; finish
+// sends it after closing the bill.
 func (e *execution) forward(event upstream.Event) error {
 	if err := e.startAnswer(); err != nil {
 		return err
@@ -233,9 +242,10 @@
 	return nil
 }
 
-// closeWait bounds how long the last event waits for the closed bill to be
-// held by peers. The open bill is durable before that, so that a crash after
-// this time still leads to one bill with the upstream's own count.
+// billCloseTimeout limits how long the last event waits until peers hold
+// replicas of the closed bill. The open bill is durable by then, so a crash
+// after the timeout still results in one bill, with the usage that the upstream
+// reports.
 const billCloseTimeout = time.Second
 
 // finish closes the bill and then sends the last event.
@@ -250,7 +260,8 @@
 	return nil
 }
 
-// fail closes or voids the bill and ends the answer with the error at once.
+// fail closes the bill, or voids it if nothing was run, and ends the answer with
+// the error.
 func (e *execution) fail(ctx context.Context, err error) {
 	f := e.classify(ctx, err)
 	f = f.WithRan(e.ran)
@@ -271,7 +282,7 @@
 	e.out.Fail(f, e.Clock.Now())
 }
 
-// classify turns an error into one of the closed list.
+// classify converts an error to one of the error kinds of package fault.
 func (e *execution) classify(ctx context.Context, err error) *fault.Error {
 	var f *fault.Error
 	var refused *limit.RefusedError
@@ -289,10 +300,11 @@
 	}
 }
 
-// errAbandoned ends a request that nobody reads any more.
+// errAbandoned ends a request whose answer has no reader any more.
 var errAbandoned = errors.New("abandoned")
 
-// queue returns the queue in front of what serves name.
+// queueFor returns the queue with the given name. There is one for each model
+// version and for each plain service.
 func (d *Dispatcher) queueFor(name string) *limit.Queue {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -304,7 +316,7 @@
 	return q
 }
 
-// Waiting returns how many requests wait, by what they wait for.
+// QueueLengths returns the number of waiting requests by queue name.
 func (d *Dispatcher) Waiting() map[string]int {
 	out := map[string]int{}
 	for name, q := range d.allQueues() {
@@ -313,15 +325,17 @@
 	return out
 }
 
-// allQueues returns the queues, so that they are used without holding mu: a
-// queue holds its own lock while it tries to start a request, which takes mu.
+// allQueues returns a copy of the queues. Callers must not hold mu when they use
+// a queue: a queue holds its own lock while it tries to start a request, which
+// locks mu.
 func (d *Dispatcher) allQueues() map[string]*limit.Queue {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return maps.Clone(d.queues)
 }
 
-// PokeLoop lets waiting requests try again whenever room may have come up.
+// GrantLoop lets waiting requests try again whenever the upstreams change, until
+// ctx is done.
 func (d *Dispatcher) PokeLoop(ctx context.Context) {
 	for {
 		changed := d.Upstreams.Changed()
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -13,9 +13,9 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/limit"
 )
 
-// An operator asks for the status while requests wait for a full engine. The
-// daemon answered nothing any more: the status held the dispatcher's lock and
-// waited for a queue's, and the queue's holder the other way round.
+// The status is read while requests wait for a busy engine. If the dispatcher's
+// lock were held while a queue's lock is taken, this would deadlock with a queue
+// that takes the dispatcher's lock while it tries to start a request.
 func TestStatusDoesNotDeadlockWithQueues(t *testing.T) {
 	d := New(Deps{Clock: clockwork.NewRealClock()})
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/dispatch/plan.go
+++ b/internal/dispatch/plan.go
@@ -15,14 +15,15 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/route"
 )
 
-// exploreShare bounds how often a cheaper version is tried to learn about it.
+// exploreShare limits the fraction of requests that use a cheaper version to
+// collect ratings for it.
 const exploreShare = 0.02
 
-// defaultTokens is the expected length of an answer where the kind gives
-// none.
+// defaultExpectedTokens is the expected length of an answer if the kind of the
+// request does not define one.
 const defaultExpectedTokens = 200
 
-// plan decides which versions answer.
+// plan chooses the versions that run the request.
 func (e *execution) plan(ctx context.Context) (route.Plan, error) {
 	snapshot, provenOnly, err := e.Fresh.Ensure(ctx)
 	if err != nil {
@@ -38,9 +39,12 @@
 	}
 }
 
-func singleStepPlan(ref config.VersionRef) route.Plan { return route.Plan{Steps: []config.VersionRef{ref}} }
+func singleStepPlan(ref config.VersionRef) route.Plan {
+	return route.Plan{Steps: []config.VersionRef{ref}}
+}
 
-// sessionPlan keeps the session's version, or says that it cannot.
+// sessionPlan returns a plan with the version of the session, or an error if that
+// version cannot be used any more.
 func (e *execution) sessionPlan(snapshot *config.Snapshot, provenOnly bool) (route.Plan, error) {
 	ref := e.req.Session.Version
 	if e.req.Model != "" && e.req.Model != ref.Model || e.req.Version != "" && e.req.Version != ref.Version {
@@ -59,7 +63,7 @@
 	return singleStepPlan(ref), nil
 }
 
-// pinnedPlan uses the version that the caller named.
+// pinnedPlan returns a plan with the version that the caller selected.
 func (e *execution) pinnedPlan(snapshot *config.Snapshot, provenOnly bool) (route.Plan, error) {
 	ref := config.VersionRef{Model: e.req.Model, Version: e.req.Version}
 	state, known := snapshot.State(ref)
@@ -80,8 +84,8 @@
 	return singleStepPlan(ref), nil
 }
 
-// freePlan picks the cheapest way to meet the quality target, and then lets a
-// version that is being rolled out take its share.
+// routedPlan returns the cheapest plan that meets the quality target. In a
+// fraction of requests, it replaces a version with one that is being rolled out.
 func (e *execution) routedPlan(snapshot *config.Snapshot, provenOnly bool) (route.Plan, error) {
 	candidates, err := e.candidates(snapshot)
 	if err != nil {
@@ -115,8 +119,9 @@
 	return pick, nil
 }
 
-// substitute replaces a step by the version of its model that is being rolled
-// out, in the roll-out's share of new sessions and while there are credits.
+// substituteRollouts returns steps with versions replaced by versions of the same
+// model that are being rolled out. A version is replaced with the probability
+// that the roll-out defines, and only while this daemon has credits for it.
 func (e *execution) substituteRollouts(snapshot *config.Snapshot, steps []config.VersionRef, random *rand.Rand) []config.VersionRef {
 	out := slices.Clone(steps)
 	for i, ref := range out {
@@ -138,8 +143,8 @@
 	return out
 }
 
-// candidates lists the proven versions that the request may use and that some
-// upstream serves.
+// candidates returns the versions in state config.Serving that the request may
+// use and that at least one usable upstream serves.
 func (e *execution) candidates(snapshot *config.Snapshot) ([]route.Candidate, error) {
 	if _, known := snapshot.Doc.Models[e.req.Model]; e.req.Model != "" && !known {
 		return nil, fault.New(fault.UnknownModel, "model: there is no model %q", e.req.Model)
@@ -167,6 +172,8 @@
 	return out, nil
 }
 
+// isEligibleModel reports whether the selection of the caller and the kind of the
+// request allow a model.
 func (e *execution) isEligibleModel(model string) bool {
 	if e.req.Model != "" {
 		return e.req.Model == model
@@ -187,7 +194,7 @@
 	}
 }
 
-// served reports whether a usable upstream serves a version.
+// isServed reports whether a usable upstream serves ref.
 func (d *Dispatcher) isServed(ref config.VersionRef) bool {
 	for _, u := range d.Upstreams.Usable(backing.RoleEngine) {
 		if u.Serves(ref) {
@@ -197,6 +204,7 @@
 	return false
 }
 
+// expectedTokens returns the expected length of the answer.
 func (e *execution) expectedTokens() int {
 	tokens := e.req.Kind.ExpectedTokens
 	if tokens == 0 {
@@ -208,7 +216,7 @@
 	return tokens
 }
 
-// promptTokens estimates the length of the prompt from its words.
+// promptTokens estimates the number of tokens of the prompt as its number of words.
 func promptTokens(req Request) int {
 	n := 0
 	for _, m := range req.Chat.Messages {
@@ -217,7 +225,8 @@
 	return n
 }
 
-// prompt joins the messages, for the judge and for prefix affinity.
+// promptText returns all messages as one text. The judge assesses the answer
+// with it, and its prefix selects the upstream with cache affinity.
 func promptText(req Request) string {
 	var b strings.Builder
 	for _, m := range req.Chat.Messages {
--- a/internal/dispatch/reader.go
+++ b/internal/dispatch/reader.go
@@ -13,22 +13,22 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/upstream"
 )
 
-// attemptReader reads the answer of one attempt over as many connections as
-// it takes.
+// attemptReader reads the answer of one attempt, reconnecting as needed.
 type attemptReader struct {
 	*execution
 	ref      config.VersionRef
 	upstream member.Upstream
 	id       string
 	emit     emitFunc
-	sentAt     time.Time
+	sentAt   time.Time
 
-	nextOffset    int
-	connectionLost  bool
-	firstEventAt time.Time
+	nextOffset     int
+	connectionLost bool
+	firstEventAt   time.Time
 }
 
-// read takes over an open stream, or the error of opening it.
+// read reads the answer to its end. stream and err are the result of starting
+// the attempt.
 func (r *attemptReader) read(ctx context.Context, stream *upstream.Stream, err error) attemptResult {
 	tries := 0
 	for {
@@ -57,7 +57,8 @@
 	}
 }
 
-// stops decides whether reading ends without the whole answer.
+// shouldStop reports whether reading must end before the answer is complete, and
+// returns the result of the attempt in that case.
 func (r *attemptReader) shouldStop(ctx context.Context, err error, tries int) (bool, attemptResult) {
 	base := attemptResult{upstreamFailed: r.connectionLost || !errors.Is(err, errAbandoned)}
 	switch {
@@ -65,15 +66,15 @@
 		r.cancel(ctx)
 		base.err, base.noRetry = err, true
 	case errors.Is(ctx.Err(), context.Canceled):
-		// The daemon stops. The upstream goes on: the caller can continue the
-		// answer there with its resume token.
+		// The daemon is stopping. The attempt is not cancelled, because the caller
+		// can continue the answer at the upstream with its resume token.
 		base.err, base.noRetry = ctx.Err(), true
 	case ctx.Err() != nil:
 		r.cancel(ctx)
 		base.err, base.noRetry = ctx.Err(), true
 	case trace.IsNotFound(err):
-		// The engine does not know the attempt: it never arrived or the
-		// engine has restarted since. Which of the two cannot be told.
+		// Either the attempt never arrived, or the engine has restarted since. The
+		// two cases cannot be distinguished, so the outcome is unknown.
 		base.err = r.incompleteError("the upstream lost the attempt")
 	case tries >= maxResumes:
 		r.cancel(ctx)
@@ -84,8 +85,9 @@
 	return true, base
 }
 
-// cut is the error for an answer that cannot be completed. It is never an
-// end: a caller that saw a part of the answer must not take it for the whole.
+// incompleteError returns the error for an answer that cannot be completed. The
+// answer must end with an error, because a caller would otherwise take the part
+// that it has received for the whole answer.
 func (r *attemptReader) incompleteError(why string) error {
 	if r.out.Started() {
 		return fault.New(fault.AnswerCut, "the answer broke off: %s", why).WithRan(fault.RanUnknown)
@@ -93,17 +95,17 @@
 	return fault.New(fault.UpstreamFailed, "%s", why).WithRan(fault.RanUnknown)
 }
 
-// cancelTimeout bounds the cancelling of an attempt nobody waits for.
+// cancelTimeout limits the time to cancel an attempt.
 const cancelTimeout = time.Second
 
 func (r *attemptReader) cancel(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), cancelTimeout)
 	defer cancel()
-	// A failure leaves the attempt to end by itself.
+	// If this fails, the attempt runs to its end at the upstream.
 	_ = r.Engines.Cancel(ctx, r.upstream.Instance.Address, r.id)
 }
 
-// drain passes events on until the last one, which it returns.
+// readStream delivers events up to the last one, which it also returns.
 func (r *attemptReader) readStream(ctx context.Context, stream *upstream.Stream) (upstream.Event, error) {
 	for {
 		event, err := stream.Next()
@@ -124,6 +126,9 @@
 	}
 }
 
+// deliver passes an event to emit, unless the request has ended or its answer
+// has no reader any more. Answers to requests with an idempotency key and to
+// requests that are not idempotent are completed even without a reader.
 func (r *attemptReader) deliver(ctx context.Context, event upstream.Event) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
@@ -134,7 +139,7 @@
 	return r.emit(event)
 }
 
-// observe learns the version's timing from a whole answer.
+// recordTiming adds the latency of a complete answer to the estimates.
 func (r *attemptReader) recordTiming(last upstream.Event) {
 	if last.Usage == nil || last.Usage.CompletionTokens == 0 {
 		return
@@ -143,7 +148,7 @@
 	r.latencies.observe(r.ref, r.firstEventAt.Sub(r.sentAt), generation/time.Duration(last.Usage.CompletionTokens))
 }
 
-// pause waits, or reports false when ctx ended first.
+// sleep waits for d. It returns false if ctx is done first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/dispatch/service.go
+++ b/internal/dispatch/service.go
@@ -24,28 +24,29 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/upstream"
 )
 
-// maxReply bounds the answer of a plain service, in bytes.
+// maxServiceAnswerBytes limits the length of the answer of a plain service.
 const maxServiceAnswerBytes = 16 << 20
 
-// ServiceCaller sends calls to plain services; *upstream.Client is one.
+// ServiceCaller sends HTTP calls to plain services. *upstream.Client implements
+// it.
 type ServiceCaller interface {
 	Do(req *http.Request, repeatable bool) (*http.Response, error)
 }
 
-// ServiceRequest is an admitted call of a plain service.
+// ServiceRequest is an admitted call to a plain service.
 type ServiceRequest struct {
 	ID           string
 	Organisation string
 	Name         string
 	Service      config.Service
 	Method       string
-	// Path starts with "/" and RawQuery may be empty.
+	// Path starts with "/". RawQuery may be empty.
 	Path     string
 	RawQuery string
 	Header   http.Header
 	Body     []byte
 	Deadline time.Time
-	// NotRun is called before the answer ends when the work was not run.
+	// OnNotRun is called before the answer ends if the work was not run.
 	OnNotRun func()
 }
 
@@ -53,8 +54,8 @@
 	return slices.Contains(r.Service.RepeatableMethods, r.Method)
 }
 
-// RunService runs a call to its end and always ends the answer. It reports
-// what became of the work.
+// RunService runs a call to its end and always ends the answer. It returns
+// whether the work was run.
 func (d *Dispatcher) RunService(ctx context.Context, req ServiceRequest, out *answer.Answer) fault.Ran {
 	ctx, cancel := context.WithDeadline(ctx, req.Deadline)
 	defer cancel()
@@ -66,7 +67,7 @@
 		Organisation: req.Organisation,
 		Deadline:     req.Deadline,
 		Kind:         config.Kind{Idempotent: req.repeatable(), Priority: req.Service.Priority},
-		OnNotRun:       req.OnNotRun,
+		OnNotRun:     req.OnNotRun,
 	}, out)
 	e.bill.Service = req.Name
 	if err := e.callService(ctx, req); err != nil {
@@ -98,7 +99,9 @@
 	return fault.New(fault.NoUpstream, "no instance of service %q took the call", req.Name)
 }
 
-// acquireService waits for room at an instance of the service.
+// acquireService waits until an instance of the service has capacity. It returns
+// the instance and the id of the attempt, which is already counted towards the
+// load of that instance.
 func (e *execution) acquireService(ctx context.Context, req ServiceRequest, excluded map[string]bool) (member.Upstream, string, error) {
 	id := e.req.ID
 	var chosen member.Upstream
@@ -123,9 +126,12 @@
 	return chosen, id, err
 }
 
-// serviceSlots is the parallel calls assumed where a service reports none.
+// defaultServiceSlots is the assumed number of concurrent calls of an instance
+// that does not report its slots.
 const defaultServiceSlots = 64
 
+// serviceLoads returns the loads of the usable instances of a service that are
+// not in excluded.
 func (e *execution) serviceLoads(name string, excluded map[string]bool) []route.UpstreamLoad {
 	var loads []route.UpstreamLoad
 	for _, u := range e.Upstreams.Usable(backing.RoleService) {
@@ -155,14 +161,14 @@
 	return member.Upstream{}
 }
 
-// serviceReply is a whole answer of a service.
+// serviceReply is the complete answer of a service.
 type serviceReply struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// tryService sends the call to one instance and reads the whole answer.
+// sendServiceCall sends the call to one instance and reads the complete answer.
 func (e *execution) sendServiceCall(ctx context.Context, req ServiceRequest, u member.Upstream, id string) (serviceReply, attemptResult) {
 	ctx, span := tracer.Start(ctx, "call")
 	defer span.End()
@@ -199,6 +205,7 @@
 	return serviceReply{status: resp.StatusCode, header: resp.Header, body: body}, attemptResult{}
 }
 
+// serviceFailure returns the result of a call with an unknown outcome.
 func (e *execution) serviceFailure(ctx context.Context, err error) attemptResult {
 	if ctx.Err() != nil {
 		return attemptResult{err: ctx.Err(), upstreamFailed: errors.Is(ctx.Err(), context.DeadlineExceeded), noRetry: true}
@@ -206,6 +213,8 @@
 	return attemptResult{err: fault.New(fault.UpstreamFailed, "%v", err), upstreamFailed: true}
 }
 
+// recordServiceCall writes the instance and the attempt into the bill before the
+// call is sent. It opens the bill if it is not open yet.
 func (e *execution) recordServiceCall(ctx context.Context, u member.Upstream, id string) error {
 	e.bill.Upstream = u.Instance.Address
 	e.bill.Attempt = id
@@ -228,8 +237,9 @@
 	return e.finish(ctx, upstream.Event{Delta: string(reply.body), FinishReason: "stop"})
 }
 
-// hopHeaders belong to one connection and are not passed on, nor is what
-// identifies the caller to this system.
+// unforwardedHeaders are the headers that are forwarded neither to a service nor
+// back to the caller: those that belong to a single connection, and those that
+// identify the caller to this system.
 var unforwardedHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Authorization", "Idempotency-Key", "Traceparent",
--- a/internal/dispatch/times.go
+++ b/internal/dispatch/times.go
@@ -7,13 +7,14 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/config"
 )
 
-// timing is what a version usually takes.
+// timing is the expected latency of a version.
 type timing struct {
 	firstToken time.Duration
 	perToken   time.Duration
 }
 
-// times keeps smoothed timings by version.
+// latencyEstimator estimates the latency of each version by exponential
+// smoothing.
 //
 // Lock order: mu is taken alone.
 type latencyEstimator struct {
@@ -21,9 +22,11 @@
 	table map[config.VersionRef]timing
 }
 
-func newLatencyEstimator() *latencyEstimator { return &latencyEstimator{table: map[config.VersionRef]timing{}} }
+func newLatencyEstimator() *latencyEstimator {
+	return &latencyEstimator{table: map[config.VersionRef]timing{}}
+}
 
-// timeSmoothing is the weight of a new sample.
+// smoothingWeight is the weight of a new sample.
 const smoothingWeight = 0.05
 
 func (t *latencyEstimator) estimate(ref config.VersionRef) timing {
@@ -35,12 +38,12 @@
 func (t *latencyEstimator) observe(ref config.VersionRef, firstToken, perToken time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	have, seen := t.table[ref]
+	mean, seen := t.table[ref]
 	if !seen {
 		t.table[ref] = timing{firstToken: firstToken, perToken: perToken}
 		return
 	}
-	have.firstToken += time.Duration(smoothingWeight * float64(firstToken-have.firstToken))
-	have.perToken += time.Duration(smoothingWeight * float64(perToken-have.perToken))
-	t.table[ref] = have
+	mean.firstToken += time.Duration(smoothingWeight * float64(firstToken-mean.firstToken))
+	mean.perToken += time.Duration(smoothingWeight * float64(perToken-mean.perToken))
+	t.table[ref] = mean
 }
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -20,16 +20,16 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/neterr"
 )
 
-// controlTimeout bounds load reports, orders, usage questions and cancels.
+// controlTimeout limits calls for load reports, orders, usage and cancellation.
 const controlTimeout = 2 * time.Second
 
-// RefusedError says that the upstream itself did not start the work.
+// RefusedError is returned if the upstream refused to start the work.
 type RefusedError struct{ Reason RefusalReason }
 
 // Error implements error.
 func (e *RefusedError) Error() string { return "upstream refused: " + string(e.Reason) }
 
-// NotSentError says that no byte of the request reached the upstream.
+// NotSentError is returned if no byte of the request reached the upstream.
 type NotSentError struct{ Cause error }
 
 // Error implements error.
@@ -45,13 +45,13 @@
 	return errors.As(err, &refused) || errors.As(err, &notSent)
 }
 
-// Client speaks to all upstreams over one connection pool.
+// Client calls upstreams. All calls share one connection pool.
 type Client struct {
 	stream  *http.Client
 	control *http.Client
 }
 
-// NewClient returns a client whose connections are made within dialTimeout.
+// NewClient returns a Client that waits at most dialTimeout for a connection.
 func NewClient(dialTimeout time.Duration) *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	transport := &http.Transport{
@@ -66,20 +66,20 @@
 	}
 }
 
-// noRedirect keeps a redirect from repeating a request that may have run.
+// noRedirect prevents that a redirect repeats a request that may have run.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.stream.CloseIdleConnections() }
 
-// Do sends a request whose repetition is not allowed unless the caller says
-// so.
+// Do sends a request. Unless repeatable is set, the request is sent at most once.
 //
-// net/http repeats a request on its own when a reused connection turns out to
-// be closed and the request looks replayable (a GET, or any method with an
-// Idempotency-Key header, if its body can be had again). That repeat would
-// run non-idempotent work twice, seen as two runs of one billed call. A body
-// that is present and cannot be had again switches the repeat off.
+// net/http repeats a request on its own if a reused connection turns out to be
+// closed and the request looks replayable: a GET, or any method with an
+// Idempotency-Key header, if the body can be read again. Non-idempotent work
+// would then run twice but be billed once. net/http does not repeat a request
+// whose body is present and cannot be read again, so Do hides the type of the
+// body and removes GetBody.
 func (c *Client) Do(req *http.Request, repeatable bool) (*http.Response, error) {
 	if !repeatable {
 		if req.Body == nil {
@@ -96,9 +96,9 @@
 	return resp, err
 }
 
-// Start sends an attempt and returns its event stream. The error is a
-// *RefusedError or *NotSentError when the attempt was not run; after any
-// other error it may have been.
+// Start sends an attempt and returns its event stream. A *RefusedError or a
+// *NotSentError means that the attempt was not run. After any other error, it may
+// have run.
 func (c *Client) Start(ctx context.Context, address string, a Attempt) (*Stream, error) {
 	body, err := json.Marshal(a.Chat)
 	if err != nil {
@@ -116,7 +116,7 @@
 	return c.openStream(req, a.ID, 0)
 }
 
-// Resume asks for the events of an attempt after the first next events.
+// Resume opens a stream that continues an attempt with the event at offset next.
 func (c *Client) Resume(ctx context.Context, address, attempt string, next int) (*Stream, error) {
 	target := fmt.Sprintf("http://%s/v1/attempts/%s/stream?after=%d", address, url.PathEscape(attempt), next-1)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
@@ -126,6 +126,8 @@
 	return c.openStream(req, attempt, next)
 }
 
+// openStream sends a request whose answer is the event stream of an attempt. Its
+// first event has offset next.
 func (c *Client) openStream(req *http.Request, attempt string, next int) (*Stream, error) {
 	resp, err := c.Do(req, false)
 	if err != nil {
@@ -146,30 +148,31 @@
 	return nil, trace.ConnectionProblem(nil, "upstream answered %d: %s", resp.StatusCode, data)
 }
 
-// Cancel stops an attempt. Cancelling one that has ended is no error.
+// Cancel stops an attempt. It returns no error if the attempt has already ended.
 func (c *Client) Cancel(ctx context.Context, address, attempt string) error {
 	return c.callJSON(ctx, http.MethodDelete, address, "/v1/attempts/"+url.PathEscape(attempt), nil, nil)
 }
 
-// Load fetches the load report.
+// LoadReport requests the load report of an engine.
 func (c *Client) Load(ctx context.Context, address string) (LoadReport, error) {
 	var report LoadReport
 	err := c.callJSON(ctx, http.MethodGet, address, "/v1/load", nil, &report)
 	return report, err
 }
 
-// Order sends an order and returns nil once the engine took it.
+// SendOrder sends an order. It returns nil once the engine has accepted it.
 func (c *Client) Order(ctx context.Context, address string, o Order) error {
 	return c.callJSON(ctx, http.MethodPost, address, "/v1/orders", o, nil)
 }
 
-// Usage asks what was run for a request.
+// RequestUsage returns what an engine ran for a request.
 func (c *Client) Usage(ctx context.Context, address, requestID string) (RequestUsage, error) {
 	var usage RequestUsage
 	err := c.callJSON(ctx, http.MethodGet, address, "/v1/usage?request="+url.QueryEscape(requestID), nil, &usage)
 	return usage, err
 }
 
+// callJSON sends in as JSON and decodes the answer into out. Either may be nil.
 func (c *Client) callJSON(ctx context.Context, method, address, path string, in, out any) error {
 	var body io.Reader
 	if in != nil {
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -10,41 +10,42 @@
 	"github.com/tmaxmax/go-sse"
 )
 
-// reorderWindow is how many events may wait for a missing one.
+// reorderWindow limits the events that are buffered while an earlier one is missing.
 const reorderWindow = 64
 
-// ErrCut says that the connection ended before the answer did.
-var ErrIncomplete = errors.New("stream ended before the answer")
+// ErrIncomplete is returned if a connection ended before the answer was complete.
+var ErrIncomplete = errors.New("stream ended before the answer was complete")
 
-// maxEventBytes bounds one SSE event.
+// maxEventBytes limits the size of one SSE event.
 const maxEventBytes = 1 << 20
 
 // Stream yields the events of one attempt in order.
 //
-// Connections can deliver events late, twice, out of order or for an attempt
-// that was given up; a caller would see words repeated, swapped or from
-// another answer. The assembler passes an event on only when its attempt
-// matches and its offset is the next one, so what comes out is a prefix of
-// the answer, and the end comes out only after everything before it.
+// Connections can deliver events late, twice, out of order, or from an abandoned
+// attempt. A caller would receive words repeated, swapped or from another answer.
+// So events of other attempts are dropped, and the others are yielded by
+// increasing offset without gaps: the output is always a prefix of the answer,
+// and its last event comes only after all others.
 type Stream struct {
-	body io.Closer
-	pull func() (sse.Event, error, bool)
-	stop func()
-	buffer  reorderBuffer
+	body   io.Closer
+	pull   func() (sse.Event, error, bool)
+	stop   func()
+	buffer reorderBuffer
 }
 
 func newStream(body io.ReadCloser, attempt string, next int) *Stream {
 	pull, stop := iter.Pull2(sse.Read(body, &sse.ReadConfig{MaxEventSize: maxEventBytes}))
 	return &Stream{
-		body: body,
-		pull: pull,
-		stop: stop,
-		buffer:  reorderBuffer{attempt: attempt, next: next, pending: map[int]Event{}},
+		body:   body,
+		pull:   pull,
+		stop:   stop,
+		buffer: reorderBuffer{attempt: attempt, next: next, pending: map[int]Event{}},
 	}
 }
 
-// Next returns the next event in order. It returns ErrCut when the connection
-// ended first; the attempt can then be resumed after Offset events.
+// Next returns the next event in order. If the connection ends before the answer
+// is complete, it returns ErrIncomplete; the attempt can then be resumed at
+// NextOffset.
 func (s *Stream) Next() (Event, error) {
 	for {
 		if e, ok := s.buffer.pop(); ok {
@@ -59,32 +60,33 @@
 		}
 		var e Event
 		if err := json.Unmarshal([]byte(raw.Data), &e); err != nil {
-			return Event{}, trace.Wrap(ErrIncomplete, "undecodable event")
+			return Event{}, trace.Wrap(ErrIncomplete, "cannot decode event")
 		}
 		if !s.buffer.push(e) {
-			return Event{}, trace.Wrap(ErrIncomplete, "more than %d events out of order", reorderWindow)
+			return Event{}, trace.Wrap(ErrIncomplete, "more than %d events buffered for a missing one", reorderWindow)
 		}
 	}
 }
 
-// Offset is how many events have been returned, over all connections.
+// NextOffset returns the offset of the next event. It counts the events returned
+// over all connections of the attempt.
 func (s *Stream) NextOffset() int { return s.buffer.next }
 
-// Close ends the connection. It does not cancel the attempt.
+// Close closes the connection. It does not cancel the attempt.
 func (s *Stream) Close() {
 	s.body.Close()
 	s.stop()
 }
 
-// assembler puts events of one attempt in order.
+// reorderBuffer puts the events of one attempt in order.
 type reorderBuffer struct {
 	attempt string
 	next    int
 	pending map[int]Event
 }
 
-// push takes an event in. It returns false when too many events wait for a
-// missing one.
+// push adds an event. It drops duplicates and events of other attempts. It returns
+// false if more than reorderWindow events are buffered.
 func (a *reorderBuffer) push(e Event) bool {
 	if e.Attempt != a.attempt || e.Offset < a.next {
 		return true
@@ -93,6 +95,8 @@
 	return len(a.pending) <= reorderWindow
 }
 
+// pop removes and returns the next event in order. It returns false if that event
+// has not arrived yet.
 func (a *reorderBuffer) pop() (Event, bool) {
 	e, ok := a.pending[a.next]
 	if !ok {
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -15,9 +15,9 @@
 	"pgregory.net/rapid"
 )
 
-// A server takes a call on a kept connection, runs it, and closes the
-// connection without an answer. net/http would send the call again by itself
-// when it carries an Idempotency-Key; a reply draft would go out twice.
+// A server reads a call on a reused connection, runs it, and closes the connection
+// without an answer. net/http repeats such a call if it has an Idempotency-Key
+// header. A reply draft would be sent twice.
 func TestTransportDoesNotRepeatCalls(t *testing.T) {
 	for _, body := range []string{"", "draft"} {
 		var calls atomic.Int32
@@ -44,13 +44,13 @@
 		require.NoError(t, call("/first"))
 		err = call("/second")
 		require.Error(t, err)
-		require.False(t, NotRun(err), "it may have been run, and was")
+		require.False(t, NotRun(err), "the server ran the call")
 		require.Equal(t, int32(1), calls.Load())
 	}
 }
 
-// serveOnceThenClose answers the first request of each connection and closes
-// it after reading the second, which it counts.
+// serveOnceThenClose answers the first request on each connection. It counts the
+// second one and closes the connection without an answer.
 func serveOnceThenClose(l net.Listener, second *atomic.Int32) {
 	for {
 		conn, err := l.Accept()
@@ -77,14 +77,17 @@
 	}
 }
 
+// Nothing listens at the address. An attempt that could not be sent must be
+// reported as not run, so that it can be retried elsewhere.
 func TestRefusedConnectionIsNotRun(t *testing.T) {
 	c := NewClient(time.Second)
 	_, err := c.Start(context.Background(), "127.0.0.1:1", Attempt{ID: "a"})
 	require.True(t, NotRun(err))
 }
 
-// Events arrive in any order within the window, any number of times, and mixed
-// with those of another attempt. What comes out is the answer, in order.
+// Events arrive in any order within the window, more than once, and mixed with
+// those of another attempt. The buffer must yield the events of its own attempt,
+// each once and in order.
 func TestReorderBufferYieldsAnswerInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, reorderWindow).Draw(t, "events")
@@ -101,7 +104,7 @@
 		var out []Event
 		for _, e := range rapid.Permutation(sent).Draw(t, "order") {
 			if !a.push(e) {
-				t.Fatal("the window was left")
+				t.Fatal("more events buffered than the window allows")
 			}
 			for {
 				e, ok := a.pop()
--- a/internal/upstream/wire.go
+++ b/internal/upstream/wire.go
@@ -1,21 +1,21 @@
-// Package upstream is the boundary to the model engines and plain services
-// that do the work.
+// Package upstream is the client for the model engines and plain services that
+// run the work.
 //
-// Engines speak an OpenAI-shaped HTTP API with these paths:
+// Engines have an HTTP API similar to OpenAI's, with these paths:
 //
-//	POST   /v1/chat/completions              start an attempt, answer as SSE
-//	GET    /v1/attempts/{id}/stream?after=N  resume the attempt's events after offset N
-//	DELETE /v1/attempts/{id}                 cancel
-//	GET    /v1/usage?request=ID              what was run for a request
+//	POST   /v1/chat/completions              start an attempt; the answer is an SSE stream
+//	GET    /v1/attempts/{id}/stream?after=N  resume the events of an attempt after offset N
+//	DELETE /v1/attempts/{id}                 cancel an attempt
+//	GET    /v1/usage?request=ID              usage of a request
 //	GET    /v1/load                          load report
-//	POST   /v1/orders                        load, unload or cordon a version
+//	POST   /v1/orders                        load or unload a version
 package upstream
 
 import (
 	"time"
 )
 
-// Headers of an attempt.
+// Headers of the request that starts an attempt.
 const (
 	HeaderAttempt  = "X-Attempt-Id"
 	HeaderRequest  = "X-Request-Id"
@@ -23,13 +23,13 @@
 	HeaderKind     = "X-Kind"
 )
 
-// Message is one turn of a conversation.
+// Message is one message of a conversation.
 type Message struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// ChatRequest is the body of an attempt.
+// ChatRequest is the body of the request that starts an attempt.
 type ChatRequest struct {
 	// Model is "name@version".
 	Model       string    `json:"model"`
@@ -42,27 +42,27 @@
 	Stream      bool      `json:"stream"`
 }
 
-// Attempt names one try of a request at one upstream.
+// Attempt describes one attempt to run a request at an upstream.
 type Attempt struct {
 	ID        string
 	RequestID string
 	Kind      string
-	// Priority is larger for more urgent work.
+	// Priority is higher for more urgent work.
 	Priority int
 	Chat     ChatRequest
-	// Deadline bounds the whole attempt.
+	// Deadline is not sent to the upstream.
 	Deadline time.Time
 }
 
-// Usage counts the tokens of an attempt.
+// Usage holds the token counts of an attempt.
 type Usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// Event is one SSE event of an attempt. Offsets count from 0 without gaps;
-// the last event has FinishReason set.
+// Event is one SSE event of an attempt. Offset is its index in the answer, from 0.
+// Only the last event of a complete answer has a FinishReason.
 type Event struct {
 	Attempt      string `json:"attempt"`
 	Offset       int    `json:"offset"`
@@ -71,13 +71,13 @@
 	Usage        *Usage `json:"usage,omitempty"`
 }
 
-// Last reports whether e ends the answer.
+// Last reports whether e is the last event of the answer.
 func (e Event) Last() bool { return e.FinishReason != "" }
 
-// RefusalReason is why an engine did not start an attempt or obey an order.
+// RefusalReason is the reason why an engine refuses an attempt or an order.
 type RefusalReason string
 
-// Reasons of refusals. An attempt refused with any of them was not run.
+// Reasons of refusals. A refused attempt was not run.
 const (
 	RefusedNotServed RefusalReason = "not_served"
 	RefusedLeaving   RefusalReason = "leaving"
@@ -86,47 +86,48 @@
 	RefusedBusy      RefusalReason = "busy"
 )
 
-// Refusal is the body of a 409 or 429 answer.
+// Refusal is the body of a 409 or 429 response.
 type Refusal struct {
 	Refused RefusalReason `json:"refused"`
 }
 
-// VersionLoad is a version that an engine serves.
+// VersionLoad is the state of a version at an engine.
 type VersionLoad struct {
 	Model   string `json:"model"`
 	Version string `json:"version"`
-	// Ready is false while weights are still being loaded.
+	// Ready is false while the weights are being loaded.
 	Ready bool `json:"ready"`
 }
 
-// LoadReport is what an engine says of itself. It lags behind the truth.
+// LoadReport is the load that an engine reports. It is always somewhat outdated.
 type LoadReport struct {
 	Instance string        `json:"instance"`
 	Versions []VersionLoad `json:"versions"`
 	Running  int           `json:"running"`
 	Queued   int           `json:"queued"`
-	// Slots is how many attempts run at once without queueing.
+	// Slots is the number of attempts that run at once without queueing.
 	Slots int `json:"slots"`
 	// TokensPerSecond is the recent rate of generated tokens.
 	TokensPerSecond float64 `json:"tokens_per_second"`
 	Leaving         bool    `json:"leaving"`
-	// AgeMS is how old the figures were when they were sent.
+	// AgeMS is the age of the figures when the report was sent.
 	AgeMS int64 `json:"age_ms"`
-	// Fence is the highest fencing number obeyed so far.
+	// Fence is the highest fence of an order that the engine has executed.
 	Fence int64 `json:"fence"`
 }
 
-// OrderAction is what an order asks of an engine.
+// OrderAction is the action that an order requests.
 type OrderAction string
 
-// Actions of orders. Each states a wanted end state and may be repeated.
+// Actions of orders. Each one requests a target state, so an order may be repeated.
 const (
 	OrderLoad   OrderAction = "load"
 	OrderUnload OrderAction = "unload"
 )
 
-// Order asks an engine to serve or stop serving a version. Engines that check
-// fencing refuse an order whose Fence is lower than one already obeyed.
+// Order tells an engine to serve a version or to stop serving it. Engines that
+// support fencing refuse an order with a lower fence than one that they have
+// executed.
 type Order struct {
 	Fence   int64       `json:"fence"`
 	Action  OrderAction `json:"action"`
@@ -134,14 +135,14 @@
 	Version string      `json:"version"`
 }
 
-// RequestUsage is what an engine ran for a request.
+// RequestUsage is what an engine has run for a request.
 type RequestUsage struct {
 	RequestID string `json:"request_id"`
-	// Attempts counts the attempts started.
+	// Attempts is the number of attempts that were started.
 	Attempts int `json:"attempts"`
-	// Running is true while an attempt is not finished.
+	// Running is true while an attempt is in progress.
 	Running bool `json:"running"`
-	// Finished is true when an attempt ran to its end.
+	// Finished is true if an attempt ran to its end.
 	Finished bool   `json:"finished"`
 	Usage    Usage  `json:"usage"`
 	Attempt  string `json:"attempt"`
