--- a/internal/caller/caller_test.go
+++ b/internal/caller/caller_test.go
@@ -24,7 +24,7 @@
 	tick    = 10 * time.Millisecond
 )
 
-// startDev runs a daemon on stand-ins in this process.
+// startDev starts a daemon with simulated dependencies in this process.
 func startDev(t *testing.T) (url string, dev *standin.Dev) {
 	t.Helper()
 	dev, err := standin.StartDev()
@@ -49,6 +49,8 @@
 	return url, dev
 }
 
+// Invalid requests must be refused with the error kind and the field that is wrong,
+// must be reported as not run, and must not be billed.
 func TestInvalidRequestsAreRejected(t *testing.T) {
 	url, dev := startDev(t)
 	const good = `{"model":"auto","messages":[{"role":"user","content":"hi"}]}`
@@ -109,6 +111,8 @@
 	require.Empty(t, rows, "bad input is not billed")
 }
 
+// An organisation must see only the models that it may use, and its calls must reach
+// plain services with their path. Unknown services, requests and paths return 404.
 func TestModelsAndServices(t *testing.T) {
 	url, _ := startDev(t)
 	get := func(path, key string) (int, string) {
@@ -138,8 +142,8 @@
 	require.Contains(t, body, string(fault.NotFound))
 }
 
-// Every kind has a row in the answers table, and an answer that helps to come
-// back says when.
+// A kind without an entry in the table of package fault would be reported as an internal
+// error. A 429 or 503 without Retry-After would not tell callers when to retry.
 func TestEveryErrorKindHasAStatus(t *testing.T) {
 	for _, kind := range fault.Kinds() {
 		w := httptest.NewRecorder()
--- a/internal/caller/chat.go
+++ b/internal/caller/chat.go
@@ -22,15 +22,16 @@
 )
 
 const (
-	// autoModel lets the router choose.
+	// autoModel is the model name with which the caller leaves the choice of the model
+	// to the router.
 	autoModel = "auto"
-	// defaultKind is used when the caller names none.
+	// defaultKind is the kind of a request without HeaderKind.
 	defaultKind = "default"
-	// maxKeyLen bounds an Idempotency-Key.
+	// maxKeyLen limits the length of an idempotency key, in bytes.
 	maxKeyLen = 256
 )
 
-// content is the text of a message: a string, or a list of text parts.
+// content is the text of a message. In JSON it is a string or a list of text parts.
 type content string
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -58,7 +59,7 @@
 	return nil
 }
 
-// chatBody is the part of an OpenAI chat completion request that is used.
+// chatBody holds the supported fields of an OpenAI chat completion request.
 type chatBody struct {
 	Model    string `json:"model"`
 	Messages []struct {
@@ -78,7 +79,7 @@
 	} `json:"stream_options"`
 }
 
-// incoming is a checked chat request.
+// chatCall is a validated chat request.
 type chatCall struct {
 	snapshot     *config.Snapshot
 	request      dispatch.Request
@@ -87,6 +88,7 @@
 	includeUsage bool
 }
 
+// chat responds to a chat completion request.
 func (s *Server) chat(c *gin.Context) {
 	in, err := s.parseChat(c)
 	if err != nil {
@@ -106,6 +108,7 @@
 	r.writeWhole(reader)
 }
 
+// parseChat reads and validates a chat request.
 func (s *Server) parseChat(c *gin.Context) (chatCall, error) {
 	snapshot, organisation, err := s.authenticate(c)
 	if err != nil {
@@ -151,7 +154,8 @@
 	return in, err
 }
 
-// readBody reads the whole body within the limit.
+// readBody reads the request body. It returns an error if the body exceeds the
+// limit.
 func (s *Server) readBody(c *gin.Context) ([]byte, error) {
 	raw, err := io.ReadAll(http.MaxBytesReader(c.Writer, c.Request.Body, s.Options.MaxBody))
 	var tooLarge *http.MaxBytesError
@@ -164,6 +168,7 @@
 	return raw, nil
 }
 
+// toChat validates the body and converts it to an upstream.ChatRequest.
 func (b chatBody) toChat() (upstream.ChatRequest, error) {
 	chat := upstream.ChatRequest{
 		MaxTokens:   max(b.MaxTokens, b.MaxCompletionTokens),
@@ -206,6 +211,7 @@
 	return chat, nil
 }
 
+// workKind returns the name and the definition of the request's kind.
 func workKind(c *gin.Context, snapshot *config.Snapshot) (string, config.Kind, error) {
 	name := c.GetHeader(HeaderKind)
 	if name == "" {
@@ -218,10 +224,12 @@
 	return name, kind, nil
 }
 
-func (s *Server) parseDeadline(c *gin.Context, usual time.Duration) (time.Time, error) {
+// parseDeadline returns the deadline from the request header, or timeout from now if
+// there is none. A longer time than maxTimeout is reduced to it.
+func (s *Server) parseDeadline(c *gin.Context, timeout time.Duration) (time.Time, error) {
 	text := c.GetHeader(HeaderDeadline)
 	if text == "" {
-		return s.Clock.Now().Add(usual), nil
+		return s.Clock.Now().Add(timeout), nil
 	}
 	ms, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
@@ -230,12 +238,12 @@
 	if ms <= 0 {
 		return time.Time{}, fault.New(fault.DeadlinePast, "%s: the deadline is past", HeaderDeadline)
 	}
-	const longest = 24 * time.Hour
-	return s.Clock.Now().Add(min(time.Duration(ms)*time.Millisecond, longest)), nil
+	const maxTimeout = 24 * time.Hour
+	return s.Clock.Now().Add(min(time.Duration(ms)*time.Millisecond, maxTimeout)), nil
 }
 
-// selectModel reads the model selector and checks it against what the
-// organisation may use.
+// selectModel sets the model and the version of req from selector. It returns an
+// error if they do not exist or the organisation may not use them.
 func selectModel(snapshot *config.Snapshot, organisation, selector string, req *dispatch.Request) error {
 	if selector == autoModel {
 		return nil
@@ -258,6 +266,7 @@
 	return fault.New(fault.ModelNotAllowed, "model: the organisation may not use %q", selector)
 }
 
+// parseSession sets the session of req from the session token, if there is one.
 func (s *Server) parseSession(c *gin.Context, req *dispatch.Request) error {
 	token := c.GetHeader(HeaderSession)
 	if token == "" {
@@ -274,6 +283,8 @@
 	return nil
 }
 
+// parseIdempotencyKey returns the idempotency key of the request, or nil if there is
+// none. It returns an error if a key is required but missing.
 func parseIdempotencyKey(c *gin.Context, organisation string, required bool) (*claim.Key, error) {
 	value := c.GetHeader(HeaderKey)
 	switch {
@@ -287,14 +298,15 @@
 	return &claim.Key{Organisation: organisation, Value: value}, nil
 }
 
-// digest binds an idempotency key to the request it was first used for.
+// digest identifies the content of a request. It is stored with the idempotency key,
+// so that the key cannot be used again for a different request.
 func digest(parts ...string) string {
 	sum := sha256.Sum256([]byte(strings.Join(parts, "\x00")))
 	return hex.EncodeToString(sum[:])
 }
 
-// submitChat starts the request, or finds the earlier one with its key, and
-// returns a reader of the answer and the request id.
+// submitChat starts the request, or finds the earlier request with the same
+// idempotency key. It returns a reader of the answer and the id of the request.
 func (s *Server) submitChat(c *gin.Context, in chatCall) (Reader, string, error) {
 	id := s.Requests.Next()
 	reader, earlier, err := s.claimKey(c, in.key, in.digest, id)
@@ -323,8 +335,9 @@
 	return out, id, nil
 }
 
-// claim decides on a request with an idempotency key. It returns the reader of
-// the earlier answer when the key has been used.
+// claimKey claims the idempotency key for the request id. If the key was used before,
+// it returns a reader of the earlier answer and the id of the earlier request. It
+// returns a nil reader if the request id may run.
 func (s *Server) claimKey(c *gin.Context, key *claim.Key, digest, id string) (Reader, string, error) {
 	if key == nil {
 		return nil, "", s.Directory.Refusing()
@@ -349,12 +362,15 @@
 	return reader, decision.RequestID, nil
 }
 
+// releaseKey releases the idempotency key of a request that was not run.
 func (s *Server) releaseKey(key *claim.Key, id string) {
 	if key != nil {
 		s.Claims.Release(*key, id)
 	}
 }
 
+// admit checks the limits of the organisation. The caller must call the returned
+// function when the request ends.
 func (s *Server) admit(snapshot *config.Snapshot, organisation string, tokens int) (func(), error) {
 	limits := snapshot.Doc.Organisations[organisation].Limits
 	release, wait, ok := s.Limits.Admit(organisation, limits, tokens)
--- a/internal/caller/fuzz_test.go
+++ b/internal/caller/fuzz_test.go
@@ -7,8 +7,8 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/fault"
 )
 
-// FuzzChatBody feeds any body: it is taken with a model and messages, or
-// refused with an error that says that nothing ran.
+// FuzzChatBody decodes arbitrary bodies. Each must either be accepted with at least one
+// message, or be refused as a bad request that was not run.
 func FuzzChatBody(f *testing.F) {
 	f.Add(`{"model":"auto","messages":[{"role":"user","content":"hi"}]}`)
 	f.Add(`{"model":"auto","messages":[{"role":"user","content":[{"type":"text","text":"hi"}]}],"stop":["a"],"n":1}`)
@@ -26,7 +26,7 @@
 			return
 		}
 		if len(chat.Messages) == 0 {
-			t.Fatal("taken without messages")
+			t.Fatal("accepted without messages")
 		}
 	})
 }
--- a/internal/caller/models.go
+++ b/internal/caller/models.go
@@ -7,9 +7,11 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/config"
 )
 
-// modelOwner is the owner named in GET /v1/models.
+// modelOwner is the value of owned_by in GET /v1/models.
 const modelOwner = "hornbeamsill"
 
+// allowedModels returns the versions that an organisation may use, without those
+// that are withdrawn.
 func allowedModels(snapshot *config.Snapshot, organisation string) []model {
 	out := []model{}
 	for _, name := range slices.Sorted(maps.Keys(snapshot.Doc.Models)) {
--- a/internal/caller/requests.go
+++ b/internal/caller/requests.go
@@ -11,10 +11,10 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/session"
 )
 
-// requestStatus is the answer to GET /v1/requests/{id}.
+// requestStatus is the body of the response to GET /v1/requests/{id}.
 type requestStatus struct {
 	Request string `json:"request"`
-	// State is running, answered or failed.
+	// State is "running", "answered" or "failed".
 	State   string           `json:"state"`
 	Model   string           `json:"model,omitempty"`
 	Version string           `json:"version,omitempty"`
@@ -22,8 +22,8 @@
 	Error   *fault.BodyError `json:"error,omitempty"`
 }
 
-// findReader finds the answer of the request in the path and checks that it
-// belongs to the caller.
+// findReader returns a reader of the answer to the request in the path. It returns
+// an error if the request belongs to another organisation.
 func (s *Server) findReader(c *gin.Context) (Reader, error) {
 	_, organisation, err := s.authenticate(c)
 	if err != nil {
@@ -45,6 +45,8 @@
 	return reader, nil
 }
 
+// parseResume verifies the resume token in the header or in the query. It returns
+// nil if there is none.
 func (s *Server) parseResume(c *gin.Context, id, organisation string) (*session.Resume, error) {
 	token := c.GetHeader(HeaderResume)
 	if token == "" {
@@ -63,18 +65,19 @@
 	return &resume, nil
 }
 
+// showRequest responds with the status of a request.
 func (s *Server) showRequest(c *gin.Context) {
 	reader, err := s.findReader(c)
 	if err != nil {
 		s.writeError(c, err)
 		return
 	}
-	snapshotter, ok := reader.(interface{ View(after int) answer.View })
+	viewer, ok := reader.(interface{ View(after int) answer.View })
 	if !ok {
 		s.writeError(c, fault.New(fault.RequestNotFound, "request %s is only known as a stream", c.Param("id")))
 		return
 	}
-	view := snapshotter.View(-1)
+	view := viewer.View(-1)
 	c.Header(HeaderRequest, c.Param("id"))
 	c.JSON(http.StatusOK, statusOf(c.Param("id"), view))
 }
@@ -94,7 +97,7 @@
 	return out
 }
 
-// stream continues the stream of an answer after an offset.
+// resumeStream streams the events of an answer that follow a given offset.
 func (s *Server) resumeStream(c *gin.Context) {
 	after := -1
 	if text := c.Query("after"); text != "" {
--- a/internal/caller/respond.go
+++ b/internal/caller/respond.go
@@ -15,21 +15,21 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/upstream"
 )
 
-// withTraceOf returns base with the trace of ctx, so that work that outlives
-// the connection stays in the caller's trace.
+// withTraceFrom returns base with the span context of ctx. Work that outlives the
+// connection then stays in the trace of the caller.
 func withTraceFrom(base, ctx context.Context) context.Context {
 	return trace.ContextWithSpanContext(base, trace.SpanContextFromContext(ctx))
 }
 
-// extension is what a streamed chunk carries beyond the OpenAI shape, in its
-// first event.
+// chunkExtension holds the fields that the first chunk of a stream has in addition
+// to those of OpenAI.
 type chunkExtension struct {
 	Request string `json:"request"`
-	// Resume lets any daemon continue the stream.
+	// Resume is a token with which any daemon can continue the stream.
 	Resume string `json:"resume"`
 }
 
-// chunk is a streamed event in the OpenAI shape.
+// chunk is one event of a streamed answer in OpenAI's format.
 type chunk struct {
 	ID           string          `json:"id"`
 	Object       string          `json:"object"`
@@ -51,7 +51,7 @@
 	Content string `json:"content"`
 }
 
-// completion is a whole answer in the OpenAI shape.
+// completion is a complete answer in OpenAI's format.
 type completion struct {
 	ID      string             `json:"id"`
 	Object  string             `json:"object"`
@@ -77,11 +77,13 @@
 	server *Server
 	c      *gin.Context
 	id     string
-	// after is the offset of the last event that the caller has.
+	// after is the offset of the last event that the caller already has, or -1.
 	after        int
 	includeUsage bool
 }
 
+// setHeaders sets the response headers that describe the answer. Answers of plain
+// services have only the request id.
 func (r *responder) setHeaders(head *answer.Head) {
 	r.c.Header(HeaderRequest, r.id)
 	if head.Version.Model == "" {
@@ -93,7 +95,8 @@
 	r.c.Header(HeaderResume, head.Resume)
 }
 
-// attach counts this connection as a reader, where the answer counts them.
+// attach counts this connection as a reader of the answer if the answer is at this
+// daemon. The returned function ends that.
 func (r *responder) attach(reader Reader) func() {
 	if local, ok := reader.(*answer.Answer); ok {
 		return local.Attach(r.server.Clock.Now)
@@ -101,7 +104,7 @@
 	return func() {}
 }
 
-// whole waits for the end and answers in one piece.
+// writeWhole waits for the end of the answer and writes it as one response.
 func (r *responder) writeWhole(reader Reader) {
 	defer r.attach(reader)()
 	view, err := readWhole(r.c.Request.Context(), reader, r.after)
@@ -140,7 +143,7 @@
 	}
 }
 
-// httpAnswer passes a plain service's answer on.
+// writeServiceAnswer writes the answer of a plain service.
 func (r *responder) writeServiceAnswer(view answer.View) {
 	for name, values := range view.Head.HTTP.Header {
 		for _, v := range values {
@@ -153,7 +156,7 @@
 	_, _ = r.c.Writer.WriteString(body)
 }
 
-// collect reads an answer to its end.
+// readWhole reads an answer to its end.
 func readWhole(ctx context.Context, reader Reader, after int) (answer.View, error) {
 	var all answer.View
 	for {
@@ -177,8 +180,8 @@
 	}
 }
 
-// lost turns the failure to read an answer into an error. The request may go
-// on running.
+// readFailure returns the error to report if an answer cannot be read. The request
+// may still be running.
 func readFailure(err error) error {
 	if f := fault.From(err); f.Kind != fault.Internal {
 		return f
@@ -186,9 +189,9 @@
 	return fault.New(fault.AnswerCut, "the answer cannot be read here: %v", err).WithRan(fault.RanUnknown)
 }
 
-// stream answers with server-sent events as they come. The id of each event is
-// its offset. Only a whole answer ends with [DONE]; anything else ends with an
-// error event.
+// writeStream writes the answer as server-sent events as they arrive. The id of an
+// event is its offset. The stream ends with [DONE] if the answer is complete, and
+// with an error event otherwise.
 func (r *responder) writeStream(reader Reader) {
 	defer r.attach(reader)()
 	ctx := r.c.Request.Context()
@@ -211,8 +214,8 @@
 			r.after = event.Offset
 		}
 		if head != nil {
-			// Flushing before there is a head would send status 200, and an
-			// error that follows would look like an answer.
+			// Flushing before the head is known would send status 200, and an error that
+			// follows would look like an answer.
 			r.c.Writer.Flush()
 		}
 		if !view.Done {
@@ -227,6 +230,7 @@
 	}
 }
 
+// startStream sends the headers and the first chunk, which has no text.
 func (r *responder) startStream(head *answer.Head) {
 	r.setHeaders(head)
 	r.c.Header("Content-Type", "text/event-stream")
@@ -247,6 +251,8 @@
 	}
 }
 
+// writeAnswerEvent writes an event of the answer. The last event is followed by the
+// usage if the caller asked for it.
 func (r *responder) writeAnswerEvent(head *answer.Head, event answer.Event) {
 	var finish *string
 	if event.FinishReason != "" {
@@ -262,7 +268,7 @@
 	r.writeEvent(-1, usage)
 }
 
-// send writes one event; a negative offset is left out.
+// writeEvent writes one server-sent event, without an id if offset is negative.
 func (r *responder) writeEvent(offset int, v any) {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -274,8 +280,8 @@
 	fmt.Fprintf(r.c.Writer, "data: %s\n\n", data)
 }
 
-// streamError reports an error: as the whole answer while nothing was sent,
-// else as the last event.
+// writeStreamError reports an error: as the response if nothing has been sent yet,
+// and as the last event otherwise.
 func (r *responder) writeStreamError(opened bool, err error) {
 	if !opened {
 		r.server.writeError(r.c, err)
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -1,5 +1,6 @@
-// Package caller is the API to callers: discovery, chat completions in the
-// OpenAI shape, plain services, and the answers of earlier requests.
+// Package caller serves the HTTP API for callers: the list of daemons, chat
+// completions compatible with OpenAI's, plain services, and the answers to earlier
+// requests.
 package caller
 
 import (
@@ -24,7 +25,7 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/session"
 )
 
-// Headers of the API.
+// Request and response headers of the API.
 const (
 	HeaderKind     = "Hornbeamsill-Kind"
 	HeaderSession  = "Hornbeamsill-Session"
@@ -38,43 +39,48 @@
 
 var tracer = otel.Tracer("github.com/hornbeamsill/hornbeamsill/internal/caller")
 
-// Entry is a daemon that callers may use.
+// Entry is a daemon that callers can use.
 type Entry struct {
 	URL           string `json:"url"`
 	Instance      string `json:"instance"`
 	FailureDomain string `json:"failure_domain"`
-	// KeyPrefix starts the idempotency keys of which that daemon is the home.
+	// KeyPrefix is the prefix that callers put before their idempotency keys. It
+	// makes this daemon the one that decides about them.
 	KeyPrefix string `json:"key_prefix"`
 }
 
-// Directory tells callers which daemons to use.
+// Directory tells which daemons callers can use, and whether this daemon serves
+// them.
 type Directory interface {
-	// Entries lists the daemons, and for how long the list may be kept.
+	// Entries returns daemons that callers can use, and how long callers may cache
+	// the list.
 	Entries() ([]Entry, time.Duration)
-	// Ready returns an error while this daemon cannot serve callers.
+	// Ready returns an error if this daemon cannot serve callers.
 	Ready() error
-	// Refusing returns an error once this daemon takes no new work.
+	// CheckAccepting returns an error if this daemon accepts no new requests.
 	Refusing() error
 }
 
-// Answers finds answers at this daemon and at others.
+// Answers finds answers that are stored at this or at another daemon.
 type Answers interface {
-	// Find returns a reader of an answer. resume may be nil.
+	// Find returns a reader of the answer to a request. resume may be nil.
 	Find(ctx context.Context, requestID string, resume *session.Resume) (Reader, error)
 }
 
-// Reader reads an answer as it is generated.
+// Reader reads an answer while it is generated.
 type Reader interface {
+	// Wait blocks until there are events whose offset is greater than after, the
+	// head is known and haveHead is false, or the answer has ended.
 	Wait(ctx context.Context, after int, haveHead bool) (answer.View, error)
 }
 
-// Options are the settings of a Server.
+// Options holds the settings of a Server.
 type Options struct {
-	// MaxBody bounds request bodies, in bytes.
+	// MaxBody limits the length of a request body, in bytes.
 	MaxBody int64
 }
 
-// Deps is what a Server works with.
+// Deps holds the dependencies of a Server.
 type Deps struct {
 	Clock      clockwork.Clock
 	Follower   *config.Follower
@@ -87,17 +93,18 @@
 	Signer     *session.Signer
 	Requests   *ident.Requests
 	Options    Options
-	// Base outlives single connections; requests run under it.
+	// BaseContext is the context in which requests run. It outlives the connections
+	// of callers.
 	Base context.Context
 }
 
 // Server serves the API.
 type Server struct{ Deps }
 
-// New returns a server.
+// New returns a Server.
 func New(deps Deps) *Server { return &Server{Deps: deps} }
 
-// Handler returns the HTTP interface.
+// Handler returns the handler for all paths of the API.
 func (s *Server) Handler() http.Handler {
 	r := gin.New()
 	r.HandleMethodNotAllowed = true
@@ -123,6 +130,7 @@
 	return r
 }
 
+// trace runs the request in a span that continues the trace of the caller.
 func (s *Server) trace(c *gin.Context) {
 	ctx := otel.GetTextMapPropagator().Extract(c.Request.Context(), propagation.HeaderCarrier(c.Request.Header))
 	ctx, span := tracer.Start(ctx, "caller "+c.Request.Method+" "+c.FullPath())
@@ -132,8 +140,8 @@
 	span.SetAttributes(attribute.Int("status", c.Writer.Status()))
 }
 
-// refuse answers with an error; errors that another daemon may not give carry
-// the other daemons' addresses.
+// writeError responds with an error. If another daemon might succeed, the response
+// lists the daemons that callers can use.
 func (s *Server) writeError(c *gin.Context, err error) {
 	f := *fault.From(err)
 	switch f.Kind {
@@ -172,7 +180,8 @@
 	c.JSON(http.StatusOK, gin.H{"entries": entries, "ttl_seconds": int(ttl.Seconds())})
 }
 
-// authenticate returns the snapshot in force and the caller's organisation.
+// authenticate returns the configuration in force and the organisation of the
+// caller's API key.
 func (s *Server) authenticate(c *gin.Context) (*config.Snapshot, string, error) {
 	snapshot := s.Follower.Current()
 	if snapshot == nil {
@@ -189,7 +198,7 @@
 	return snapshot, organisation, nil
 }
 
-// model is an entry of GET /v1/models.
+// model is an element of the response to GET /v1/models.
 type model struct {
 	ID      string              `json:"id"`
 	Object  string              `json:"object"`
@@ -198,7 +207,7 @@
 	State   config.VersionState `json:"state"`
 }
 
-// models lists the versions that the organisation may use and that are not
+// models responds with the versions that the organisation may use and that are not
 // withdrawn.
 func (s *Server) models(c *gin.Context) {
 	snapshot, organisation, err := s.authenticate(c)
--- a/internal/caller/service.go
+++ b/internal/caller/service.go
@@ -10,7 +10,7 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/fault"
 )
 
-// service passes a call on to a plain service.
+// service forwards a call to a plain service.
 func (s *Server) service(c *gin.Context) {
 	snapshot, organisation, err := s.authenticate(c)
 	if err != nil {
--- a/internal/dispatch/plan.go
+++ b/internal/dispatch/plan.go
@@ -39,7 +39,7 @@
 	}
 }
 
-func singleStepPlan(ref config.VersionRef) route.Plan {
+func singlePlan(ref config.VersionRef) route.Plan {
 	return route.Plan{Steps: []config.VersionRef{ref}}
 }
 
@@ -60,7 +60,7 @@
 	if provenOnly && !snapshot.Proven(ref) {
 		return route.Plan{}, fault.New(fault.ConfigStale, "%s cannot be used until the configuration is confirmed", ref)
 	}
-	return singleStepPlan(ref), nil
+	return singlePlan(ref), nil
 }
 
 // pinnedPlan returns a plan with the version that the caller selected.
@@ -81,7 +81,7 @@
 	case state == config.RollingOut && !e.Exposure.Take(ref):
 		return route.Plan{}, fault.New(fault.NoCapacity, "model: %s is being rolled out and its exposure is used up", ref)
 	}
-	return singleStepPlan(ref), nil
+	return singlePlan(ref), nil
 }
 
 // routedPlan returns the cheapest plan that meets the quality target. In a
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -1,4 +1,4 @@
-// Package operator is the API to the operators' command-line tool.
+// Package operator serves the HTTP API for the operators' command-line tool.
 package operator
 
 import (
@@ -23,7 +23,7 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/session"
 )
 
-// Deps is what a Server works with.
+// Deps holds the dependencies of a Server.
 type Deps struct {
 	Config    *config.Store
 	Follower  *config.Follower
@@ -31,24 +31,26 @@
 	Ratings   *rating.Counter
 	Keys      *session.Keyring
 	Directory caller.Directory
-	// Status describes the daemon.
+	// Status returns the status of the daemon.
 	Status func() Status
-	// Accepted is called after a change was accepted, to bring it into force
-	// here and tell the peers.
+	// OnAccepted is called after a change was accepted. It installs the change at
+	// this daemon and notifies the peers.
 	Accepted func(ctx context.Context)
-	// Token, when set, is asked of operators.
+	// Token is the bearer token that operators must send; if it is empty, none is
+	// required.
 	Token string
-	// SessionLifetime is how long old signing keys are kept.
+	// SessionLifetime is how long a session token is valid. Replaced signing keys are
+	// kept at least as long.
 	SessionLifetime time.Duration
 }
 
 // Server serves the API.
 type Server struct{ Deps }
 
-// New returns a server.
+// New returns a Server.
 func New(deps Deps) *Server { return &Server{Deps: deps} }
 
-// Handler returns the HTTP interface.
+// Handler returns the handler for all paths of the API.
 func (s *Server) Handler() http.Handler {
 	r := gin.New()
 	r.Use(gin.Recovery())
@@ -72,6 +74,7 @@
 	return r
 }
 
+// authenticate refuses requests without the operator token.
 func (s *Server) authenticate(c *gin.Context) {
 	if s.Token == "" {
 		return
@@ -83,7 +86,7 @@
 	}
 }
 
-// answer writes out, or the error.
+// writeReply responds with out, or with err if it is not nil.
 func writeReply(c *gin.Context, out any, err error) {
 	if err != nil {
 		fault.Write(c.Writer, classifyStoreError(err))
@@ -92,6 +95,8 @@
 	c.JSON(http.StatusOK, out)
 }
 
+// classifyStoreError converts an error that the store is unavailable to a
+// fault.StoreUnavailable.
 func classifyStoreError(err error) error {
 	if f := fault.From(err); f.Kind != fault.Internal {
 		return f
@@ -102,6 +107,8 @@
 	return err
 }
 
+// decodeBody decodes the request body into out. If that fails, it responds with an
+// error and returns false. Unknown fields are an error.
 func decodeBody(c *gin.Context, out any) bool {
 	decoder := json.NewDecoder(c.Request.Body)
 	decoder.DisallowUnknownFields()
@@ -112,7 +119,7 @@
 	return true
 }
 
-// Applied is the answer to an accepted change.
+// ApplyReply is the response to an accepted configuration change.
 type Applied struct {
 	Change config.Change `json:"change"`
 }
@@ -129,9 +136,9 @@
 	writeReply(c, Applied{Change: change}, err)
 }
 
-// Shown is the configuration of a site.
+// ConfigView is the configuration of a site.
 type Shown struct {
-	// Generation is the one in force at the daemon that was asked.
+	// Generation is the one in force at the daemon that responds.
 	Generation int64                 `json:"generation"`
 	Head       config.Head           `json:"head"`
 	Site       string                `json:"site"`
@@ -154,7 +161,7 @@
 	writeReply(c, out, err)
 }
 
-// historyLimit bounds the revisions shown.
+// historyLimit limits the number of revisions in a response.
 const historyLimit = 1000
 
 func (s *Server) history(c *gin.Context) {
@@ -190,16 +197,16 @@
 	writeReply(c, gin.H{"keys": len(s.Keys.Keys())}, err)
 }
 
-// RolloutRequest names a version to roll out or withdraw.
+// RolloutRequest names a version to roll out or to withdraw.
 type RolloutRequest struct {
 	Model   string `json:"model"`
 	Version string `json:"version"`
-	// From is the version that is replaced.
+	// From is the version to replace.
 	From   string `json:"from,omitempty"`
 	Reason string `json:"reason,omitempty"`
 }
 
-// RolloutAnswer is the generation in which a change came into force.
+// RolloutReply is the configuration generation that contains the change.
 type RolloutAnswer struct {
 	Generation int64 `json:"generation"`
 }
--- a/internal/operator/views.go
+++ b/internal/operator/views.go
@@ -12,7 +12,7 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/fault"
 )
 
-// Status describes a daemon and what it sees.
+// Status describes a daemon and its view of the system.
 type Status struct {
 	Incarnation   string `json:"incarnation"`
 	Instance      string `json:"instance"`
@@ -20,23 +20,24 @@
 	FailureDomain string `json:"failure_domain"`
 	Ready         bool   `json:"ready"`
 	Stopping      bool   `json:"stopping"`
-	// Generation is the configuration in force, and ConfirmedMS how many
-	// milliseconds ago it was known to be the newest; -1 is never.
+	// Generation is the configuration in force. ConfirmedMS is the time since it was
+	// last confirmed to be the newest, in milliseconds, or -1 if it never was.
 	Generation  int64 `json:"generation"`
 	ConfirmedMS int64 `json:"confirmed_ms"`
-	// Running and Waiting count requests.
+	// Running and Waiting are numbers of requests. Waiting is by queue name.
 	Running int            `json:"running"`
 	Waiting map[string]int `json:"waiting"`
-	// BillsPending wait for the store; BillsHeld are copies for peers.
+	// BillsPending is the number of bills to be written to the store. BillsHeld is the
+	// number of replicas of other daemons' bills.
 	BillsPending int              `json:"bills_pending"`
 	BillsHeld    int              `json:"bills_held"`
 	Daemons      []DaemonStatus   `json:"daemons"`
 	Upstreams    []UpstreamStatus `json:"upstreams"`
-	// StoppedVersions get no new sessions here.
+	// StoppedVersions are versions that get no new sessions from this daemon.
 	StoppedVersions []config.VersionRef `json:"stopped_versions"`
 }
 
-// DaemonStatus is another daemon.
+// DaemonStatus describes another daemon.
 type DaemonStatus struct {
 	Incarnation   string `json:"incarnation"`
 	PeerAddress   string `json:"peer_address"`
@@ -45,7 +46,7 @@
 	State         string `json:"state"`
 }
 
-// UpstreamStatus is an upstream as the daemon sees it.
+// UpstreamStatus describes an upstream as this daemon knows it.
 type UpstreamStatus struct {
 	ID            string   `json:"id"`
 	Role          string   `json:"role"`
@@ -58,13 +59,13 @@
 	Ejected       bool     `json:"ejected"`
 }
 
-// VersionStatus is a version with its live state and ratings.
+// VersionStatus describes a version with its roll-out state and its ratings.
 type VersionStatus struct {
 	config.VersionRef
 	State config.VersionState `json:"state"`
 	Share float64             `json:"share"`
 	Stage int                 `json:"stage"`
-	// Good and Bad are the ratings counted by this daemon.
+	// Good and Bad are the numbers of ratings that this daemon knows.
 	Good   int64  `json:"good"`
 	Bad    int64  `json:"bad"`
 	Reason string `json:"reason,omitempty"`
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -14,7 +14,7 @@
 const reorderWindow = 64
 
 // ErrIncomplete is returned if a connection ended before the answer was complete.
-var ErrIncomplete = errors.New("stream ended before the answer was complete")
+var ErrIncomplete = errors.New("stream ended before the answer")
 
 // maxEventBytes limits the size of one SSE event.
 const maxEventBytes = 1 << 20
@@ -60,10 +60,10 @@
 		}
 		var e Event
 		if err := json.Unmarshal([]byte(raw.Data), &e); err != nil {
-			return Event{}, trace.Wrap(ErrIncomplete, "cannot decode event")
+			return Event{}, trace.Wrap(ErrIncomplete, "undecodable event")
 		}
 		if !s.buffer.push(e) {
-			return Event{}, trace.Wrap(ErrIncomplete, "more than %d events buffered for a missing one", reorderWindow)
+			return Event{}, trace.Wrap(ErrIncomplete, "more than %d events out of order", reorderWindow)
 		}
 	}
 }
