--- a/internal/caller/caller_test.go
+++ b/internal/caller/caller_test.go
@@ -142,8 +142,8 @@
 	require.Contains(t, body, string(fault.NotFound))
 }
 
-// A kind without an entry in the table of package fault would be reported as an internal
-// error. A 429 or 503 without Retry-After would not tell callers when to retry.
+// Every error kind in the table of package fault must have an error status. A 429 or 503
+// without Retry-After would not tell callers when to retry.
 func TestEveryErrorKindHasAStatus(t *testing.T) {
 	for _, kind := range fault.Kinds() {
 		w := httptest.NewRecorder()
--- a/internal/caller/chat.go
+++ b/internal/caller/chat.go
@@ -337,7 +337,8 @@
 
 // claimKey claims the idempotency key for the request id. If the key was used before,
 // it returns a reader of the earlier answer and the id of the earlier request. It
-// returns a nil reader if the request id may run.
+// returns a nil reader if the request id may run, which also requires that this
+// daemon accepts new requests. Without a key, only the latter is checked.
 func (s *Server) claimKey(c *gin.Context, key *claim.Key, digest, id string) (Reader, string, error) {
 	if key == nil {
 		return nil, "", s.Directory.Refusing()
--- a/internal/caller/respond.go
+++ b/internal/caller/respond.go
@@ -96,7 +96,7 @@
 }
 
 // attach counts this connection as a reader of the answer if the answer is at this
-// daemon. The returned function ends that.
+// daemon. The caller must call the returned function when it stops reading.
 func (r *responder) attach(reader Reader) func() {
 	if local, ok := reader.(*answer.Answer); ok {
 		return local.Attach(r.server.Clock.Now)
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -49,8 +49,8 @@
 	KeyPrefix string `json:"key_prefix"`
 }
 
-// Directory tells which daemons callers can use, and whether this daemon serves
-// them.
+// Directory lists the daemons that callers can use and reports whether this one
+// serves them.
 type Directory interface {
 	// Entries returns daemons that callers can use, and how long callers may cache
 	// the list.
--- a/internal/dispatch/cascade.go
+++ b/internal/dispatch/cascade.go
@@ -12,10 +12,11 @@
 )
 
 // eventBuffer holds the events of an answer that must not be sent to the caller
-// yet. Its add method discards the events of an earlier attempt when it gets
-// the first event of a new one.
+// yet.
 type eventBuffer struct{ events []upstream.Event }
 
+// add appends an event. The first event of a new attempt discards the events of the
+// earlier one.
 func (c *eventBuffer) add(event upstream.Event) error {
 	if event.Offset == 0 {
 		c.events = nil
--- a/internal/dispatch/plan.go
+++ b/internal/dispatch/plan.go
@@ -84,8 +84,10 @@
 	return singlePlan(ref), nil
 }
 
-// routedPlan returns the cheapest plan that meets the quality target. In a
-// fraction of requests, it replaces a version with one that is being rolled out.
+// routedPlan returns the cheapest plan that meets the quality target and is fast
+// enough. A small fraction of idempotent requests gets a cheaper plan instead, to
+// collect ratings for it. Unless only proven versions may be used, versions are then
+// replaced according to the roll-outs in progress.
 func (e *execution) routedPlan(snapshot *config.Snapshot, provenOnly bool) (route.Plan, error) {
 	candidates, err := e.candidates(snapshot)
 	if err != nil {
--- a/internal/dispatch/reader.go
+++ b/internal/dispatch/reader.go
@@ -45,8 +45,8 @@
 				tries = 0
 			}
 		}
-		if stop, final := r.shouldStop(ctx, err, tries); stop {
-			return final
+		if stop, result := r.shouldStop(ctx, err, tries); stop {
+			return result
 		}
 		r.connectionLost = true
 		if !sleep(ctx, resumeBackoff<<tries) {
@@ -57,8 +57,9 @@
 	}
 }
 
-// shouldStop reports whether reading must end before the answer is complete, and
-// returns the result of the attempt in that case.
+// shouldStop reports whether to stop after err, although the answer is incomplete,
+// and returns the result of the attempt in that case. tries is the number of
+// consecutive reconnections without a new event.
 func (r *attemptReader) shouldStop(ctx context.Context, err error, tries int) (bool, attemptResult) {
 	base := attemptResult{upstreamFailed: r.connectionLost || !errors.Is(err, errAbandoned)}
 	switch {
--- a/internal/dispatch/service.go
+++ b/internal/dispatch/service.go
@@ -205,7 +205,8 @@
 	return serviceReply{status: resp.StatusCode, header: resp.Header, body: body}, attemptResult{}
 }
 
-// serviceFailure returns the result of a call with an unknown outcome.
+// serviceFailure returns the result of a call with an unknown outcome. A call that
+// exceeds its deadline counts towards ejecting the instance.
 func (e *execution) serviceFailure(ctx context.Context, err error) attemptResult {
 	if ctx.Err() != nil {
 		return attemptResult{err: ctx.Err(), upstreamFailed: errors.Is(ctx.Err(), context.DeadlineExceeded), noRetry: true}
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -39,8 +39,8 @@
 	// Token is the bearer token that operators must send; if it is empty, none is
 	// required.
 	Token string
-	// SessionLifetime is how long a session token is valid. Replaced signing keys are
-	// kept at least as long.
+	// SessionLifetime is how long session tokens stay usable. It determines how long
+	// signing keys are kept after a rotation.
 	SessionLifetime time.Duration
 }
 
--- a/internal/operator/views.go
+++ b/internal/operator/views.go
@@ -65,7 +65,7 @@
 	State config.VersionState `json:"state"`
 	Share float64             `json:"share"`
 	Stage int                 `json:"stage"`
-	// Good and Bad are the numbers of ratings that this daemon knows.
+	// Good and Bad are the numbers of ratings that this daemon has counted.
 	Good   int64  `json:"good"`
 	Bad    int64  `json:"bad"`
 	Reason string `json:"reason,omitempty"`
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -66,7 +66,8 @@
 	}
 }
 
-// noRedirect prevents that a redirect repeats a request that may have run.
+// noRedirect disables redirects, because following one could repeat a request that
+// has already run.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
 // Close closes idle connections.
