--- a/internal/caller/chat.go
+++ b/internal/caller/chat.go
@@ -22,15 +22,16 @@
 )
 
 const (
-	// autoModel lets the router choose.
+	// autoModel is the model name with which the caller leaves the choice of the model
+	// to the router.
 	autoModel = "auto"
-	// defaultKind is used when the caller names none.
+	// defaultKind is the kind of a request without HeaderKind.
 	defaultKind = "default"
-	// maxKeyLen bounds an Idempotency-Key.
+	// maxKeyLen limits the length of an idempotency key, in bytes.
 	maxKeyLen = 256
 )
 
-// content is the text of a message: a string, or a list of text parts.
+// content is the text of a message. In JSON it is a string or a list of text parts.
 type content string
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -58,7 +59,7 @@
 	return nil
 }
 
-// chatBody is the part of an OpenAI chat completion request that is used.
+// chatBody holds the supported fields of an OpenAI chat completion request.
 type chatBody struct {
 	Model    string `json:"model"`
 	Messages []struct {
@@ -78,58 +79,60 @@
 	} `json:"stream_options"`
 }
 
-// incoming is a checked chat request.
-type incoming struct {
-	snapshot *config.Snapshot
-	request  dispatch.Request
-	key      *claim.Key
-	digest   string
-	usage    bool
+// chatCall is a validated chat request.
+type chatCall struct {
+	snapshot     *config.Snapshot
+	request      dispatch.Request
+	key          *claim.Key
+	digest       string
+	includeUsage bool
 }
 
+// chat responds to a chat completion request.
 func (s *Server) chat(c *gin.Context) {
-	in, err := s.readChat(c)
+	in, err := s.parseChat(c)
 	if err != nil {
-		s.refuse(c, err)
+		s.writeError(c, err)
 		return
 	}
 	reader, id, err := s.submitChat(c, in)
 	if err != nil {
-		s.refuse(c, err)
+		s.writeError(c, err)
 		return
 	}
-	r := responder{server: s, c: c, id: id, after: -1, includeUsage: in.usage}
+	r := responder{server: s, c: c, id: id, after: -1, includeUsage: in.includeUsage}
 	if in.request.Chat.Stream {
-		r.stream(reader)
+		r.writeStream(reader)
 		return
 	}
-	r.whole(reader)
+	r.writeWhole(reader)
 }
 
-func (s *Server) readChat(c *gin.Context) (incoming, error) {
+// parseChat reads and validates a chat request.
+func (s *Server) parseChat(c *gin.Context) (chatCall, error) {
 	snapshot, organisation, err := s.authenticate(c)
 	if err != nil {
-		return incoming{}, err
+		return chatCall{}, err
 	}
 	raw, err := s.readBody(c)
 	if err != nil {
-		return incoming{}, err
+		return chatCall{}, err
 	}
 	var body chatBody
 	if err := json.Unmarshal(raw, &body); err != nil {
-		return incoming{}, fault.New(fault.BadRequest, "body: %v", err)
+		return chatCall{}, fault.New(fault.BadRequest, "body: %v", err)
 	}
 	chat, err := body.toChat()
 	if err != nil {
-		return incoming{}, err
+		return chatCall{}, err
 	}
-	kindName, kind, err := kindOf(c, snapshot)
+	kindName, kind, err := workKind(c, snapshot)
 	if err != nil {
-		return incoming{}, err
+		return chatCall{}, err
 	}
-	deadline, err := s.deadline(c, kind.Deadline())
+	deadline, err := s.parseDeadline(c, kind.Deadline())
 	if err != nil {
-		return incoming{}, err
+		return chatCall{}, err
 	}
 	req := dispatch.Request{
 		Organisation: organisation,
@@ -139,19 +142,20 @@
 		Deadline:     deadline,
 	}
 	if err := selectModel(snapshot, organisation, body.Model, &req); err != nil {
-		return incoming{}, err
+		return chatCall{}, err
 	}
-	if err := s.readSession(c, &req); err != nil {
-		return incoming{}, err
+	if err := s.parseSession(c, &req); err != nil {
+		return chatCall{}, err
 	}
-	in := incoming{snapshot: snapshot, request: req, usage: body.StreamOptions.IncludeUsage}
-	in.key, err = readKey(c, organisation, kind.KeyRequired)
+	in := chatCall{snapshot: snapshot, request: req, includeUsage: body.StreamOptions.IncludeUsage}
+	in.key, err = parseIdempotencyKey(c, organisation, kind.KeyRequired)
 	in.digest = digest(kindName, string(raw))
-	in.request.Keyed = in.key != nil
+	in.request.HasIdempotencyKey = in.key != nil
 	return in, err
 }
 
-// readBody reads the whole body within the limit.
+// readBody reads the request body. It returns an error if the body exceeds the
+// limit.
 func (s *Server) readBody(c *gin.Context) ([]byte, error) {
 	raw, err := io.ReadAll(http.MaxBytesReader(c.Writer, c.Request.Body, s.Options.MaxBody))
 	var tooLarge *http.MaxBytesError
@@ -164,6 +168,7 @@
 	return raw, nil
 }
 
+// toChat validates the body and converts it to an upstream.ChatRequest.
 func (b chatBody) toChat() (upstream.ChatRequest, error) {
 	chat := upstream.ChatRequest{
 		MaxTokens:   max(b.MaxTokens, b.MaxCompletionTokens),
@@ -206,7 +211,8 @@
 	return chat, nil
 }
 
-func kindOf(c *gin.Context, snapshot *config.Snapshot) (string, config.Kind, error) {
+// workKind returns the name and the definition of the request's kind.
+func workKind(c *gin.Context, snapshot *config.Snapshot) (string, config.Kind, error) {
 	name := c.GetHeader(HeaderKind)
 	if name == "" {
 		name = defaultKind
@@ -218,10 +224,12 @@
 	return name, kind, nil
 }
 
-func (s *Server) deadline(c *gin.Context, usual time.Duration) (time.Time, error) {
+// parseDeadline returns the deadline from the request header, or timeout from now if
+// there is none. A longer time than maxTimeout is reduced to it.
+func (s *Server) parseDeadline(c *gin.Context, timeout time.Duration) (time.Time, error) {
 	text := c.GetHeader(HeaderDeadline)
 	if text == "" {
-		return s.Clock.Now().Add(usual), nil
+		return s.Clock.Now().Add(timeout), nil
 	}
 	ms, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
@@ -230,12 +238,12 @@
 	if ms <= 0 {
 		return time.Time{}, fault.New(fault.DeadlinePast, "%s: the deadline is past", HeaderDeadline)
 	}
-	const longest = 24 * time.Hour
-	return s.Clock.Now().Add(min(time.Duration(ms)*time.Millisecond, longest)), nil
+	const maxTimeout = 24 * time.Hour
+	return s.Clock.Now().Add(min(time.Duration(ms)*time.Millisecond, maxTimeout)), nil
 }
 
-// selectModel reads the model selector and checks it against what the
-// organisation may use.
+// selectModel sets the model and the version of req from selector. It returns an
+// error if they do not exist or the organisation may not use them.
 func selectModel(snapshot *config.Snapshot, organisation, selector string, req *dispatch.Request) error {
 	if selector == autoModel {
 		return nil
@@ -258,7 +266,8 @@
 	return fault.New(fault.ModelNotAllowed, "model: the organisation may not use %q", selector)
 }
 
-func (s *Server) readSession(c *gin.Context, req *dispatch.Request) error {
+// parseSession sets the session of req from the session token, if there is one.
+func (s *Server) parseSession(c *gin.Context, req *dispatch.Request) error {
 	token := c.GetHeader(HeaderSession)
 	if token == "" {
 		return nil
@@ -274,7 +283,9 @@
 	return nil
 }
 
-func readKey(c *gin.Context, organisation string, required bool) (*claim.Key, error) {
+// parseIdempotencyKey returns the idempotency key of the request, or nil if there is
+// none. It returns an error if a key is required but missing.
+func parseIdempotencyKey(c *gin.Context, organisation string, required bool) (*claim.Key, error) {
 	value := c.GetHeader(HeaderKey)
 	switch {
 	case value == "" && required:
@@ -287,17 +298,18 @@
 	return &claim.Key{Organisation: organisation, Value: value}, nil
 }
 
-// digest binds an idempotency key to the request it was first used for.
+// digest identifies the content of a request. It is stored with the idempotency key,
+// so that the key cannot be used again for a different request.
 func digest(parts ...string) string {
 	sum := sha256.Sum256([]byte(strings.Join(parts, "\x00")))
 	return hex.EncodeToString(sum[:])
 }
 
-// submitChat starts the request, or finds the earlier one with its key, and
-// returns a reader of the answer and the request id.
-func (s *Server) submitChat(c *gin.Context, in incoming) (Reader, string, error) {
+// submitChat starts the request, or finds the earlier request with the same
+// idempotency key. It returns a reader of the answer and the id of the request.
+func (s *Server) submitChat(c *gin.Context, in chatCall) (Reader, string, error) {
 	id := s.Requests.Next()
-	reader, earlier, err := s.claim(c, in.key, in.digest, id)
+	reader, earlier, err := s.claimKey(c, in.key, in.digest, id)
 	if err != nil || reader != nil {
 		return reader, earlier, err
 	}
@@ -307,14 +319,14 @@
 	}
 	release, err := s.admit(in.snapshot, in.request.Organisation, tokens)
 	if err != nil {
-		s.unclaim(in.key, id)
+		s.releaseKey(in.key, id)
 		return nil, "", err
 	}
 	req := in.request
 	req.ID = id
-	req.NotRun = func() { s.unclaim(in.key, id) }
+	req.OnNotRun = func() { s.releaseKey(in.key, id) }
 	out := s.Store.Create(id, req.Organisation)
-	ctx := withTraceOf(s.Base, c.Request.Context())
+	ctx := withTraceFrom(s.Base, c.Request.Context())
 	go func() {
 		defer release()
 		ran := s.Dispatcher.Run(ctx, req, out)
@@ -323,9 +335,11 @@
 	return out, id, nil
 }
 
-// claim decides on a request with an idempotency key. It returns the reader of
-// the earlier answer when the key has been used.
-func (s *Server) claim(c *gin.Context, key *claim.Key, digest, id string) (Reader, string, error) {
+// claimKey claims the idempotency key for the request id. If the key was used before,
+// it returns a reader of the earlier answer and the id of the earlier request. It
+// returns a nil reader if the request id may run, which also requires that this
+// daemon accepts new requests. Without a key, only the latter is checked.
+func (s *Server) claimKey(c *gin.Context, key *claim.Key, digest, id string) (Reader, string, error) {
 	if key == nil {
 		return nil, "", s.Directory.Refusing()
 	}
@@ -335,7 +349,7 @@
 	}
 	if decision.Run {
 		if err := s.Directory.Refusing(); err != nil {
-			s.unclaim(key, id)
+			s.releaseKey(key, id)
 			return nil, "", err
 		}
 		return nil, "", nil
@@ -349,12 +363,15 @@
 	return reader, decision.RequestID, nil
 }
 
-func (s *Server) unclaim(key *claim.Key, id string) {
+// releaseKey releases the idempotency key of a request that was not run.
+func (s *Server) releaseKey(key *claim.Key, id string) {
 	if key != nil {
 		s.Claims.Release(*key, id)
 	}
 }
 
+// admit checks the limits of the organisation. The caller must call the returned
+// function when the request ends.
 func (s *Server) admit(snapshot *config.Snapshot, organisation string, tokens int) (func(), error) {
 	limits := snapshot.Doc.Organisations[organisation].Limits
 	release, wait, ok := s.Limits.Admit(organisation, limits, tokens)
--- a/internal/caller/requests.go
+++ b/internal/caller/requests.go
@@ -11,10 +11,10 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/session"
 )
 
-// requestStatus is the answer to GET /v1/requests/{id}.
+// requestStatus is the body of the response to GET /v1/requests/{id}.
 type requestStatus struct {
 	Request string `json:"request"`
-	// State is running, answered or failed.
+	// State is "running", "answered" or "failed".
 	State   string           `json:"state"`
 	Model   string           `json:"model,omitempty"`
 	Version string           `json:"version,omitempty"`
@@ -22,15 +22,15 @@
 	Error   *fault.BodyError `json:"error,omitempty"`
 }
 
-// findReader finds the answer of the request in the path and checks that it
-// belongs to the caller.
+// findReader returns a reader of the answer to the request in the path. It returns
+// an error if the request belongs to another organisation.
 func (s *Server) findReader(c *gin.Context) (Reader, error) {
 	_, organisation, err := s.authenticate(c)
 	if err != nil {
 		return nil, err
 	}
 	id := c.Param("id")
-	resume, err := s.readResume(c, id, organisation)
+	resume, err := s.parseResume(c, id, organisation)
 	if err != nil {
 		return nil, err
 	}
@@ -45,7 +45,9 @@
 	return reader, nil
 }
 
-func (s *Server) readResume(c *gin.Context, id, organisation string) (*session.Resume, error) {
+// parseResume verifies the resume token in the header or in the query. It returns
+// nil if there is none.
+func (s *Server) parseResume(c *gin.Context, id, organisation string) (*session.Resume, error) {
 	token := c.GetHeader(HeaderResume)
 	if token == "" {
 		token = c.Query("resume")
@@ -63,18 +65,19 @@
 	return &resume, nil
 }
 
-func (s *Server) request(c *gin.Context) {
+// showRequest responds with the status of a request.
+func (s *Server) showRequest(c *gin.Context) {
 	reader, err := s.findReader(c)
 	if err != nil {
-		s.refuse(c, err)
+		s.writeError(c, err)
 		return
 	}
-	snapshotter, ok := reader.(interface{ View(after int) answer.View })
+	viewer, ok := reader.(interface{ View(after int) answer.View })
 	if !ok {
-		s.refuse(c, fault.New(fault.RequestNotFound, "request %s is only known as a stream", c.Param("id")))
+		s.writeError(c, fault.New(fault.RequestNotFound, "request %s is only known as a stream", c.Param("id")))
 		return
 	}
-	view := snapshotter.View(-1)
+	view := viewer.View(-1)
 	c.Header(HeaderRequest, c.Param("id"))
 	c.JSON(http.StatusOK, statusOf(c.Param("id"), view))
 }
@@ -94,22 +97,22 @@
 	return out
 }
 
-// stream continues the stream of an answer after an offset.
-func (s *Server) stream(c *gin.Context) {
+// resumeStream streams the events of an answer that follow a given offset.
+func (s *Server) resumeStream(c *gin.Context) {
 	after := -1
 	if text := c.Query("after"); text != "" {
 		n, err := strconv.Atoi(text)
 		if err != nil || n < -1 {
-			s.refuse(c, fault.New(fault.BadRequest, "after: want an offset, not %q", text))
+			s.writeError(c, fault.New(fault.BadRequest, "after: want an offset, not %q", text))
 			return
 		}
 		after = n
 	}
 	reader, err := s.findReader(c)
 	if err != nil {
-		s.refuse(c, err)
+		s.writeError(c, err)
 		return
 	}
 	r := responder{server: s, c: c, id: c.Param("id"), after: after}
-	r.stream(reader)
+	r.writeStream(reader)
 }
--- a/internal/caller/respond.go
+++ b/internal/caller/respond.go
@@ -15,21 +15,21 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/upstream"
 )
 
-// withTraceOf returns base with the trace of ctx, so that work that outlives
-// the connection stays in the caller's trace.
-func withTraceOf(base, ctx context.Context) context.Context {
+// withTraceFrom returns base with the span context of ctx. Work that outlives the
+// connection then stays in the trace of the caller.
+func withTraceFrom(base, ctx context.Context) context.Context {
 	return trace.ContextWithSpanContext(base, trace.SpanContextFromContext(ctx))
 }
 
-// extension is what a streamed chunk carries beyond the OpenAI shape, in its
-// first event.
-type extension struct {
+// chunkExtension holds the fields that the first chunk of a stream has in addition
+// to those of OpenAI.
+type chunkExtension struct {
 	Request string `json:"request"`
-	// Resume lets any daemon continue the stream.
+	// Resume is a token with which any daemon can continue the stream.
 	Resume string `json:"resume"`
 }
 
-// chunk is a streamed event in the OpenAI shape.
+// chunk is one event of a streamed answer in OpenAI's format.
 type chunk struct {
 	ID           string          `json:"id"`
 	Object       string          `json:"object"`
@@ -37,7 +37,7 @@
 	Model        string          `json:"model"`
 	Choices      []chunkChoice   `json:"choices"`
 	Usage        *upstream.Usage `json:"usage,omitempty"`
-	Hornbeamsill *extension      `json:"hornbeamsill,omitempty"`
+	Hornbeamsill *chunkExtension `json:"hornbeamsill,omitempty"`
 }
 
 type chunkChoice struct {
@@ -51,7 +51,7 @@
 	Content string `json:"content"`
 }
 
-// completion is a whole answer in the OpenAI shape.
+// completion is a complete answer in OpenAI's format.
 type completion struct {
 	ID      string             `json:"id"`
 	Object  string             `json:"object"`
@@ -77,11 +77,13 @@
 	server *Server
 	c      *gin.Context
 	id     string
-	// after is the offset of the last event that the caller has.
+	// after is the offset of the last event that the caller already has, or -1.
 	after        int
 	includeUsage bool
 }
 
+// setHeaders sets the response headers that describe the answer. Answers of plain
+// services have only the request id.
 func (r *responder) setHeaders(head *answer.Head) {
 	r.c.Header(HeaderRequest, r.id)
 	if head.Version.Model == "" {
@@ -93,7 +95,8 @@
 	r.c.Header(HeaderResume, head.Resume)
 }
 
-// attach counts this connection as a reader, where the answer counts them.
+// attach counts this connection as a reader of the answer if the answer is at this
+// daemon. The caller must call the returned function when it stops reading.
 func (r *responder) attach(reader Reader) func() {
 	if local, ok := reader.(*answer.Answer); ok {
 		return local.Attach(r.server.Clock.Now)
@@ -101,20 +104,20 @@
 	return func() {}
 }
 
-// whole waits for the end and answers in one piece.
-func (r *responder) whole(reader Reader) {
+// writeWhole waits for the end of the answer and writes it as one response.
+func (r *responder) writeWhole(reader Reader) {
 	defer r.attach(reader)()
-	view, err := collect(r.c.Request.Context(), reader, r.after)
+	view, err := readWhole(r.c.Request.Context(), reader, r.after)
 	if err != nil {
-		r.server.refuse(r.c, lost(err))
+		r.server.writeError(r.c, readFailure(err))
 		return
 	}
 	if view.Err != nil {
-		r.server.refuse(r.c, view.Err)
+		r.server.writeError(r.c, view.Err)
 		return
 	}
 	if view.Head.HTTP != nil {
-		r.httpAnswer(view)
+		r.writeServiceAnswer(view)
 		return
 	}
 	r.setHeaders(view.Head)
@@ -140,8 +143,8 @@
 	}
 }
 
-// httpAnswer passes a plain service's answer on.
-func (r *responder) httpAnswer(view answer.View) {
+// writeServiceAnswer writes the answer of a plain service.
+func (r *responder) writeServiceAnswer(view answer.View) {
 	for name, values := range view.Head.HTTP.Header {
 		for _, v := range values {
 			r.c.Writer.Header().Add(name, v)
@@ -153,8 +156,8 @@
 	_, _ = r.c.Writer.WriteString(body)
 }
 
-// collect reads an answer to its end.
-func collect(ctx context.Context, reader Reader, after int) (answer.View, error) {
+// readWhole reads an answer to its end.
+func readWhole(ctx context.Context, reader Reader, after int) (answer.View, error) {
 	var all answer.View
 	for {
 		view, err := reader.Wait(ctx, after, all.Head != nil)
@@ -177,19 +180,19 @@
 	}
 }
 
-// lost turns the failure to read an answer into an error. The request may go
-// on running.
-func lost(err error) error {
+// readFailure returns the error to report if an answer cannot be read. The request
+// may still be running.
+func readFailure(err error) error {
 	if f := fault.From(err); f.Kind != fault.Internal {
 		return f
 	}
 	return fault.New(fault.AnswerCut, "the answer cannot be read here: %v", err).WithRan(fault.RanUnknown)
 }
 
-// stream answers with server-sent events as they come. The id of each event is
-// its offset. Only a whole answer ends with [DONE]; anything else ends with an
-// error event.
-func (r *responder) stream(reader Reader) {
+// writeStream writes the answer as server-sent events as they arrive. The id of an
+// event is its offset. The stream ends with [DONE] if the answer is complete, and
+// with an error event otherwise.
+func (r *responder) writeStream(reader Reader) {
 	defer r.attach(reader)()
 	ctx := r.c.Request.Context()
 	var head *answer.Head
@@ -199,27 +202,27 @@
 			return
 		}
 		if err != nil {
-			r.streamError(head != nil, lost(err))
+			r.writeStreamError(head != nil, readFailure(err))
 			return
 		}
 		if head == nil && view.Head != nil {
 			head = view.Head
-			r.openStream(head)
+			r.startStream(head)
 		}
 		for _, event := range view.Events {
-			r.event(head, event)
+			r.writeAnswerEvent(head, event)
 			r.after = event.Offset
 		}
 		if head != nil {
-			// Flushing before there is a head would send status 200, and an
-			// error that follows would look like an answer.
+			// Flushing before the head is known would send status 200, and an error that
+			// follows would look like an answer.
 			r.c.Writer.Flush()
 		}
 		if !view.Done {
 			continue
 		}
 		if view.Err != nil {
-			r.streamError(head != nil, view.Err)
+			r.writeStreamError(head != nil, view.Err)
 			return
 		}
 		fmt.Fprint(r.c.Writer, "data: [DONE]\n\n")
@@ -227,14 +230,15 @@
 	}
 }
 
-func (r *responder) openStream(head *answer.Head) {
+// startStream sends the headers and the first chunk, which has no text.
+func (r *responder) startStream(head *answer.Head) {
 	r.setHeaders(head)
 	r.c.Header("Content-Type", "text/event-stream")
 	r.c.Header("Cache-Control", "no-cache")
 	r.c.Writer.WriteHeaderNow()
 	first := r.chunk(head, chunkDelta{Role: "assistant"}, nil)
-	first.Hornbeamsill = &extension{Request: r.id, Resume: head.Resume}
-	r.send(-1, first)
+	first.Hornbeamsill = &chunkExtension{Request: r.id, Resume: head.Resume}
+	r.writeEvent(-1, first)
 }
 
 func (r *responder) chunk(head *answer.Head, delta chunkDelta, finish *string) chunk {
@@ -247,23 +251,25 @@
 	}
 }
 
-func (r *responder) event(head *answer.Head, event answer.Event) {
+// writeAnswerEvent writes an event of the answer. The last event is followed by the
+// usage if the caller asked for it.
+func (r *responder) writeAnswerEvent(head *answer.Head, event answer.Event) {
 	var finish *string
 	if event.FinishReason != "" {
 		finish = &event.FinishReason
 	}
-	r.send(event.Offset, r.chunk(head, chunkDelta{Content: event.Delta}, finish))
+	r.writeEvent(event.Offset, r.chunk(head, chunkDelta{Content: event.Delta}, finish))
 	if finish == nil || !r.includeUsage {
 		return
 	}
 	usage := r.chunk(head, chunkDelta{}, nil)
 	usage.Choices = []chunkChoice{}
 	usage.Usage = event.Usage
-	r.send(-1, usage)
+	r.writeEvent(-1, usage)
 }
 
-// send writes one event; a negative offset is left out.
-func (r *responder) send(offset int, v any) {
+// writeEvent writes one server-sent event, without an id if offset is negative.
+func (r *responder) writeEvent(offset int, v any) {
 	data, err := json.Marshal(v)
 	if err != nil {
 		return
@@ -274,15 +280,15 @@
 	fmt.Fprintf(r.c.Writer, "data: %s\n\n", data)
 }
 
-// streamError reports an error: as the whole answer while nothing was sent,
-// else as the last event.
-func (r *responder) streamError(opened bool, err error) {
+// writeStreamError reports an error: as the response if nothing has been sent yet,
+// and as the last event otherwise.
+func (r *responder) writeStreamError(opened bool, err error) {
 	if !opened {
-		r.server.refuse(r.c, err)
+		r.server.writeError(r.c, err)
 		return
 	}
 	f := fault.From(err)
 	f.RequestID = r.id
-	r.send(-1, f.ToBody())
+	r.writeEvent(-1, f.ToBody())
 	r.c.Writer.Flush()
 }
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -24,31 +24,34 @@
 )
 
 const (
-	// maxAttempts bounds the attempts of one step, refused ones included.
+	// maxAttempts limits the attempts for one step, including refused ones.
 	maxAttempts = 8
-	// maxResumes bounds the reconnections to a running attempt without a new
-	// event in between.
+	// maxResumes limits the consecutive reconnections to a running attempt that
+	// yield no new event.
 	maxResumes = 5
-	// resumePause is the first pause before a reconnection; it doubles.
-	resumePause = 20 * time.Millisecond
-	// queueLimit is how many attempts per slot an upstream is sent.
+	// resumeBackoff is the delay before the first reconnection; it doubles with
+	// each further one.
+	resumeBackoff = 20 * time.Millisecond
+	// queueLimit limits the attempts in progress at an upstream, as a multiple of
+	// its slots. Further requests wait in the queue of this daemon.
 	queueLimit = 1.5
 )
 
-// step runs one version to the end of its answer and adds it to the bill. emit
-// gets every event in order, the last one included.
-func (e *execution) step(ctx context.Context, ref config.VersionRef, emit emitter) (upstream.Event, error) {
+// runStep runs a version until its answer is complete, charges the step to the
+// bill, and returns the last event. emit receives every event in order,
+// including the last one.
+func (e *execution) runStep(ctx context.Context, ref config.VersionRef, emit emitFunc) (upstream.Event, error) {
 	excluded := map[string]bool{}
 	for range maxAttempts {
-		u, attempt, err := e.acquire(ctx, ref, excluded)
+		u, attempt, err := e.acquireUpstream(ctx, ref, excluded)
 		if err != nil {
 			return upstream.Event{}, err
 		}
-		result := e.attempt(ctx, ref, u, attempt, emit)
+		result := e.runAttempt(ctx, ref, u, attempt, emit)
 		e.Upstreams.Ended(u.Instance.ID, attempt, result.upstreamFailed)
 		if result.err == nil {
-			e.addStep(ctx, ref, result.last)
-			return result.last, nil
+			e.chargeStep(ctx, ref, result.lastEvent)
+			return result.lastEvent, nil
 		}
 		if !e.mayRetry(ctx, result) {
 			return upstream.Event{}, result.err
@@ -58,30 +61,32 @@
 	return upstream.Event{}, fault.New(fault.NoUpstream, "no upstream took the request in %d attempts", maxAttempts)
 }
 
-// emitter takes the events of an answer in order.
-type emitter func(upstream.Event) error
+// emitFunc receives the events of an answer in order.
+type emitFunc func(upstream.Event) error
 
-// result is how an attempt ended.
-type result struct {
-	last upstream.Event
-	err  error
-	// notRun is true when the upstream certainly did not start.
+// attemptResult describes how an attempt ended.
+type attemptResult struct {
+	lastEvent upstream.Event
+	err       error
+	// notRun is true if the upstream is known not to have started the work.
 	notRun bool
-	// upstreamFailed counts towards ejecting the upstream.
+	// upstreamFailed is true if the attempt counts towards ejecting the
+	// upstream.
 	upstreamFailed bool
-	// final is true when another attempt must not follow.
-	final bool
+	// noRetry is true if no further attempt is allowed.
+	noRetry bool
 }
 
-// mayRetry decides whether another attempt may follow a failed one.
+// mayRetry reports whether another attempt is allowed after a failed one.
 //
-// What was certainly not run may always go elsewhere. After an unknown outcome
-// only idempotent work may, since the first attempt may still run: a reply
-// draft would be sent twice. Nothing may follow events that the caller has
-// seen, as a second answer would be joined to the first. The budget keeps
-// retries from multiplying the load of failing upstreams.
-func (e *execution) mayRetry(ctx context.Context, r result) bool {
-	if ctx.Err() != nil || r.final {
+// Work that is known not to have run may always be sent to another upstream.
+// After an unknown outcome, only idempotent work may be sent again, because the
+// first attempt may still be running: a reply draft would be sent twice. Once
+// the caller may have received events, no attempt is allowed, because a second
+// answer would be appended to the first. The retry budget keeps retries from
+// multiplying the load of failing upstreams.
+func (e *execution) mayRetry(ctx context.Context, r attemptResult) bool {
+	if ctx.Err() != nil || r.noRetry {
 		return false
 	}
 	if r.notRun {
@@ -90,12 +95,13 @@
 	return e.req.Kind.Idempotent && !e.out.Started() && e.retries.Take()
 }
 
-// acquire waits for room at an upstream that serves ref and counts the attempt
-// as sent there.
-func (e *execution) acquire(ctx context.Context, ref config.VersionRef, excluded map[string]bool) (member.Upstream, string, error) {
+// acquireUpstream waits until an upstream that serves ref has capacity. It
+// returns the upstream and the id of the new attempt, which is already counted
+// towards the load of that upstream.
+func (e *execution) acquireUpstream(ctx context.Context, ref config.VersionRef, excluded map[string]bool) (member.Upstream, string, error) {
 	attempt := rand.Text()
 	tokens := e.expectedTokens()
-	timing := e.times.get(ref)
+	timing := e.latencies.estimate(ref)
 	work := limit.Work{
 		Priority:     e.req.Kind.Priority.Level(),
 		Organisation: e.req.Organisation,
@@ -103,12 +109,12 @@
 		Deadline:     e.req.Deadline,
 		ServiceTime:  timing.firstToken + time.Duration(tokens)*timing.perToken,
 	}
-	if !e.servedOutside(ref, excluded) {
+	if !e.servedByOther(ref, excluded) {
 		return member.Upstream{}, "", fault.New(fault.NoUpstream, "no upstream serves %s now", ref)
 	}
 	var chosen member.Upstream
-	err := e.queue(ref.String()).Wait(ctx, work, func() bool {
-		u, ok := e.choose(ref, excluded)
+	err := e.queueFor(ref.String()).Wait(ctx, work, func() bool {
+		u, ok := e.chooseUpstream(ref, excluded)
 		if ok {
 			chosen = u
 			e.Upstreams.Started(u.Instance.ID, attempt)
@@ -118,7 +124,9 @@
 	return chosen, attempt, err
 }
 
-func (e *execution) servedOutside(ref config.VersionRef, excluded map[string]bool) bool {
+// servedByOther reports whether a usable upstream that is not in excluded
+// serves ref.
+func (e *execution) servedByOther(ref config.VersionRef, excluded map[string]bool) bool {
 	for _, u := range e.Upstreams.Usable(backing.RoleEngine) {
 		if u.Serves(ref) && !excluded[u.Instance.ID] {
 			return true
@@ -127,8 +135,9 @@
 	return false
 }
 
-// choose picks an upstream for ref, or none while all are full.
-func (e *execution) choose(ref config.VersionRef, excluded map[string]bool) (member.Upstream, bool) {
+// chooseUpstream picks an upstream for ref. It returns false if every upstream
+// is at its queue limit.
+func (e *execution) chooseUpstream(ref config.VersionRef, excluded map[string]bool) (member.Upstream, bool) {
 	usable := e.Upstreams.Usable(backing.RoleEngine)
 	var loads []route.UpstreamLoad
 	byID := map[string]member.Upstream{}
@@ -145,7 +154,7 @@
 		})
 	}
 	bound := e.Policy().WithDefaults().AffinityBound
-	key := route.PrefixKey(e.req.Organisation, prompt(e.req))
+	key := route.PrefixKey(e.req.Organisation, promptText(e.req))
 	var picked route.UpstreamLoad
 	var ok bool
 	e.withRandom(func(random *mathrand.Rand) {
@@ -154,17 +163,17 @@
 	return byID[picked.ID], ok
 }
 
-// attempt sends one attempt and reads its answer, reconnecting when the stream
-// is cut.
-func (e *execution) attempt(ctx context.Context, ref config.VersionRef, u member.Upstream, id string, emit emitter) result {
+// runAttempt sends an attempt to u and reads its answer. It reconnects if the
+// stream is interrupted.
+func (e *execution) runAttempt(ctx context.Context, ref config.VersionRef, u member.Upstream, id string, emit emitFunc) attemptResult {
 	ctx, span := tracer.Start(ctx, "attempt")
 	defer span.End()
 	span.SetAttributes(attribute.String("upstream", u.Instance.ID), attribute.String("version", ref.String()), attribute.String("attempt", id))
-	if err := e.record(ctx, ref, u, id); err != nil {
-		return result{err: err, notRun: true, final: true}
+	if err := e.recordAttempt(ctx, ref, u, id); err != nil {
+		return attemptResult{err: err, notRun: true, noRetry: true}
 	}
-	if err := e.confirm(ctx, ref); err != nil {
-		return result{err: err, notRun: true, final: true}
+	if err := e.checkVersion(ctx, ref); err != nil {
+		return attemptResult{err: err, notRun: true, noRetry: true}
 	}
 	chat := e.req.Chat
 	chat.Model = ref.String()
@@ -174,18 +183,19 @@
 		ID: id, RequestID: e.req.ID, Kind: e.req.KindName, Priority: e.req.Kind.Priority.Level(), Chat: chat,
 	})
 	if err != nil && upstream.NotRun(err) {
-		return e.refused(u, err)
+		return e.notRunResult(u, err)
 	}
 	if e.ran == fault.RanNo {
 		e.ran = fault.RanUnknown
 	}
-	reader := &attemptReader{execution: e, ref: ref, upstream: u, id: id, emit: emit, sent: sent}
+	reader := &attemptReader{execution: e, ref: ref, upstream: u, id: id, emit: emit, sentAt: sent}
 	return reader.read(ctx, stream, err)
 }
 
-// record makes the bill name this attempt before it is sent, so that after a
-// crash the right upstream is asked what ran.
-func (e *execution) record(ctx context.Context, ref config.VersionRef, u member.Upstream, attempt string) error {
+// recordAttempt writes the upstream and the attempt into the bill before the
+// attempt is sent. After a crash, the usage is then requested from the right
+// upstream.
+func (e *execution) recordAttempt(ctx context.Context, ref config.VersionRef, u member.Upstream, attempt string) error {
 	snapshot, _, err := e.Fresh.Ensure(ctx)
 	if err != nil {
 		return err
@@ -195,23 +205,25 @@
 	e.bill.Upstream = u.Instance.Address
 	e.bill.Attempt = attempt
 	e.bill.InputPrice, e.bill.OutputPrice = version.InputPrice, version.OutputPrice
-	if e.opened {
+	if e.billOpened {
 		e.bill.State = ledger.Open
 		return e.Billing.Update(ctx, e.bill)
 	}
 	if err := e.Billing.Open(ctx, e.bill); err != nil {
 		return err
 	}
-	e.opened = true
+	e.billOpened = true
 	return nil
 }
 
-// confirm looks at the version once more, right before the attempt is sent.
+// checkVersion returns an error if ref may no longer be used. It is called
+// right before an attempt is sent.
 //
-// The plan may be old by now: the request waited in a queue, the bill waited
-// for a slow peer, or the daemon was paused. Sending then would give new work
-// to a version withdrawn in the meantime.
-func (e *execution) confirm(ctx context.Context, ref config.VersionRef) error {
+// The plan may be outdated by then: the request may have waited in a queue, the
+// bill may have waited for a slow peer, or the daemon may have been paused.
+// Without this check, new work would be sent to a version that has been
+// withdrawn in the meantime.
+func (e *execution) checkVersion(ctx context.Context, ref config.VersionRef) error {
 	snapshot, provenOnly, err := e.Fresh.Ensure(ctx)
 	if err != nil {
 		return err
@@ -222,7 +234,7 @@
 		if e.req.Session != nil {
 			return fault.New(fault.SessionWithdrawn, "%s was withdrawn; start a new session", ref)
 		}
-		return fault.New(fault.VersionWithdrawn, "%s was withdrawn while the request waited", ref).WithRetryAfter(resumePause)
+		return fault.New(fault.VersionWithdrawn, "%s was withdrawn while the request waited", ref).WithRetryAfter(resumeBackoff)
 	case !snapshot.Allows(e.req.Organisation, ref):
 		return fault.New(fault.ModelNotAllowed, "the organisation may not use %s any more", ref)
 	case provenOnly && !snapshot.Proven(ref):
@@ -231,19 +243,21 @@
 	return nil
 }
 
-func (e *execution) refused(u member.Upstream, err error) result {
+// notRunResult returns the result of an attempt that err proves was not run. An
+// upstream that refuses because it is leaving gets no further attempts.
+func (e *execution) notRunResult(u member.Upstream, err error) attemptResult {
 	var refused *upstream.RefusedError
 	if errors.As(err, &refused) {
 		if refused.Reason == upstream.RefusedLeaving {
 			e.Upstreams.MarkLeaving(u.Instance.ID)
 		}
-		return result{err: fault.New(fault.NoUpstream, "%v", err), notRun: true}
+		return attemptResult{err: fault.New(fault.NoUpstream, "%v", err), notRun: true}
 	}
-	return result{err: fault.New(fault.UpstreamFailed, "%v", err), notRun: true, upstreamFailed: true}
+	return attemptResult{err: fault.New(fault.UpstreamFailed, "%v", err), notRun: true, upstreamFailed: true}
 }
 
-// addStep charges a finished run.
-func (e *execution) addStep(ctx context.Context, ref config.VersionRef, last upstream.Event) {
+// chargeStep adds a completed step to the bill.
+func (e *execution) chargeStep(ctx context.Context, ref config.VersionRef, last upstream.Event) {
 	usage := upstream.Usage{}
 	if last.Usage != nil {
 		usage = *last.Usage
@@ -257,9 +271,10 @@
 	slog.DebugContext(ctx, "step.finished", "request", e.req.ID, "version", ref, "tokens", usage.CompletionTokens)
 }
 
-// showHead signs the tokens and lets readers see the head of the answer. The
-// bill names the attempt that answers.
-func (e *execution) showHead() error {
+// startAnswer signs the session and resume tokens and sets the head of the
+// answer, unless it is set already. The resume token names the attempt that is
+// recorded in the bill.
+func (e *execution) startAnswer() error {
 	if e.out.Started() {
 		return nil
 	}
--- a/internal/dispatch/cascade.go
+++ b/internal/dispatch/cascade.go
@@ -11,11 +11,13 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/upstream"
 )
 
-// collector keeps the events of an answer that the caller may not see yet. A
-// new attempt starts it afresh.
-type collector struct{ events []upstream.Event }
+// eventBuffer holds the events of an answer that must not be sent to the caller
+// yet.
+type eventBuffer struct{ events []upstream.Event }
 
-func (c *collector) emit(event upstream.Event) error {
+// add appends an event. The first event of a new attempt discards the events of the
+// earlier one.
+func (c *eventBuffer) add(event upstream.Event) error {
 	if event.Offset == 0 {
 		c.events = nil
 	}
@@ -23,7 +25,7 @@
 	return nil
 }
 
-func (c *collector) text() string {
+func (c *eventBuffer) text() string {
 	var b strings.Builder
 	for _, event := range c.events {
 		b.WriteString(event.Delta)
@@ -31,23 +33,25 @@
 	return b.String()
 }
 
-// cascade runs the cheap version, has its answer judged, and runs the second
-// version when the judge does not accept it. The caller sees nothing of an
-// answer that was not accepted; both runs are on the one bill.
+// cascade runs the first version of the plan and asks the judge about its
+// answer. It runs the second version if the first one fails or the judge does
+// not accept its answer. The caller receives no part of an answer that was not
+// accepted; both runs are charged to the same bill.
 func (e *execution) cascade(ctx context.Context, plan route.Plan) error {
-	var first collector
-	last, err := e.step(ctx, plan.Steps[0], first.emit)
-	if err == nil && e.accepted(ctx, plan.Steps[0], first.text()) {
-		return e.release(ctx, first, last)
+	var first eventBuffer
+	last, err := e.runStep(ctx, plan.Steps[0], first.add)
+	if err == nil && e.judgeAccepts(ctx, plan.Steps[0], first.text()) {
+		return e.sendBuffered(ctx, first, last)
 	}
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	return e.answerWith(ctx, plan.Steps[1])
+	return e.answerWithVersion(ctx, plan.Steps[1])
 }
 
-// release passes collected events on and finishes.
-func (e *execution) release(ctx context.Context, c collector, last upstream.Event) error {
+// sendBuffered sends the buffered events to the caller and completes the
+// request.
+func (e *execution) sendBuffered(ctx context.Context, c eventBuffer, last upstream.Event) error {
 	for _, event := range c.events {
 		if err := e.forward(event); err != nil {
 			return err
@@ -56,14 +60,16 @@
 	return e.finish(ctx, last)
 }
 
-// accepted asks the judge. A judge that does not answer accepts nothing.
-func (e *execution) accepted(ctx context.Context, ref config.VersionRef, text string) bool {
+// judgeAccepts reports whether the judge accepts the answer of the last step. It
+// returns false if the judge does not respond. The judge's price is charged to
+// the step in either case.
+func (e *execution) judgeAccepts(ctx context.Context, ref config.VersionRef, text string) bool {
 	judgement, err := e.Judge.Judge(ctx, backing.JudgeRequest{
 		RequestID: e.req.ID,
 		Kind:      e.req.KindName,
 		Model:     ref.Model,
 		Version:   ref.Version,
-		Prompt:    prompt(e.req),
+		Prompt:    promptText(e.req),
 		Answer:    text,
 	})
 	step := &e.bill.Steps[len(e.bill.Steps)-1]
@@ -76,7 +82,7 @@
 	return judgement.Accept
 }
 
-// judgePrice is what one judgement costs.
+// judgePrice returns the price of one judgement.
 func (e *execution) judgePrice(ctx context.Context) int64 {
 	snapshot, _, err := e.Fresh.Ensure(ctx)
 	if err != nil {
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,6 +1,6 @@
-// Package dispatch runs requests: it chooses a plan and an upstream, keeps the
-// bill, sends attempts, resumes cut streams, retries what may be retried, and
-// writes the answer.
+// Package dispatch runs requests: it chooses model versions and upstreams,
+// records the bill, sends attempts, resumes interrupted streams, retries where
+// this is safe, and writes the answer.
 package dispatch
 
 import (
@@ -31,13 +31,14 @@
 
 var tracer = otel.Tracer("github.com/hornbeamsill/hornbeamsill/internal/dispatch")
 
-// Request is an admitted request for a model.
+// Request is an admitted request to a model.
 type Request struct {
 	ID           string
 	Organisation string
 	KindName     string
 	Kind         config.Kind
-	// Model is empty for "auto"; Version is empty unless the caller pinned it.
+	// Model is empty if the caller selected "auto". Version is empty unless the
+	// caller selected a specific version.
 	Model   string
 	Version string
 	Chat    upstream.ChatRequest
@@ -45,22 +46,26 @@
 	Session      *session.Session
 	SessionToken string
 	Deadline     time.Time
-	// Keyed requests carry an idempotency key: they run to their end even
-	// when nobody listens, so that a repeat finds the answer.
-	Keyed bool
-	// NotRun is called before the answer ends when the work was not run, so
-	// that a caller who is told so can use its idempotency key again at once.
-	NotRun func()
+	// HasIdempotencyKey is set if the request has an idempotency key. Such a
+	// request runs to its end even without readers, because a repeated request
+	// with the same key returns its answer.
+	HasIdempotencyKey bool
+	// OnNotRun is called before the answer ends if the work was not run. It
+	// releases the idempotency key, so that a caller who learns this can use the
+	// key again at once.
+	OnNotRun func()
 }
 
-// Fresh tells whether the configuration may be relied on.
+// ConfigSource returns the configuration, provided that it is recent enough to
+// use.
 type Fresh interface {
-	// Ensure returns the snapshot to dispatch with. provenOnly is true when
-	// versions that are not proven may not be used.
+	// UsableSnapshot returns the configuration for a request, or an error if it
+	// has not been confirmed recently enough. If provenOnly is true, only proven
+	// versions may be used.
 	Ensure(ctx context.Context) (snapshot *config.Snapshot, provenOnly bool, err error)
 }
 
-// Billing keeps the bills; *ledger.Ledger is one.
+// Billing records the bills of requests. *ledger.Ledger implements it.
 type Billing interface {
 	Open(ctx context.Context, b ledger.Bill) error
 	Update(ctx context.Context, b ledger.Bill) error
@@ -68,63 +73,66 @@
 	Void(id string)
 }
 
-// Judge judges answers inside a cascade.
+// Judge assesses the answers of the first version in a cascade.
 type Judge interface {
 	Judge(ctx context.Context, req backing.JudgeRequest) (backing.Judgement, error)
 }
 
-// Engines starts and resumes attempts; *upstream.Client is one.
-type Engines interface {
+// EngineClient starts, resumes and cancels attempts at model engines.
+// *upstream.Client implements it.
+type EngineClient interface {
 	Start(ctx context.Context, address string, a upstream.Attempt) (*upstream.Stream, error)
 	Resume(ctx context.Context, address, attempt string, next int) (*upstream.Stream, error)
 	Cancel(ctx context.Context, address, attempt string) error
 }
 
-// Deps is what a Dispatcher works with.
+// Deps holds the dependencies of a Dispatcher.
 type Deps struct {
 	Site          string
 	FailureDomain string
 	Clock         clockwork.Clock
 	Fresh         Fresh
 	Upstreams     *member.Upstreams
-	Engines       Engines
+	Engines       EngineClient
 	Services      ServiceCaller
 	Billing       Billing
 	Judge         Judge
 	Signer        *session.Signer
 	Ratings       *rating.Counter
 	Exposure      *rollout.DaemonCredits
-	// Policy returns the policy in force for upstreams.
+	// Policy returns the current policy for upstreams.
 	Policy func() config.UpstreamPolicy
 	Seed   uint64
-	// AbandonGrace is how long an answer that nobody reads goes on.
+	// AbandonGrace is how long an answer is continued without readers.
 	AbandonGrace time.Duration
 }
 
-// Dispatcher runs requests.
+// Dispatcher runs requests. It is safe for concurrent use.
 //
-// Lock order: a queue's lock before mu; mu before nothing.
+// Lock order: the lock of a queue before mu. No other lock is taken while mu is
+// held.
 type Dispatcher struct {
 	Deps
-	retries *limit.RetryBudget
-	times   *times
+	retries   *limit.RetryBudget
+	latencies *latencyEstimator
 
 	mu     sync.Mutex
 	queues map[string]*limit.Queue
 	random *rand.Rand
 }
 
-// retryBurst is how many retries may be saved up.
+// retryBurst is the maximum number of unused retries that the retry budget
+// accumulates.
 const retryBurst = 10
 
 // New returns a dispatcher.
 func New(deps Deps) *Dispatcher {
 	return &Dispatcher{
-		Deps:    deps,
-		retries: limit.NewRetryBudget(retryBurst),
-		times:   newTimes(),
-		queues:  map[string]*limit.Queue{},
-		random:  rand.New(rand.NewPCG(deps.Seed, 2)),
+		Deps:      deps,
+		retries:   limit.NewRetryBudget(retryBurst),
+		latencies: newLatencyEstimator(),
+		queues:    map[string]*limit.Queue{},
+		random:    rand.New(rand.NewPCG(deps.Seed, 2)),
 	}
 }
 
@@ -134,15 +142,15 @@
 	req  Request
 	out  *answer.Answer
 	bill ledger.Bill
-	// opened is true once the bill is recorded.
-	opened bool
-	// ran is what is known about the work upstream.
+	// billOpened is true once the bill is recorded.
+	billOpened bool
+	// ran is what is known about whether an upstream ran the work.
 	ran     fault.Ran
 	started time.Time
 }
 
-// Run runs a request to its end and always ends the answer. It reports what
-// became of the work.
+// Run runs a request to its end and always ends the answer. It returns whether
+// the work was run.
 func (d *Dispatcher) Run(ctx context.Context, req Request, out *answer.Answer) fault.Ran {
 	ctx, cancel := context.WithDeadline(ctx, req.Deadline)
 	defer cancel()
@@ -175,8 +183,8 @@
 	}
 }
 
-// maxPlans bounds how often a plan is made again because a version was
-// withdrawn before the attempt was sent.
+// maxPlans limits how often a request is planned. It is planned again if a
+// version of the plan is withdrawn before the attempt is sent.
 const maxPlans = 3
 
 func (e *execution) run(ctx context.Context) error {
@@ -199,32 +207,33 @@
 	if plan.Cascade() {
 		return e.cascade(ctx, plan)
 	}
-	return e.answerWith(ctx, plan.Steps[0])
+	return e.answerWithVersion(ctx, plan.Steps[0])
 }
 
-// answerWith runs a version. A caller that streams gets its events as they
-// come; for others they are collected, so that idempotent work can start
-// afresh at another upstream as long as nothing was sent.
-func (e *execution) answerWith(ctx context.Context, ref config.VersionRef) error {
+// answerWithVersion runs ref and sends its answer. A streaming caller receives
+// the events as they arrive. For other callers the events are buffered, so that
+// idempotent work can be restarted at another upstream until the answer is
+// complete.
+func (e *execution) answerWithVersion(ctx context.Context, ref config.VersionRef) error {
 	if !e.req.Chat.Stream {
-		var all collector
-		last, err := e.step(ctx, ref, all.emit)
+		var all eventBuffer
+		last, err := e.runStep(ctx, ref, all.add)
 		if err != nil {
 			return err
 		}
-		return e.release(ctx, all, last)
+		return e.sendBuffered(ctx, all, last)
 	}
-	last, err := e.step(ctx, ref, e.forward)
+	last, err := e.runStep(ctx, ref, e.forward)
 	if err != nil {
 		return err
 	}
 	return e.finish(ctx, last)
 }
 
-// forward passes an event on. The last one is held back until the bill is
-// closed.
+// forward sends an event to the caller. The last event is held back; finish
+// sends it after closing the bill.
 func (e *execution) forward(event upstream.Event) error {
-	if err := e.showHead(); err != nil {
+	if err := e.startAnswer(); err != nil {
 		return err
 	}
 	if !event.Last() {
@@ -233,15 +242,16 @@
 	return nil
 }
 
-// closeWait bounds how long the last event waits for the closed bill to be
-// held by peers. The open bill is durable before that, so that a crash after
-// this time still leads to one bill with the upstream's own count.
-const closeWait = time.Second
+// billCloseTimeout limits how long the last event waits until peers hold
+// replicas of the closed bill. The open bill is durable by then, so a crash
+// after the timeout still results in one bill, with the usage that the upstream
+// reports.
+const billCloseTimeout = time.Second
 
 // finish closes the bill and then sends the last event.
 func (e *execution) finish(ctx context.Context, last upstream.Event) error {
 	e.bill.State = ledger.Answered
-	closing, cancel := context.WithTimeout(context.WithoutCancel(ctx), closeWait)
+	closing, cancel := context.WithTimeout(context.WithoutCancel(ctx), billCloseTimeout)
 	defer cancel()
 	e.Billing.Close(closing, e.bill)
 	e.ran = fault.RanYes
@@ -250,28 +260,29 @@
 	return nil
 }
 
-// fail closes or voids the bill and ends the answer with the error at once.
+// fail closes the bill, or voids it if nothing was run, and ends the answer with
+// the error.
 func (e *execution) fail(ctx context.Context, err error) {
 	f := e.classify(ctx, err)
 	f = f.WithRan(e.ran)
 	switch {
-	case !e.opened:
+	case !e.billOpened:
 	case e.ran == fault.RanNo && len(e.bill.Steps) == 0:
 		e.Billing.Void(e.req.ID)
 	default:
 		e.bill.State = ledger.Failed
 		e.bill.Reason = string(f.Kind)
-		closing, cancel := context.WithTimeout(context.WithoutCancel(ctx), closeWait)
+		closing, cancel := context.WithTimeout(context.WithoutCancel(ctx), billCloseTimeout)
 		defer cancel()
 		e.Billing.Close(closing, e.bill)
 	}
-	if e.ran == fault.RanNo && e.req.NotRun != nil {
-		e.req.NotRun()
+	if e.ran == fault.RanNo && e.req.OnNotRun != nil {
+		e.req.OnNotRun()
 	}
 	e.out.Fail(f, e.Clock.Now())
 }
 
-// classify turns an error into one of the closed list.
+// classify converts an error to one of the error kinds of package fault.
 func (e *execution) classify(ctx context.Context, err error) *fault.Error {
 	var f *fault.Error
 	var refused *limit.RefusedError
@@ -289,11 +300,12 @@
 	}
 }
 
-// errAbandoned ends a request that nobody reads any more.
+// errAbandoned ends a request whose answer has no reader any more.
 var errAbandoned = errors.New("abandoned")
 
-// queue returns the queue in front of what serves name.
-func (d *Dispatcher) queue(name string) *limit.Queue {
+// queueFor returns the queue with the given name. There is one for each model
+// version and for each plain service.
+func (d *Dispatcher) queueFor(name string) *limit.Queue {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	q, ok := d.queues[name]
@@ -304,7 +316,7 @@
 	return q
 }
 
-// Waiting returns how many requests wait, by what they wait for.
+// QueueLengths returns the number of waiting requests by queue name.
 func (d *Dispatcher) Waiting() map[string]int {
 	out := map[string]int{}
 	for name, q := range d.allQueues() {
@@ -313,19 +325,21 @@
 	return out
 }
 
-// allQueues returns the queues, so that they are used without holding mu: a
-// queue holds its own lock while it tries to start a request, which takes mu.
+// allQueues returns a copy of the queues. Callers must not hold mu when they use
+// a queue: a queue holds its own lock while it tries to start a request, which
+// locks mu.
 func (d *Dispatcher) allQueues() map[string]*limit.Queue {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return maps.Clone(d.queues)
 }
 
-// PokeLoop lets waiting requests try again whenever room may have come up.
+// GrantLoop lets waiting requests try again whenever the upstreams change, until
+// ctx is done.
 func (d *Dispatcher) PokeLoop(ctx context.Context) {
 	for {
 		changed := d.Upstreams.Changed()
-		d.poke()
+		d.grantWaiting()
 		select {
 		case <-changed:
 		case <-ctx.Done():
@@ -334,7 +348,7 @@
 	}
 }
 
-func (d *Dispatcher) poke() {
+func (d *Dispatcher) grantWaiting() {
 	for _, q := range d.allQueues() {
 		q.GrantWaiting()
 	}
--- a/internal/dispatch/plan.go
+++ b/internal/dispatch/plan.go
@@ -15,14 +15,15 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/route"
 )
 
-// exploreShare bounds how often a cheaper version is tried to learn about it.
+// exploreShare limits the fraction of requests that use a cheaper version to
+// collect ratings for it.
 const exploreShare = 0.02
 
-// defaultTokens is the expected length of an answer where the kind gives
-// none.
-const defaultTokens = 200
+// defaultExpectedTokens is the expected length of an answer if the kind of the
+// request does not define one.
+const defaultExpectedTokens = 200
 
-// plan decides which versions answer.
+// plan chooses the versions that run the request.
 func (e *execution) plan(ctx context.Context) (route.Plan, error) {
 	snapshot, provenOnly, err := e.Fresh.Ensure(ctx)
 	if err != nil {
@@ -34,13 +35,16 @@
 	case e.req.Version != "":
 		return e.pinnedPlan(snapshot, provenOnly)
 	default:
-		return e.freePlan(snapshot, provenOnly)
+		return e.routedPlan(snapshot, provenOnly)
 	}
 }
 
-func onePlan(ref config.VersionRef) route.Plan { return route.Plan{Steps: []config.VersionRef{ref}} }
+func singlePlan(ref config.VersionRef) route.Plan {
+	return route.Plan{Steps: []config.VersionRef{ref}}
+}
 
-// sessionPlan keeps the session's version, or says that it cannot.
+// sessionPlan returns a plan with the version of the session, or an error if that
+// version cannot be used any more.
 func (e *execution) sessionPlan(snapshot *config.Snapshot, provenOnly bool) (route.Plan, error) {
 	ref := e.req.Session.Version
 	if e.req.Model != "" && e.req.Model != ref.Model || e.req.Version != "" && e.req.Version != ref.Version {
@@ -56,10 +60,10 @@
 	if provenOnly && !snapshot.Proven(ref) {
 		return route.Plan{}, fault.New(fault.ConfigStale, "%s cannot be used until the configuration is confirmed", ref)
 	}
-	return onePlan(ref), nil
+	return singlePlan(ref), nil
 }
 
-// pinnedPlan uses the version that the caller named.
+// pinnedPlan returns a plan with the version that the caller selected.
 func (e *execution) pinnedPlan(snapshot *config.Snapshot, provenOnly bool) (route.Plan, error) {
 	ref := config.VersionRef{Model: e.req.Model, Version: e.req.Version}
 	state, known := snapshot.State(ref)
@@ -77,12 +81,14 @@
 	case state == config.RollingOut && !e.Exposure.Take(ref):
 		return route.Plan{}, fault.New(fault.NoCapacity, "model: %s is being rolled out and its exposure is used up", ref)
 	}
-	return onePlan(ref), nil
+	return singlePlan(ref), nil
 }
 
-// freePlan picks the cheapest way to meet the quality target, and then lets a
-// version that is being rolled out take its share.
-func (e *execution) freePlan(snapshot *config.Snapshot, provenOnly bool) (route.Plan, error) {
+// routedPlan returns the cheapest plan that meets the quality target and is fast
+// enough. A small fraction of idempotent requests gets a cheaper plan instead, to
+// collect ratings for it. Unless only proven versions may be used, versions are then
+// replaced according to the roll-outs in progress.
+func (e *execution) routedPlan(snapshot *config.Snapshot, provenOnly bool) (route.Plan, error) {
 	candidates, err := e.candidates(snapshot)
 	if err != nil {
 		return route.Plan{}, err
@@ -109,15 +115,16 @@
 			pick = route.Explore(pick, plans, req.Target, exploreShare, random)
 		}
 		if !provenOnly {
-			pick.Steps = e.substitute(snapshot, pick.Steps, random)
+			pick.Steps = e.substituteRollouts(snapshot, pick.Steps, random)
 		}
 	})
 	return pick, nil
 }
 
-// substitute replaces a step by the version of its model that is being rolled
-// out, in the roll-out's share of new sessions and while there are credits.
-func (e *execution) substitute(snapshot *config.Snapshot, steps []config.VersionRef, random *rand.Rand) []config.VersionRef {
+// substituteRollouts returns steps with versions replaced by versions of the same
+// model that are being rolled out. A version is replaced with the probability
+// that the roll-out defines, and only while this daemon has credits for it.
+func (e *execution) substituteRollouts(snapshot *config.Snapshot, steps []config.VersionRef, random *rand.Rand) []config.VersionRef {
 	out := slices.Clone(steps)
 	for i, ref := range out {
 		for _, r := range snapshot.Rollouts {
@@ -129,7 +136,7 @@
 			if state != config.RollingOut || !snapshot.Allows(e.req.Organisation, next) {
 				continue
 			}
-			if random.Float64() < r.Share && e.served(next) && e.Exposure.Take(next) {
+			if random.Float64() < r.Share && e.isServed(next) && e.Exposure.Take(next) {
 				out[i] = next
 				break
 			}
@@ -138,8 +145,8 @@
 	return out
 }
 
-// candidates lists the proven versions that the request may use and that some
-// upstream serves.
+// candidates returns the versions in state config.Serving that the request may
+// use and that at least one usable upstream serves.
 func (e *execution) candidates(snapshot *config.Snapshot) ([]route.Candidate, error) {
 	if _, known := snapshot.Doc.Models[e.req.Model]; e.req.Model != "" && !known {
 		return nil, fault.New(fault.UnknownModel, "model: there is no model %q", e.req.Model)
@@ -147,7 +154,7 @@
 	var out []route.Candidate
 	allowed := false
 	for _, model := range slices.Sorted(maps.Keys(snapshot.Doc.Models)) {
-		if !e.wantsModel(model) {
+		if !e.isEligibleModel(model) {
 			continue
 		}
 		for _, version := range slices.Sorted(maps.Keys(snapshot.Doc.Models[model].Versions)) {
@@ -156,7 +163,7 @@
 				continue
 			}
 			allowed = true
-			if state, _ := snapshot.State(ref); state == config.Serving && e.served(ref) {
+			if state, _ := snapshot.State(ref); state == config.Serving && e.isServed(ref) {
 				out = append(out, e.candidate(snapshot, ref))
 			}
 		}
@@ -167,7 +174,9 @@
 	return out, nil
 }
 
-func (e *execution) wantsModel(model string) bool {
+// isEligibleModel reports whether the selection of the caller and the kind of the
+// request allow a model.
+func (e *execution) isEligibleModel(model string) bool {
 	if e.req.Model != "" {
 		return e.req.Model == model
 	}
@@ -176,7 +185,7 @@
 
 func (e *execution) candidate(snapshot *config.Snapshot, ref config.VersionRef) route.Candidate {
 	tokens := e.expectedTokens()
-	timing := e.times.get(ref)
+	timing := e.latencies.estimate(ref)
 	version := snapshot.Doc.Models[ref.Model].Versions[ref.Version]
 	return route.Candidate{
 		Version:    ref,
@@ -187,8 +196,8 @@
 	}
 }
 
-// served reports whether a usable upstream serves a version.
-func (d *Dispatcher) served(ref config.VersionRef) bool {
+// isServed reports whether a usable upstream serves ref.
+func (d *Dispatcher) isServed(ref config.VersionRef) bool {
 	for _, u := range d.Upstreams.Usable(backing.RoleEngine) {
 		if u.Serves(ref) {
 			return true
@@ -197,10 +206,11 @@
 	return false
 }
 
+// expectedTokens returns the expected length of the answer.
 func (e *execution) expectedTokens() int {
 	tokens := e.req.Kind.ExpectedTokens
 	if tokens == 0 {
-		tokens = defaultTokens
+		tokens = defaultExpectedTokens
 	}
 	if e.req.Chat.MaxTokens > 0 {
 		tokens = min(tokens, e.req.Chat.MaxTokens)
@@ -208,7 +218,7 @@
 	return tokens
 }
 
-// promptTokens estimates the length of the prompt from its words.
+// promptTokens estimates the number of tokens of the prompt as its number of words.
 func promptTokens(req Request) int {
 	n := 0
 	for _, m := range req.Chat.Messages {
@@ -217,8 +227,9 @@
 	return n
 }
 
-// prompt joins the messages, for the judge and for prefix affinity.
-func prompt(req Request) string {
+// promptText returns all messages as one text. The judge assesses the answer
+// with it, and its prefix selects the upstream with cache affinity.
+func promptText(req Request) string {
 	var b strings.Builder
 	for _, m := range req.Chat.Messages {
 		b.WriteString(m.Role)
--- a/internal/dispatch/service.go
+++ b/internal/dispatch/service.go
@@ -24,37 +24,38 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/upstream"
 )
 
-// maxReply bounds the answer of a plain service, in bytes.
-const maxReply = 16 << 20
+// maxServiceAnswerBytes limits the length of the answer of a plain service.
+const maxServiceAnswerBytes = 16 << 20
 
-// ServiceCaller sends calls to plain services; *upstream.Client is one.
+// ServiceCaller sends HTTP calls to plain services. *upstream.Client implements
+// it.
 type ServiceCaller interface {
 	Do(req *http.Request, repeatable bool) (*http.Response, error)
 }
 
-// ServiceRequest is an admitted call of a plain service.
+// ServiceRequest is an admitted call to a plain service.
 type ServiceRequest struct {
 	ID           string
 	Organisation string
 	Name         string
 	Service      config.Service
 	Method       string
-	// Path starts with "/" and RawQuery may be empty.
+	// Path starts with "/". RawQuery may be empty.
 	Path     string
 	RawQuery string
 	Header   http.Header
 	Body     []byte
 	Deadline time.Time
-	// NotRun is called before the answer ends when the work was not run.
-	NotRun func()
+	// OnNotRun is called before the answer ends if the work was not run.
+	OnNotRun func()
 }
 
 func (r ServiceRequest) repeatable() bool {
 	return slices.Contains(r.Service.RepeatableMethods, r.Method)
 }
 
-// RunService runs a call to its end and always ends the answer. It reports
-// what became of the work.
+// RunService runs a call to its end and always ends the answer. It returns
+// whether the work was run.
 func (d *Dispatcher) RunService(ctx context.Context, req ServiceRequest, out *answer.Answer) fault.Ran {
 	ctx, cancel := context.WithDeadline(ctx, req.Deadline)
 	defer cancel()
@@ -66,7 +67,7 @@
 		Organisation: req.Organisation,
 		Deadline:     req.Deadline,
 		Kind:         config.Kind{Idempotent: req.repeatable(), Priority: req.Service.Priority},
-		NotRun:       req.NotRun,
+		OnNotRun:     req.OnNotRun,
 	}, out)
 	e.bill.Service = req.Name
 	if err := e.callService(ctx, req); err != nil {
@@ -85,7 +86,7 @@
 		if err != nil {
 			return err
 		}
-		reply, r := e.tryService(ctx, req, u, id)
+		reply, r := e.sendServiceCall(ctx, req, u, id)
 		e.Upstreams.Ended(u.Instance.ID, id, r.upstreamFailed)
 		if r.err == nil {
 			return e.finishService(ctx, req, reply)
@@ -98,7 +99,9 @@
 	return fault.New(fault.NoUpstream, "no instance of service %q took the call", req.Name)
 }
 
-// acquireService waits for room at an instance of the service.
+// acquireService waits until an instance of the service has capacity. It returns
+// the instance and the id of the attempt, which is already counted towards the
+// load of that instance.
 func (e *execution) acquireService(ctx context.Context, req ServiceRequest, excluded map[string]bool) (member.Upstream, string, error) {
 	id := e.req.ID
 	var chosen member.Upstream
@@ -106,7 +109,7 @@
 		return chosen, "", fault.New(fault.NoUpstream, "no instance of service %q is there now", req.Name)
 	}
 	work := limit.Work{Priority: req.Service.Priority.Level(), Organisation: req.Organisation, Cost: 1, Deadline: req.Deadline}
-	err := e.queue("service/"+req.Name).Wait(ctx, work, func() bool {
+	err := e.queueFor("service/"+req.Name).Wait(ctx, work, func() bool {
 		loads := e.serviceLoads(req.Name, excluded)
 		var picked route.UpstreamLoad
 		var ok bool
@@ -123,9 +126,12 @@
 	return chosen, id, err
 }
 
-// serviceSlots is the parallel calls assumed where a service reports none.
-const serviceSlots = 64
+// defaultServiceSlots is the assumed number of concurrent calls of an instance
+// that does not report its slots.
+const defaultServiceSlots = 64
 
+// serviceLoads returns the loads of the usable instances of a service that are
+// not in excluded.
 func (e *execution) serviceLoads(name string, excluded map[string]bool) []route.UpstreamLoad {
 	var loads []route.UpstreamLoad
 	for _, u := range e.Upstreams.Usable(backing.RoleService) {
@@ -134,7 +140,7 @@
 		}
 		slots := u.Report.Slots
 		if slots == 0 {
-			slots = serviceSlots
+			slots = defaultServiceSlots
 		}
 		loads = append(loads, route.UpstreamLoad{
 			ID:                u.Instance.ID,
@@ -155,20 +161,20 @@
 	return member.Upstream{}
 }
 
-// serviceReply is a whole answer of a service.
+// serviceReply is the complete answer of a service.
 type serviceReply struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// tryService sends the call to one instance and reads the whole answer.
-func (e *execution) tryService(ctx context.Context, req ServiceRequest, u member.Upstream, id string) (serviceReply, result) {
+// sendServiceCall sends the call to one instance and reads the complete answer.
+func (e *execution) sendServiceCall(ctx context.Context, req ServiceRequest, u member.Upstream, id string) (serviceReply, attemptResult) {
 	ctx, span := tracer.Start(ctx, "call")
 	defer span.End()
 	span.SetAttributes(attribute.String("upstream", u.Instance.ID))
-	if err := e.openServiceBill(ctx, u, id); err != nil {
-		return serviceReply{}, result{err: err, notRun: true, final: true}
+	if err := e.recordServiceCall(ctx, u, id); err != nil {
+		return serviceReply{}, attemptResult{err: err, notRun: true, noRetry: true}
 	}
 	target := "http://" + u.Instance.Address + req.Path
 	if req.RawQuery != "" {
@@ -176,47 +182,51 @@
 	}
 	out, err := http.NewRequestWithContext(ctx, req.Method, target, bytes.NewReader(req.Body))
 	if err != nil {
-		return serviceReply{}, result{err: fault.New(fault.BadRequest, "path: %v", err), notRun: true, final: true}
+		return serviceReply{}, attemptResult{err: fault.New(fault.BadRequest, "path: %v", err), notRun: true, noRetry: true}
 	}
 	copyHeader(out.Header, req.Header)
 	out.Header.Set(upstream.HeaderRequest, e.req.ID)
 	resp, err := e.Services.Do(out, req.repeatable())
 	if err != nil && upstream.NotRun(err) {
-		return serviceReply{}, result{err: fault.New(fault.UpstreamFailed, "%v", err), notRun: true, upstreamFailed: true}
+		return serviceReply{}, attemptResult{err: fault.New(fault.UpstreamFailed, "%v", err), notRun: true, upstreamFailed: true}
 	}
 	e.ran = fault.RanUnknown
 	if err != nil {
-		return serviceReply{}, e.serviceFailed(ctx, err)
+		return serviceReply{}, e.serviceFailure(ctx, err)
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxReply+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxServiceAnswerBytes+1))
 	switch {
 	case err != nil:
-		return serviceReply{}, e.serviceFailed(ctx, err)
-	case len(body) > maxReply:
-		return serviceReply{}, result{err: fault.New(fault.AnswerCut, "the answer is longer than %d bytes", maxReply), final: true}
+		return serviceReply{}, e.serviceFailure(ctx, err)
+	case len(body) > maxServiceAnswerBytes:
+		return serviceReply{}, attemptResult{err: fault.New(fault.AnswerCut, "the answer is longer than %d bytes", maxServiceAnswerBytes), noRetry: true}
 	}
-	return serviceReply{status: resp.StatusCode, header: resp.Header, body: body}, result{}
+	return serviceReply{status: resp.StatusCode, header: resp.Header, body: body}, attemptResult{}
 }
 
-func (e *execution) serviceFailed(ctx context.Context, err error) result {
+// serviceFailure returns the result of a call with an unknown outcome. A call that
+// exceeds its deadline counts towards ejecting the instance.
+func (e *execution) serviceFailure(ctx context.Context, err error) attemptResult {
 	if ctx.Err() != nil {
-		return result{err: ctx.Err(), upstreamFailed: errors.Is(ctx.Err(), context.DeadlineExceeded), final: true}
+		return attemptResult{err: ctx.Err(), upstreamFailed: errors.Is(ctx.Err(), context.DeadlineExceeded), noRetry: true}
 	}
-	return result{err: fault.New(fault.UpstreamFailed, "%v", err), upstreamFailed: true}
+	return attemptResult{err: fault.New(fault.UpstreamFailed, "%v", err), upstreamFailed: true}
 }
 
-func (e *execution) openServiceBill(ctx context.Context, u member.Upstream, id string) error {
+// recordServiceCall writes the instance and the attempt into the bill before the
+// call is sent. It opens the bill if it is not open yet.
+func (e *execution) recordServiceCall(ctx context.Context, u member.Upstream, id string) error {
 	e.bill.Upstream = u.Instance.Address
 	e.bill.Attempt = id
 	e.bill.State = ledger.Open
-	if e.opened {
+	if e.billOpened {
 		return e.Billing.Update(ctx, e.bill)
 	}
 	if err := e.Billing.Open(ctx, e.bill); err != nil {
 		return err
 	}
-	e.opened = true
+	e.billOpened = true
 	return nil
 }
 
@@ -228,16 +238,17 @@
 	return e.finish(ctx, upstream.Event{Delta: string(reply.body), FinishReason: "stop"})
 }
 
-// hopHeaders belong to one connection and are not passed on, nor is what
-// identifies the caller to this system.
-var hopHeaders = []string{
+// unforwardedHeaders are the headers that are forwarded neither to a service nor
+// back to the caller: those that belong to a single connection, and those that
+// identify the caller to this system.
+var unforwardedHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Authorization", "Idempotency-Key", "Traceparent",
 }
 
 func copyHeader(to, from http.Header) {
 	for name, values := range from {
-		if !slices.Contains(hopHeaders, textproto.CanonicalMIMEHeaderKey(name)) {
+		if !slices.Contains(unforwardedHeaders, textproto.CanonicalMIMEHeaderKey(name)) {
 			to[name] = slices.Clone(values)
 		}
 	}
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -1,4 +1,4 @@
-// Package operator is the API to the operators' command-line tool.
+// Package operator serves the HTTP API for the operators' command-line tool.
 package operator
 
 import (
@@ -23,7 +23,7 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/session"
 )
 
-// Deps is what a Server works with.
+// Deps holds the dependencies of a Server.
 type Deps struct {
 	Config    *config.Store
 	Follower  *config.Follower
@@ -31,30 +31,32 @@
 	Ratings   *rating.Counter
 	Keys      *session.Keyring
 	Directory caller.Directory
-	// Status describes the daemon.
+	// Status returns the status of the daemon.
 	Status func() Status
-	// Accepted is called after a change was accepted, to bring it into force
-	// here and tell the peers.
+	// OnAccepted is called after a change was accepted. It installs the change at
+	// this daemon and notifies the peers.
 	Accepted func(ctx context.Context)
-	// Token, when set, is asked of operators.
+	// Token is the bearer token that operators must send; if it is empty, none is
+	// required.
 	Token string
-	// SessionLifetime is how long old signing keys are kept.
+	// SessionLifetime is how long session tokens stay usable. It determines how long
+	// signing keys are kept after a rotation.
 	SessionLifetime time.Duration
 }
 
 // Server serves the API.
 type Server struct{ Deps }
 
-// New returns a server.
+// New returns a Server.
 func New(deps Deps) *Server { return &Server{Deps: deps} }
 
-// Handler returns the HTTP interface.
+// Handler returns the handler for all paths of the API.
 func (s *Server) Handler() http.Handler {
 	r := gin.New()
 	r.Use(gin.Recovery())
 	r.GET("/debug/vars", gin.WrapH(expvar.Handler()))
 	r.GET("/healthz", func(c *gin.Context) { c.String(http.StatusOK, "ok\n") })
-	v1 := r.Group("/v1", s.authorise)
+	v1 := r.Group("/v1", s.authenticate)
 	v1.POST("/config/apply", s.apply)
 	v1.GET("/config", s.showConfig)
 	v1.GET("/config/history", s.history)
@@ -72,7 +74,8 @@
 	return r
 }
 
-func (s *Server) authorise(c *gin.Context) {
+// authenticate refuses requests without the operator token.
+func (s *Server) authenticate(c *gin.Context) {
 	if s.Token == "" {
 		return
 	}
@@ -83,16 +86,18 @@
 	}
 }
 
-// answer writes out, or the error.
-func answer(c *gin.Context, out any, err error) {
+// writeReply responds with out, or with err if it is not nil.
+func writeReply(c *gin.Context, out any, err error) {
 	if err != nil {
-		fault.Write(c.Writer, storeError(err))
+		fault.Write(c.Writer, classifyStoreError(err))
 		return
 	}
 	c.JSON(http.StatusOK, out)
 }
 
-func storeError(err error) error {
+// classifyStoreError converts an error that the store is unavailable to a
+// fault.StoreUnavailable.
+func classifyStoreError(err error) error {
 	if f := fault.From(err); f.Kind != fault.Internal {
 		return f
 	}
@@ -102,7 +107,9 @@
 	return err
 }
 
-func decode(c *gin.Context, out any) bool {
+// decodeBody decodes the request body into out. If that fails, it responds with an
+// error and returns false. Unknown fields are an error.
+func decodeBody(c *gin.Context, out any) bool {
 	decoder := json.NewDecoder(c.Request.Body)
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(out); err != nil {
@@ -112,26 +119,26 @@
 	return true
 }
 
-// Applied is the answer to an accepted change.
+// ApplyReply is the response to an accepted configuration change.
 type Applied struct {
 	Change config.Change `json:"change"`
 }
 
 func (s *Server) apply(c *gin.Context) {
 	var req config.ApplyRequest
-	if !decode(c, &req) {
+	if !decodeBody(c, &req) {
 		return
 	}
 	change, err := s.Config.Apply(c, req)
 	if err == nil {
 		s.Accepted(c)
 	}
-	answer(c, Applied{Change: change}, err)
+	writeReply(c, Applied{Change: change}, err)
 }
 
-// Shown is the configuration of a site.
+// ConfigView is the configuration of a site.
 type Shown struct {
-	// Generation is the one in force at the daemon that was asked.
+	// Generation is the one in force at the daemon that responds.
 	Generation int64                 `json:"generation"`
 	Head       config.Head           `json:"head"`
 	Site       string                `json:"site"`
@@ -143,18 +150,18 @@
 	out := Shown{Generation: s.Follower.Generation(), Site: c.DefaultQuery("site", s.Status().Site)}
 	var err error
 	if out.Head, _, err = s.Config.Head(c); err != nil {
-		answer(c, nil, err)
+		writeReply(c, nil, err)
 		return
 	}
 	if out.Base, err = s.Config.Document(c, config.Target("")); err != nil {
-		answer(c, nil, err)
+		writeReply(c, nil, err)
 		return
 	}
 	out.Overlay, err = s.Config.Document(c, config.Target(out.Site))
-	answer(c, out, err)
+	writeReply(c, out, err)
 }
 
-// historyLimit bounds the revisions shown.
+// historyLimit limits the number of revisions in a response.
 const historyLimit = 1000
 
 func (s *Server) history(c *gin.Context) {
@@ -162,7 +169,7 @@
 	if rows == nil {
 		rows = []config.StoredDocument{}
 	}
-	answer(c, rows, err)
+	writeReply(c, rows, err)
 }
 
 func (s *Server) ledger(c *gin.Context) {
@@ -170,7 +177,7 @@
 	if entries == nil {
 		entries = []ledger.Entry{}
 	}
-	answer(c, entries, err)
+	writeReply(c, entries, err)
 }
 
 func (s *Server) entries(c *gin.Context) {
@@ -187,19 +194,19 @@
 	if err == nil {
 		err = s.Keys.Refresh(c)
 	}
-	answer(c, gin.H{"keys": len(s.Keys.Keys())}, err)
+	writeReply(c, gin.H{"keys": len(s.Keys.Keys())}, err)
 }
 
-// RolloutRequest names a version to roll out or withdraw.
+// RolloutRequest names a version to roll out or to withdraw.
 type RolloutRequest struct {
 	Model   string `json:"model"`
 	Version string `json:"version"`
-	// From is the version that is replaced.
+	// From is the version to replace.
 	From   string `json:"from,omitempty"`
 	Reason string `json:"reason,omitempty"`
 }
 
-// RolloutAnswer is the generation in which a change came into force.
+// RolloutReply is the configuration generation that contains the change.
 type RolloutAnswer struct {
 	Generation int64 `json:"generation"`
 }
@@ -222,12 +229,12 @@
 
 func (s *Server) changeRollout(c *gin.Context, change func(RolloutRequest, config.VersionRef) (int64, error)) {
 	var req RolloutRequest
-	if !decode(c, &req) {
+	if !decodeBody(c, &req) {
 		return
 	}
 	generation, err := change(req, config.VersionRef{Model: req.Model, Version: req.Version})
 	if err == nil {
 		s.Accepted(c)
 	}
-	answer(c, RolloutAnswer{Generation: generation}, err)
+	writeReply(c, RolloutAnswer{Generation: generation}, err)
 }
