--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -31,7 +31,7 @@
 func (c *checker) add(path, format string, args ...any) {
 	c.problems = append(c.problems, Problem{
 		Path:    path,
-		Line:    lineOf(c.text, path),
+		Line:    lineOfPath(c.text, path),
 		Message: fmt.Sprintf(format, args...),
 	})
 }
@@ -46,7 +46,7 @@
 	owner := map[string]string{}
 	for _, name := range slices.Sorted(maps.Keys(c.doc.Organisations)) {
 		org := c.doc.Organisations[name]
-		path := "/organisations/" + escape(name)
+		path := "/organisations/" + escapePointer(name)
 		for i, digest := range org.KeyDigests {
 			at := fmt.Sprintf("%s/key_digests/%d", path, i)
 			hex := strings.TrimPrefix(digest, digestPrefix)
@@ -85,13 +85,13 @@
 func (c *checker) models() {
 	states := []VersionState{RollingOut, Serving, Draining, Withdrawn}
 	for _, name := range slices.Sorted(maps.Keys(c.doc.Models)) {
-		path := "/models/" + escape(name)
+		path := "/models/" + escapePointer(name)
 		c.require(!strings.ContainsAny(name, "@/ "), path, "a model name has no '@', '/' or space")
 		c.require(name != "auto", path, `"auto" is not a model name`)
 		c.require(len(c.doc.Models[name].Versions) > 0, path+"/versions", "a model has at least one version")
 		for _, id := range slices.Sorted(maps.Keys(c.doc.Models[name].Versions)) {
 			v := c.doc.Models[name].Versions[id]
-			at := path + "/versions/" + escape(id)
+			at := path + "/versions/" + escapePointer(id)
 			c.require(!strings.ContainsAny(id, "@/ "), at, "a version has no '@', '/' or space")
 			c.require(slices.Contains(states, v.State), at+"/state", "unknown state %q, want one of %v", v.State, states)
 			c.require(v.InputPrice >= 0, at+"/input_price", "must not be negative")
@@ -103,7 +103,7 @@
 
 func (c *checker) priors(path string, v Version) {
 	for _, kind := range slices.Sorted(maps.Keys(v.Prior)) {
-		at := path + "/prior/" + escape(kind)
+		at := path + "/prior/" + escapePointer(kind)
 		_, known := c.doc.Kinds[kind]
 		c.require(known || kind == "default", at, "unknown kind %q", kind)
 		c.require(v.Prior[kind].Mean > 0 && v.Prior[kind].Mean < 1, at+"/mean", "must be between 0 and 1")
@@ -115,7 +115,7 @@
 	priorities := []Priority{"", PriorityInteractive, PriorityNormal, PriorityBatch}
 	for _, name := range slices.Sorted(maps.Keys(c.doc.Kinds)) {
 		k := c.doc.Kinds[name]
-		path := "/kinds/" + escape(name)
+		path := "/kinds/" + escapePointer(name)
 		c.require(k.QualityTarget > 0 && k.QualityTarget < 1, path+"/quality_target", "must be between 0 and 1")
 		c.require(k.DeadlineMS > 0, path+"/deadline_ms", "must be positive")
 		c.require(slices.Contains(priorities, k.Priority), path+"/priority", "unknown priority %q", k.Priority)
@@ -130,7 +130,7 @@
 
 func (c *checker) services() {
 	for _, name := range slices.Sorted(maps.Keys(c.doc.Services)) {
-		path := "/services/" + escape(name)
+		path := "/services/" + escapePointer(name)
 		c.require(c.doc.Services[name].DeadlineMS > 0, path+"/deadline_ms", "must be positive")
 		c.require(c.doc.Services[name].Price >= 0, path+"/price", "must not be negative")
 		for i, method := range c.doc.Services[name].RepeatableMethods {
@@ -164,22 +164,22 @@
 	c := &checker{doc: merged, text: text}
 	for _, name := range slices.Sorted(maps.Keys(merged.Models)) {
 		for _, id := range slices.Sorted(maps.Keys(merged.Models[name].Versions)) {
-			path := fmt.Sprintf("/models/%s/versions/%s", escape(name), escape(id))
+			path := fmt.Sprintf("/models/%s/versions/%s", escapePointer(name), escapePointer(id))
 			before, known := base.Models[name].Versions[id]
 			if !known {
 				c.add(path, "an overlay cannot add a version")
 				continue
 			}
 			after := merged.Models[name].Versions[id].State
-			c.require(restriction(after) >= restriction(before.State), path+"/state",
+			c.require(restrictiveness(after) >= restrictiveness(before.State), path+"/state",
 				"an overlay cannot make a %s version %s", before.State, after)
 		}
 	}
 	return c.problems
 }
 
-// restriction orders states by how little they allow.
-func restriction(s VersionState) int {
+// restrictiveness orders states by how little they allow.
+func restrictiveness(s VersionState) int {
 	switch s {
 	case Serving:
 		return 0
@@ -192,7 +192,7 @@
 	}
 }
 
-// escape makes name a JSON pointer segment.
-func escape(name string) string {
+// escapePointer makes name a JSON pointer segment.
+func escapePointer(name string) string {
 	return strings.NewReplacer("~", "~0", "/", "~1").Replace(name)
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -23,7 +23,7 @@
 	return string(text)
 }
 
-func TestExamplesOfBothSites(t *testing.T) {
+func TestExampleDocumentsAreValid(t *testing.T) {
 	base := []byte(example(t, "base.jsonc"))
 	for _, site := range []string{"gothenburg", "tbilisi"} {
 		require.NoError(t, CheckSite(base, []byte(example(t, "overlay-"+site+".jsonc")), false))
@@ -41,7 +41,7 @@
 
 // A withdrawn version stays withdrawn, whether the document or the live row
 // says so.
-func TestWithdrawnWins(t *testing.T) {
+func TestWithdrawnStateOverridesOthers(t *testing.T) {
 	a, b := VersionRef{"m", "1"}, VersionRef{"m", "2"}
 	doc := Document{Models: map[string]Model{"m": {Versions: map[string]Version{"1": {State: Withdrawn}, "2": {State: Serving}}}}}
 	s := NewSnapshot(1, doc, []Rollout{{VersionRef: a, State: Serving, Share: 1}, {VersionRef: b, State: Withdrawn}})
@@ -109,7 +109,7 @@
 
 // A follower reads while changes are made; rows of different generations must
 // not be mixed, and nothing older than what is in force is installed.
-func TestFollowerNeverMixesOrGoesBack(t *testing.T) {
+func TestFollowerNeverMixesGenerationsOrGoesBack(t *testing.T) {
 	memory := backing.NewMemory()
 	store := NewStore(memory, time.Now)
 	clock := clockwork.NewFakeClock()
@@ -126,11 +126,11 @@
 		}
 		torn := follower.DeltaFor("s", Head{})
 		torn.Head.Generation += 100
-		torn.Head.Documents[baseTarget]++
+		torn.Head.Documents[baseName]++
 		require.False(t, peer.Install(torn))
 		require.NoError(t, follower.Refresh(ctx))
 		require.Equal(t, int64(n), follower.Current().Doc.Kinds["k"].DeadlineMS)
-		require.True(t, peer.Install(follower.DeltaFor("s", peer.Known())))
+		require.True(t, peer.Install(follower.DeltaFor("s", peer.Head())))
 		require.Equal(t, follower.Generation(), peer.Generation())
 		if n == 1 {
 			old = follower.DeltaFor("s", Head{})
@@ -142,20 +142,20 @@
 
 // A daemon is paused. Its confirmation ages meanwhile, so that it asks before
 // it dispatches again.
-func TestConfirmationAgesFromTheQuestion(t *testing.T) {
+func TestConfirmationAgesFromRequestTime(t *testing.T) {
 	memory := backing.NewMemory()
 	store := NewStore(memory, time.Now)
 	clock := clockwork.NewFakeClock()
 	_, err := store.Apply(ctx, ApplyRequest{ChangeID: "c", Text: `{}`})
 	require.NoError(t, err)
 	f := NewFollower("s", store, clock)
-	require.Greater(t, f.Age(), time.Hour)
+	require.Greater(t, f.SinceConfirmed(), time.Hour)
 	require.NoError(t, f.Refresh(ctx))
-	require.Zero(t, f.Age())
+	require.Zero(t, f.SinceConfirmed())
 	clock.Advance(time.Minute)
-	require.Equal(t, time.Minute, f.Age())
+	require.Equal(t, time.Minute, f.SinceConfirmed())
 	f.Confirm(f.Generation()-1, clock.Now())
-	require.Equal(t, time.Minute, f.Age(), "an older generation confirms nothing")
+	require.Equal(t, time.Minute, f.SinceConfirmed(), "an older generation confirms nothing")
 	f.Confirm(f.Generation(), clock.Now().Add(-time.Second))
-	require.Equal(t, time.Second, f.Age())
+	require.Equal(t, time.Second, f.SinceConfirmed())
 }
--- a/internal/config/evacuate.go
+++ b/internal/config/evacuate.go
@@ -15,8 +15,8 @@
 	evacuatedPointer = upstreamsPointer + "/evacuated"
 )
 
-// operation is one of a JSON patch (RFC 6902).
-type operation struct {
+// patchOperation is one of a JSON patch (RFC 6902).
+type patchOperation struct {
 	Op    string `json:"op"`
 	Path  string `json:"path"`
 	Value any    `json:"value,omitempty"`
@@ -32,13 +32,13 @@
 	if err != nil {
 		return nil, err
 	}
-	var patch []operation
+	var patch []patchOperation
 	for _, parent := range []string{upstreamsPointer, evacuatedPointer} {
 		if root.Find(parent) == nil {
-			patch = append(patch, operation{Op: "add", Path: parent, Value: struct{}{}})
+			patch = append(patch, patchOperation{Op: "add", Path: parent, Value: struct{}{}})
 		}
 	}
-	patch = append(patch, operation{Op: "add", Path: evacuatedPointer + "/" + escape(domain), Value: since.UTC()})
+	patch = append(patch, patchOperation{Op: "add", Path: evacuatedPointer + "/" + escapePointer(domain), Value: since.UTC()})
 	return applyPatch(root, patch)
 }
 
@@ -48,11 +48,11 @@
 	if err != nil {
 		return nil, err
 	}
-	path := evacuatedPointer + "/" + escape(domain)
+	path := evacuatedPointer + "/" + escapePointer(domain)
 	if domain == "" || root.Find(path) == nil {
 		return nil, trace.NotFound("failure domain %q is not evacuated by this overlay", domain)
 	}
-	return applyPatch(root, []operation{{Op: "remove", Path: path}})
+	return applyPatch(root, []patchOperation{{Op: "remove", Path: path}})
 }
 
 func parseOverlay(text []byte) (hujson.Value, error) {
@@ -63,7 +63,7 @@
 	return root, trace.Wrap(err)
 }
 
-func applyPatch(root hujson.Value, patch []operation) ([]byte, error) {
+func applyPatch(root hujson.Value, patch []patchOperation) ([]byte, error) {
 	text, err := json.Marshal(patch)
 	if err != nil {
 		return nil, trace.Wrap(err)
--- a/internal/config/evacuate_test.go
+++ b/internal/config/evacuate_test.go
@@ -10,7 +10,7 @@
 var since = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
 // Guards against an evacuation that drops what operators have written beside it.
-func TestEvacuateKeepsTheOverlay(t *testing.T) {
+func TestEvacuateKeepsRestOfOverlay(t *testing.T) {
 	for _, overlay := range []string{"", "{}", "{\n  // hall-b is rewired.\n  \"upstreams\": {\"retry_ratio\": 0.2},\n}"} {
 		text, err := Evacuate([]byte(overlay), "hall-b", since)
 		require.NoError(t, err)
@@ -32,7 +32,7 @@
 }
 
 // Guards against commands that succeed and change nothing.
-func TestEvacuationsThatMakeNoSense(t *testing.T) {
+func TestInvalidEvacuationsFail(t *testing.T) {
 	_, err := Evacuate(nil, "", since)
 	require.ErrorContains(t, err, "failure domain")
 	_, err = Restore([]byte("{}"), "hall-b")
--- a/internal/config/follower.go
+++ b/internal/config/follower.go
@@ -9,9 +9,9 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// readAttempts bounds how often a read is repeated because the configuration
+// maxReadAttempts bounds how often a read is repeated because the configuration
 // changed under it.
-const readAttempts = 5
+const maxReadAttempts = 5
 
 // Delta carries a head and the rows in which it differs from what the
 // receiver has.
@@ -73,14 +73,14 @@
 	return f.changed
 }
 
-// Age returns how long ago the generation in force was last known to be the
+// SinceConfirmed returns how long ago the generation in force was last known to be the
 // newest.
 //
 // The age counts from before the question was asked. A daemon that was paused
 // or cut off finds itself with a large age as soon as it runs again and can
 // refuse to dispatch before it has asked; otherwise it would send work to a
 // version that was withdrawn while it slept.
-func (f *Follower) Age() time.Duration {
+func (f *Follower) SinceConfirmed() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.confirmed.IsZero() {
@@ -99,8 +99,8 @@
 	}
 }
 
-// Known returns the head in force.
-func (f *Follower) Known() Head {
+// Head returns the head in force.
+func (f *Follower) Head() Head {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.head.Clone()
@@ -111,7 +111,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	d := Delta{Head: f.head.Clone(), Documents: map[string]StoredDocument{}, Rollouts: map[string]Rollout{}}
-	for _, target := range []string{baseTarget, Target(site)} {
+	for _, target := range []string{baseName, Target(site)} {
 		doc, have := f.documents[target]
 		if have && doc.Revision != known.Documents[target] {
 			d.Documents[target] = doc
@@ -127,7 +127,7 @@
 
 // Refresh reads the store and installs what is new.
 func (f *Follower) Refresh(ctx context.Context) error {
-	for range readAttempts {
+	for range maxReadAttempts {
 		asked := f.clock.Now()
 		head, _, err := f.store.Head(ctx)
 		if err != nil {
@@ -147,12 +147,12 @@
 
 // read fetches the rows in which head differs from what is in force.
 func (f *Follower) read(ctx context.Context, head Head) (Delta, error) {
-	known := f.Known()
+	known := f.Head()
 	d := Delta{Head: head, Documents: map[string]StoredDocument{}, Rollouts: map[string]Rollout{}}
 	if head.Generation <= known.Generation {
 		return d, nil
 	}
-	for _, target := range []string{baseTarget, Target(f.site)} {
+	for _, target := range []string{baseName, Target(f.site)} {
 		if head.Documents[target] == known.Documents[target] {
 			continue
 		}
@@ -207,7 +207,7 @@
 
 func (f *Follower) mergeDocuments(d Delta) (map[string]StoredDocument, bool) {
 	out := map[string]StoredDocument{}
-	for _, target := range []string{baseTarget, Target(f.site)} {
+	for _, target := range []string{baseName, Target(f.site)} {
 		doc, have := d.Documents[target]
 		if !have {
 			doc, have = f.documents[target], true
@@ -236,7 +236,7 @@
 }
 
 func buildSnapshot(generation int64, site string, documents map[string]StoredDocument, rollouts map[string]Rollout) (*Snapshot, error) {
-	doc, err := Merge([]byte(documents[baseTarget].Text), []byte(documents[Target(site)].Text))
+	doc, err := Merge([]byte(documents[baseName].Text), []byte(documents[Target(site)].Text))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -71,7 +71,7 @@
 func decodeProblem(text []byte, err error) Problem {
 	var semantic *json.SemanticError
 	if errors.As(err, &semantic) {
-		p := Problem{Path: string(semantic.JSONPointer), Line: lineAt(text, semantic.ByteOffset)}
+		p := Problem{Path: string(semantic.JSONPointer), Line: lineAtOffset(text, semantic.ByteOffset)}
 		switch {
 		case errors.Is(err, json.ErrUnknownName):
 			p.Message = "unknown field"
@@ -86,16 +86,16 @@
 	if errors.As(err, &syntactic) {
 		return Problem{
 			Path:    string(syntactic.JSONPointer),
-			Line:    lineAt(text, syntactic.ByteOffset),
+			Line:    lineAtOffset(text, syntactic.ByteOffset),
 			Message: syntactic.Err.Error(),
 		}
 	}
 	return Problem{Message: err.Error()}
 }
 
-// lineAt returns the line of the first character after offset that is not
+// lineAtOffset returns the line of the first character after offset that is not
 // white space.
-func lineAt(text []byte, offset int64) int {
+func lineAtOffset(text []byte, offset int64) int {
 	at := min(int(offset), len(text))
 	for at < len(text) && strings.IndexByte(" \t\r\n,:{", text[at]) >= 0 {
 		at++
@@ -103,8 +103,8 @@
 	return 1 + bytes.Count(text[:at], []byte("\n"))
 }
 
-// lineOf returns the line of the field at path, or 0.
-func lineOf(text []byte, path string) int {
+// lineOfPath returns the line of the field at path, or 0.
+func lineOfPath(text []byte, path string) int {
 	root, err := hujson.Parse(text)
 	if err != nil {
 		return 0
@@ -131,11 +131,11 @@
 
 // Merge lays the overlay over the base. Either may be empty.
 func Merge(base, overlay []byte) (Document, error) {
-	plain, err := standard(base)
+	plain, err := standardize(base)
 	if err != nil {
 		return Document{}, err
 	}
-	patch, err := standard(overlay)
+	patch, err := standardize(overlay)
 	if err != nil {
 		return Document{}, err
 	}
@@ -150,11 +150,11 @@
 
 // Difference returns the merge patch that turns one document into another.
 func Difference(from, to []byte) (string, error) {
-	a, err := standard(from)
+	a, err := standardize(from)
 	if err != nil {
 		return "", err
 	}
-	b, err := standard(to)
+	b, err := standardize(to)
 	if err != nil {
 		return "", err
 	}
@@ -162,7 +162,7 @@
 	return string(patch), trace.Wrap(err)
 }
 
-func standard(text []byte) ([]byte, error) {
+func standardize(text []byte) ([]byte, error) {
 	if len(bytes.TrimSpace(text)) == 0 {
 		return []byte("{}"), nil
 	}
--- a/internal/config/rollouts.go
+++ b/internal/config/rollouts.go
@@ -17,13 +17,13 @@
 	for {
 		head, headRevision, err := s.Head(ctx)
 		if err != nil {
-			return 0, unavailable(err)
+			return 0, storeError(err)
 		}
 		current := map[VersionRef]Rollout{}
 		for _, ref := range refs {
 			r, found, err := s.Rollout(ctx, ref.String())
 			if err != nil {
-				return 0, unavailable(err)
+				return 0, storeError(err)
 			}
 			if found {
 				current[ref] = r
@@ -40,9 +40,9 @@
 			return head.Generation + 1, nil
 		}
 		if !trace.IsCompareFailed(err) {
-			return 0, s.rolloutOutcome(ctx, rows[0], err)
+			return 0, s.resolveRolloutWrite(ctx, rows[0], err)
 		}
-		if err := s.checksHold(ctx, checks); err != nil {
+		if err := s.verifyChecks(ctx, checks); err != nil {
 			return 0, err
 		}
 	}
@@ -56,16 +56,16 @@
 		r.Updated = s.now()
 		r.Generation = next.Generation
 		next.Rollouts[r.VersionRef.String()] = next.Generation
-		txn.Puts = append(txn.Puts, backing.PutJSON(rolloutKey+r.VersionRef.String(), r))
+		txn.Puts = append(txn.Puts, backing.PutJSON(rolloutKeyPrefix+r.VersionRef.String(), r))
 	}
 	txn.Puts = append(txn.Puts, backing.PutJSON(headKey, next))
 	return txn
 }
 
-// rolloutOutcome reads back what became of a write whose answer was lost.
-func (s *Store) rolloutOutcome(ctx context.Context, wanted Rollout, cause error) error {
+// resolveRolloutWrite reads back what became of a write whose answer was lost.
+func (s *Store) resolveRolloutWrite(ctx context.Context, wanted Rollout, cause error) error {
 	if !backing.IsUnknownOutcome(cause) {
-		return unavailable(cause)
+		return storeError(cause)
 	}
 	now, _, err := s.Rollout(ctx, wanted.VersionRef.String())
 	if err == nil && now.State == wanted.State && now.Stage == wanted.Stage {
@@ -74,12 +74,12 @@
 	return fault.New(fault.ConfigUnknown, "the store does not say whether the change of %s was accepted; look at its status", wanted.VersionRef).WithRan(fault.RanUnknown)
 }
 
-// checksHold tells a lost race on the head from a condition that failed.
-func (s *Store) checksHold(ctx context.Context, checks []backing.Check) error {
+// verifyChecks tells a lost race on the head from a condition that failed.
+func (s *Store) verifyChecks(ctx context.Context, checks []backing.Check) error {
 	for _, c := range checks {
 		row, err := s.table.Get(ctx, c.Key)
 		if err != nil && !trace.IsNotFound(err) {
-			return unavailable(err)
+			return storeError(err)
 		}
 		if row.Revision != c.Revision {
 			return trace.CompareFailed("row %q changed", c.Key)
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -18,13 +18,13 @@
 
 // Keys of the rows that hold the configuration.
 const (
-	headKey       = "config/head"
-	baseTarget    = "base"
-	documentKey   = "config/document/"
-	historyKey    = "config/history/"
-	changeKey     = "config/change/"
-	rolloutKey    = "config/rollout/"
-	overlayPrefix = "overlay/"
+	headKey           = "config/head"
+	baseName          = "base"
+	documentKeyPrefix = "config/document/"
+	historyKeyPrefix  = "config/history/"
+	changeKeyPrefix   = "config/change/"
+	rolloutKeyPrefix  = "config/rollout/"
+	overlayPrefix     = "overlay/"
 )
 
 // Head is the row that says what is in force. Every accepted change raises
@@ -55,7 +55,7 @@
 // site is empty.
 func Target(site string) string {
 	if site == "" {
-		return baseTarget
+		return baseName
 	}
 	return overlayPrefix + site
 }
@@ -118,14 +118,14 @@
 // Document reads a document; one never written is empty.
 func (s *Store) Document(ctx context.Context, target string) (StoredDocument, error) {
 	var doc StoredDocument
-	_, err := backing.GetJSON(ctx, s.table, documentKey+target, &doc)
+	_, err := backing.GetJSON(ctx, s.table, documentKeyPrefix+target, &doc)
 	return doc, err
 }
 
 // Rollout reads the live state of a version, if it has one.
 func (s *Store) Rollout(ctx context.Context, ref string) (Rollout, bool, error) {
 	var r Rollout
-	revision, err := backing.GetJSON(ctx, s.table, rolloutKey+ref, &r)
+	revision, err := backing.GetJSON(ctx, s.table, rolloutKeyPrefix+ref, &r)
 	return r, revision != 0, err
 }
 
@@ -135,16 +135,16 @@
 	if req.ChangeID == "" {
 		return Change{}, fault.New(fault.BadRequest, "change_id: missing")
 	}
-	if done, found, err := s.change(ctx, req.ChangeID); err != nil || found {
-		return s.settled(done, err)
+	if done, found, err := s.readChange(ctx, req.ChangeID); err != nil || found {
+		return s.changeResult(done, err)
 	}
 	head, headRevision, err := s.Head(ctx)
 	if err != nil {
-		return Change{}, unavailable(err)
+		return Change{}, storeError(err)
 	}
 	target := Target(req.Site)
 	if head.Documents[target] != req.FromRevision {
-		return Change{}, s.conflict(ctx, target, req.FromRevision, head.Documents[target])
+		return Change{}, s.conflictError(ctx, target, req.FromRevision, head.Documents[target])
 	}
 	if err := s.checkAgainstOthers(ctx, head, req); err != nil {
 		return Change{}, err
@@ -156,31 +156,31 @@
 	case err == nil:
 		return change, nil
 	case trace.IsCompareFailed(err):
-		return s.afterLostRace(ctx, req)
+		return s.retryAfterConflict(ctx, req)
 	default:
-		return s.resolve(ctx, req.ChangeID)
+		return s.resolveUnknownOutcome(ctx, req.ChangeID)
 	}
 }
 
-// afterLostRace tells our own earlier write from another operator's.
-func (s *Store) afterLostRace(ctx context.Context, req ApplyRequest) (Change, error) {
-	if done, found, err := s.change(ctx, req.ChangeID); err != nil || found {
-		return s.settled(done, err)
+// retryAfterConflict tells our own earlier write from another operator's.
+func (s *Store) retryAfterConflict(ctx context.Context, req ApplyRequest) (Change, error) {
+	if done, found, err := s.readChange(ctx, req.ChangeID); err != nil || found {
+		return s.changeResult(done, err)
 	}
 	head, _, err := s.Head(ctx)
 	if err != nil {
-		return Change{}, unavailable(err)
+		return Change{}, storeError(err)
 	}
 	target := Target(req.Site)
 	if head.Documents[target] != req.FromRevision {
-		return Change{}, s.conflict(ctx, target, req.FromRevision, head.Documents[target])
+		return Change{}, s.conflictError(ctx, target, req.FromRevision, head.Documents[target])
 	}
 	// Another document changed at the same moment; the checks have to be made
 	// again with it.
 	return s.Apply(ctx, req)
 }
 
-// resolve finds out what became of a write whose answer was lost.
+// resolveUnknownOutcome finds out what became of a write whose answer was lost.
 //
 // The write may still be on its way when the change row is read. Reading "not
 // there" and reporting a failure would let it take effect later, seen as a
@@ -188,28 +188,28 @@
 // id is first written off with a row of its own, on the condition that there
 // is none: if that succeeds, the original can no longer commit, because its
 // transaction has the same condition.
-func (s *Store) resolve(ctx context.Context, id string) (Change, error) {
-	done, found, err := s.change(ctx, id)
+func (s *Store) resolveUnknownOutcome(ctx context.Context, id string) (Change, error) {
+	done, found, err := s.readChange(ctx, id)
 	if err == nil && !found {
 		abandoned := Change{ID: id, Abandoned: true, At: s.now()}
 		_, err = s.table.Commit(ctx, backing.Txn{
-			Checks: []backing.Check{{Key: changeKey + id}},
-			Puts:   []backing.Put{backing.PutJSON(changeKey+id, abandoned)},
+			Checks: []backing.Check{{Key: changeKeyPrefix + id}},
+			Puts:   []backing.Put{backing.PutJSON(changeKeyPrefix+id, abandoned)},
 		})
 		if err == nil {
 			return Change{}, fault.New(fault.StoreUnavailable, "the change was not accepted; apply it again with a new change id")
 		}
-		done, found, err = s.change(ctx, id)
+		done, found, err = s.readChange(ctx, id)
 	}
 	if err != nil || !found {
 		return Change{}, fault.New(fault.ConfigUnknown, "the store does not say whether the change was accepted; ask again with change id %s", id).WithRan(fault.RanUnknown)
 	}
-	return s.settled(done, nil)
+	return s.changeResult(done, nil)
 }
 
-func (s *Store) settled(c Change, err error) (Change, error) {
+func (s *Store) changeResult(c Change, err error) (Change, error) {
 	if err != nil {
-		return Change{}, unavailable(err)
+		return Change{}, storeError(err)
 	}
 	if c.Abandoned {
 		return Change{}, fault.New(fault.ConfigConflict, "change id %s was given up; apply the change with a new one", c.ID)
@@ -217,13 +217,13 @@
 	return c, nil
 }
 
-func (s *Store) change(ctx context.Context, id string) (Change, bool, error) {
+func (s *Store) readChange(ctx context.Context, id string) (Change, bool, error) {
 	var c Change
-	revision, err := backing.GetJSON(ctx, s.table, changeKey+id, &c)
+	revision, err := backing.GetJSON(ctx, s.table, changeKeyPrefix+id, &c)
 	return c, revision != 0, err
 }
 
-func unavailable(err error) error {
+func storeError(err error) error {
 	if backing.IsUnavailable(err) {
 		return fault.New(fault.StoreUnavailable, "%v", err)
 	}
@@ -238,24 +238,24 @@
 	return backing.Txn{
 		Checks: []backing.Check{
 			{Key: headKey, Revision: headRevision},
-			{Key: changeKey + c.ID},
+			{Key: changeKeyPrefix + c.ID},
 		},
 		Puts: []backing.Put{
 			backing.PutJSON(headKey, next),
-			backing.PutJSON(documentKey+c.Target, doc),
-			backing.PutJSON(historyRow(c.Target, c.Revision), doc),
-			backing.PutJSON(changeKey+c.ID, c),
+			backing.PutJSON(documentKeyPrefix+c.Target, doc),
+			backing.PutJSON(historyRowKey(c.Target, c.Revision), doc),
+			backing.PutJSON(changeKeyPrefix+c.ID, c),
 		},
 	}
 }
 
-func historyRow(target string, revision int64) string {
-	return fmt.Sprintf("%s%s/%012d", historyKey, target, revision)
+func historyRowKey(target string, revision int64) string {
+	return fmt.Sprintf("%s%s/%012d", historyKeyPrefix, target, revision)
 }
 
-// conflict reports that the document moved on, with the difference between
+// conflictError reports that the document moved on, with the difference between
 // the revision edited from and the current one.
-func (s *Store) conflict(ctx context.Context, target string, from, current int64) error {
+func (s *Store) conflictError(ctx context.Context, target string, from, current int64) error {
 	before, after := s.historyText(ctx, target, from), s.historyText(ctx, target, current)
 	diff, err := Difference(before, after)
 	if err != nil {
@@ -268,7 +268,7 @@
 	var doc StoredDocument
 	if revision > 0 {
 		// A missing text only makes the difference less exact.
-		_, _ = backing.GetJSON(ctx, s.table, historyRow(target, revision), &doc)
+		_, _ = backing.GetJSON(ctx, s.table, historyRowKey(target, revision), &doc)
 	}
 	return []byte(doc.Text)
 }
@@ -277,13 +277,13 @@
 // the base.
 func (s *Store) checkAgainstOthers(ctx context.Context, head Head, req ApplyRequest) error {
 	if req.Site != "" {
-		base, err := s.Document(ctx, baseTarget)
+		base, err := s.Document(ctx, baseName)
 		if err != nil {
-			return unavailable(err)
+			return storeError(err)
 		}
-		return invalid("overlay "+req.Site, CheckSite([]byte(base.Text), []byte(req.Text), false))
+		return invalidError("overlay "+req.Site, CheckSite([]byte(base.Text), []byte(req.Text), false))
 	}
-	if err := invalid("base", CheckSite([]byte(req.Text), nil, true)); err != nil {
+	if err := invalidError("base", CheckSite([]byte(req.Text), nil, true)); err != nil {
 		return err
 	}
 	for _, target := range slices.Sorted(maps.Keys(head.Documents)) {
@@ -293,16 +293,16 @@
 		}
 		overlay, err := s.Document(ctx, target)
 		if err != nil {
-			return unavailable(err)
+			return storeError(err)
 		}
-		if err := invalid("base with overlay "+site, CheckSite([]byte(req.Text), []byte(overlay.Text), true)); err != nil {
+		if err := invalidError("base with overlay "+site, CheckSite([]byte(req.Text), []byte(overlay.Text), true)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func invalid(what string, err error) error {
+func invalidError(what string, err error) error {
 	if err == nil {
 		return nil
 	}
@@ -344,9 +344,9 @@
 
 // History returns the accepted revisions of a document, oldest first.
 func (s *Store) History(ctx context.Context, site string, limit int) ([]StoredDocument, error) {
-	rows, err := s.table.List(ctx, historyKey+Target(site)+"/", "", limit)
+	rows, err := s.table.List(ctx, historyKeyPrefix+Target(site)+"/", "", limit)
 	if err != nil {
-		return nil, unavailable(err)
+		return nil, storeError(err)
 	}
 	out := make([]StoredDocument, len(rows))
 	for i, row := range rows {
@@ -363,7 +363,7 @@
 // SweepChanges deletes the rows of old change ids, one page a call; see
 // backing.Sweep. The revisions they made stay in the history.
 func (s *Store) SweepChanges(ctx context.Context, after string) (next string, deleted int, err error) {
-	return backing.Sweep(ctx, s.table, changeKey, after, func(row backing.Row) bool {
+	return backing.Sweep(ctx, s.table, changeKeyPrefix, after, func(row backing.Row) bool {
 		var c Change
 		return json.Unmarshal(row.Value, &c) == nil && s.now().Sub(c.At) > changeRetention
 	})
--- a/internal/daemon/answers.go
+++ b/internal/daemon/answers.go
@@ -15,8 +15,10 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/upstream"
 )
 
-// successorOf follows incarnations that have left to the daemon that answers
-// for them.
+// successorOf returns the daemon that has the keys and answers of an incarnation:
+// the daemon itself, or the last of the successors to which they were handed over.
+// It reports false if a daemon in this chain is not known, or if the chain is too
+// long.
 func successorOf(registry *member.Registry, incarnation string) (member.Daemon, bool) {
 	const maxSteps = 8
 	for range maxSteps {
@@ -32,8 +34,9 @@
 	return member.Daemon{}, false
 }
 
-// asker asks other daemons for idempotency keys. It implements claim.KeyTaker.
-type asker struct {
+// keyTaker requests idempotency keys from other daemons. It implements
+// claim.KeyTaker.
+type keyTaker struct {
 	self     string
 	registry *member.Registry
 	client   *peer.Client
@@ -41,61 +44,63 @@
 }
 
 // Take implements claim.KeyTaker.
-func (a *asker) Take(ctx context.Context, incarnation string, key claim.Key, home claim.Home, digest string) (claim.Result, error) {
+func (a *keyTaker) Take(ctx context.Context, incarnation string, key claim.Key, home claim.Home, digest string) (claim.Result, error) {
 	d, known := successorOf(a.registry, incarnation)
 	if !known || d.State == member.Left {
-		return claim.Result{}, unreachable(incarnation)
+		return claim.Result{}, keyUnsettledError(incarnation)
 	}
 	request := peer.TakeRequest{Key: key, Home: home, Digest: digest, Asker: a.self}
 	result, err := a.client.TakeKey(ctx, d.PeerAddress, request)
 	if err != nil {
-		return claim.Result{}, unreachable(incarnation)
+		return claim.Result{}, keyUnsettledError(incarnation)
 	}
 	return result, nil
 }
 
-func unreachable(incarnation string) error {
+// keyUnsettledError is returned when the daemon that stores a key is unreachable.
+func keyUnsettledError(incarnation string) error {
 	return fault.New(fault.KeyUnsettled, "Idempotency-Key: the daemon %s, which knows whether the key has run, cannot be reached", incarnation).WithRan(fault.RanUnknown)
 }
 
-// answerFinder finds answers here, at the daemon that made them, or at the
-// upstream itself. It implements caller.Answers.
+// answerFinder finds an answer at this daemon, at the daemon that created it or
+// its successor, or at the upstream. It implements caller.Answers.
 type answerFinder struct {
-	self     string
-	store    *answer.Store
-	registry *member.Registry
-	client   *peer.Client
-	engines  *upstream.Client
-	now      func() time.Time
+	self           string
+	store          *answer.Store
+	registry       *member.Registry
+	peerClient     *peer.Client
+	upstreamClient *upstream.Client
+	now            func() time.Time
 }
 
 // Find implements caller.Answers.
 func (f *answerFinder) Find(ctx context.Context, requestID string, resume *session.Resume) (caller.Reader, error) {
-	if a, ok := f.store.Get(requestID); ok && !cutByStop(a.View(-1), resume) {
+	if a, ok := f.store.Get(requestID); ok && !interruptedByStop(a.View(-1), resume) {
 		return a, nil
 	}
-	if remote, ok := f.remote(ctx, requestID); ok && !cutByStop(remote.view, resume) {
+	if remote, ok := f.remote(ctx, requestID); ok && !interruptedByStop(remote.view, resume) {
 		return remote, nil
 	}
 	if resume != nil {
-		return &engineReader{engines: f.engines, resume: *resume, created: f.now()}, nil
+		return &upstreamReader{client: f.upstreamClient, resume: *resume, created: f.now()}, nil
 	}
 	return nil, fault.New(fault.RequestNotFound, "request %s is not known; with its resume token the stream can be continued from the upstream", requestID)
 }
 
-// cutByStop reports whether a daemon that stopped gave the answer up while the
-// upstream went on: with a resume token it can be continued from there.
-func cutByStop(v answer.View, resume *session.Resume) bool {
+// interruptedByStop reports whether the answer ended because its daemon stopped,
+// and can be continued from the upstream with the resume token.
+func interruptedByStop(v answer.View, resume *session.Resume) bool {
 	return resume != nil && v.Err != nil && v.Err.Kind == fault.Stopping
 }
 
+// remote returns a reader of an answer that another daemon has.
 func (f *answerFinder) remote(ctx context.Context, requestID string) (*remoteReader, bool) {
 	d, known := successorOf(f.registry, ident.Incarnation(requestID))
 	if !known || d.Incarnation == f.self || d.State == member.Left {
 		return nil, false
 	}
-	r := &remoteReader{client: f.client, registry: f.registry, id: requestID}
-	reply, err := f.client.Answer(ctx, d.PeerAddress, peer.AnswerRequest{RequestID: requestID, After: -1})
+	r := &remoteReader{client: f.peerClient, registry: f.registry, id: requestID}
+	reply, err := f.peerClient.Answer(ctx, d.PeerAddress, peer.AnswerRequest{RequestID: requestID, After: -1})
 	if err != nil || !reply.Found {
 		return nil, false
 	}
@@ -103,37 +108,37 @@
 	return r, true
 }
 
-// pollWait is how long a peer waits for something new before it answers.
+// pollWait is the time that a peer waits for new events before it replies.
 const pollWait = 10 * time.Second
 
-// remoteReader reads an answer that another daemon has.
+// remoteReader reads an answer of another daemon by long polling.
 type remoteReader struct {
 	client   *peer.Client
 	registry *member.Registry
 	id       string
-	// view is the answer as it was when it was found.
+	// view is the state of the answer when it was found.
 	view answer.View
 }
 
 // Owner returns the organisation that the answer belongs to.
 func (r *remoteReader) Owner() string { return r.view.Organisation }
 
-// View returns the answer as it was when it was found.
+// View returns the state of the answer when it was found.
 func (r *remoteReader) View(int) answer.View { return r.view }
 
-// maxMoves bounds how often a reader follows an answer to the daemon that took
-// it over.
-const maxMoves = 3
+// maxHandovers bounds how many failed polls a reader repeats. After a failure the
+// answer may be at another daemon, which took it over.
+const maxHandovers = 3
 
 // Wait implements caller.Reader.
 func (r *remoteReader) Wait(ctx context.Context, after int, haveHead bool) (answer.View, error) {
-	moves := 0
+	handovers := 0
 	for {
 		reply, err := r.poll(ctx, after, haveHead)
 		switch {
-		case err != nil && moves < maxMoves && ctx.Err() == nil:
-			// The daemon may have stopped and handed its answers over.
-			moves++
+		case err != nil && handovers < maxHandovers && ctx.Err() == nil:
+			// The daemon may have stopped and handed over its answers.
+			handovers++
 		case err != nil:
 			return answer.View{}, err
 		case !reply.Found:
@@ -144,6 +149,7 @@
 	}
 }
 
+// poll requests the events after an offset from the daemon that has the answer.
 func (r *remoteReader) poll(ctx context.Context, after int, haveHead bool) (peer.AnswerReply, error) {
 	d, known := successorOf(r.registry, ident.Incarnation(r.id))
 	if !known || d.State == member.Left {
@@ -156,29 +162,29 @@
 	})
 }
 
-// engineReader continues an answer straight from the upstream that runs it,
-// after the daemon that started it is gone. The bill is closed by whoever
-// holds a copy of it.
-type engineReader struct {
-	engines *upstream.Client
+// upstreamReader continues an answer directly from the upstream that generates
+// it, when no daemon has it any more. It does not update the bill: a daemon that
+// holds a replica of the bill closes it.
+type upstreamReader struct {
+	client  *upstream.Client
 	resume  session.Resume
 	created time.Time
 	stream  *upstream.Stream
 }
 
 // Owner returns the organisation that the answer belongs to.
-func (r *engineReader) Owner() string { return r.resume.Organisation }
+func (r *upstreamReader) Owner() string { return r.resume.Organisation }
 
-// maxEngineResumes bounds the reconnections for one event.
-const maxEngineResumes = 5
+// maxUpstreamResumes bounds the attempts to read one event from the upstream.
+const maxUpstreamResumes = 5
 
-// Wait implements caller.Reader. Offsets of the caller's events are those of
-// the attempt.
-func (r *engineReader) Wait(ctx context.Context, after int, _ bool) (answer.View, error) {
+// Wait implements caller.Reader. It uses the caller's event offsets for the
+// upstream's attempt, which numbers its events in the same way.
+func (r *upstreamReader) Wait(ctx context.Context, after int, _ bool) (answer.View, error) {
 	var err error
-	for range maxEngineResumes {
+	for range maxUpstreamResumes {
 		if r.stream == nil {
-			r.stream, err = r.engines.Resume(ctx, r.resume.Address, r.resume.Attempt, after+1)
+			r.stream, err = r.client.Resume(ctx, r.resume.Address, r.resume.Attempt, after+1)
 		}
 		if err == nil {
 			var event upstream.Event
@@ -195,7 +201,7 @@
 	return answer.View{}, fault.New(fault.AnswerCut, "the upstream cannot continue the answer: %v", err).WithRan(fault.RanUnknown)
 }
 
-func (r *engineReader) view(event upstream.Event) answer.View {
+func (r *upstreamReader) view(event upstream.Event) answer.View {
 	return answer.View{
 		RequestID: r.resume.RequestID,
 		Head:      &answer.Head{Version: r.resume.Version, Session: r.resume.Session, Created: r.created},
--- a/internal/daemon/app.go
+++ b/internal/daemon/app.go
@@ -13,10 +13,11 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/settings"
 )
 
-// stopMargin is added to the set limit of a stop, for closing what is left.
+// stopMargin is added to the configured time limit of a stop. In it the daemon
+// closes listeners and connections after the requests have ended.
 const stopMargin = 30 * time.Second
 
-// NewApp returns the fx app of a daemon and its process, for Run and tests.
+// NewApp returns the fx app of a daemon, and its process.
 func NewApp(s settings.Settings) (*fx.App, *Process) {
 	var process *Process
 	app := fx.New(
@@ -29,9 +30,10 @@
 	return app, process
 }
 
-// Run starts a daemon and stops it as planned on SIGTERM or SIGINT. A second
-// signal or the set limit ends the stop early. started is called once the
-// daemon listens. Run returns the number of requests cut off.
+// Run starts a daemon, and performs a planned stop on SIGTERM or SIGINT. A
+// second signal or the configured time limit ends the requests that still run.
+// started is called once the daemon listens. Run returns the number of requests
+// that the stop cut off.
 func Run(s settings.Settings, started func(*Process)) (int, error) {
 	app, process := NewApp(s)
 	if err := app.Err(); err != nil {
@@ -54,12 +56,12 @@
 		case <-ctx.Done():
 		}
 	}()
-	// fx returns from Stop as soon as its context ends, with hooks still
-	// running. The hook gets a limit of its own, after which it still tells
-	// callers and peers what became of their requests.
-	process.limit = ctx
+	// fx returns from Stop as soon as its context ends, even if hooks still run.
+	// The drain has a shorter limit of its own, so that time remains after it to
+	// send callers the outcome of their requests and to hand over to peers.
+	process.drainContext = ctx
 	stopping, release := context.WithTimeout(context.Background(), app.StopTimeout())
 	defer release()
 	err := app.Stop(stopping)
-	return process.Cut, trace.Wrap(err)
+	return process.CutRequests, trace.Wrap(err)
 }
--- a/internal/daemon/duties.go
+++ b/internal/daemon/duties.go
@@ -16,7 +16,8 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/settings"
 )
 
-// stepRollouts does this daemon's share of the roll-outs.
+// stepRollouts advances the roll-outs for which this daemon has the duty, and
+// activates the resulting configuration.
 func (n *Node) stepRollouts(ctx context.Context) {
 	before := n.follower.Generation()
 	if !n.controller.Step(ctx) {
@@ -27,9 +28,10 @@
 	}
 }
 
-// judgeRollouts stops the exposure here to versions that the ratings speak
-// against, without waiting for the duty holder or the store.
-func (n *Node) judgeRollouts() {
+// stopRegressedRollouts stops new sessions at this daemon for versions that the
+// ratings show to be below their quality target. It does not wait for the
+// daemon that has the duty for the roll-out, or for the store.
+func (n *Node) stopRegressedRollouts() {
 	snapshot := n.follower.Current()
 	if snapshot == nil {
 		return
@@ -46,7 +48,8 @@
 	}
 }
 
-// refillCredits asks the duty holders for exposure credits.
+// refillCredits requests credits for each roll-out from the daemon that has the
+// duty for it, and returns expired ones.
 func (n *Node) refillCredits(ctx context.Context) {
 	snapshot := n.follower.Current()
 	if snapshot == nil {
@@ -57,34 +60,34 @@
 		if r.State != config.RollingOut {
 			continue
 		}
-		want, lapsed := n.exposure.Want(ref)
+		want, lapsed := n.credits.Want(ref)
 		if want == 0 && lapsed == 0 {
 			continue
 		}
-		asked := n.clock.Now()
+		requestedAt := n.clock.Now()
 		holder := member.Best("duty/"+rollout.LeaseName(ref), live)
-		granted, err := n.askCredits(ctx, holder, peer.CreditRequest{Version: ref, Want: want, Lapsed: lapsed})
+		granted, err := n.requestCredits(ctx, holder, peer.CreditRequest{Version: ref, Want: want, Lapsed: lapsed})
 		if err != nil {
 			slog.Debug("rollout.no_credits", "version", ref, "error", err)
 			continue
 		}
-		n.exposure.Refill(ref, granted, lapsed, asked)
+		n.credits.Refill(ref, granted, lapsed, requestedAt)
 	}
 }
 
-func (n *Node) askCredits(ctx context.Context, holder string, r peer.CreditRequest) (int, error) {
+func (n *Node) requestCredits(ctx context.Context, holder string, r peer.CreditRequest) (int, error) {
 	if holder == n.incarnation {
 		return n.controller.Grant(ctx, r.Version, r.Want, r.Lapsed)
 	}
 	d, ok := n.registry.Get(holder)
 	if !ok {
-		return 0, trace.NotFound("no daemon has the duty for %v", r.Version)
+		return 0, trace.NotFound("the daemon that grants credits for %v is not known", r.Version)
 	}
-	return n.peers.RequestCredits(ctx, d.PeerAddress, r)
+	return n.peerClient.RequestCredits(ctx, d.PeerAddress, r)
 }
 
 // reportDemand reports the demand of each organisation to the daemon that
-// allots its shares.
+// allocates its limits, and stores the granted shares.
 func (n *Node) reportDemand(ctx context.Context) {
 	var live []string
 	for _, d := range n.registry.Live() {
@@ -92,18 +95,18 @@
 			live = append(live, d.Incarnation)
 		}
 	}
-	byAllotter := map[string][]limit.Demand{}
+	byAllocator := map[string][]limit.Demand{}
 	snapshot := n.follower.Current()
 	if snapshot == nil {
 		return
 	}
 	limits := func(organisation string) config.Limits { return snapshot.Doc.Organisations[organisation].Limits }
 	for _, demand := range n.limits.TakeDemand(limits) {
-		at := member.Best("limits/"+demand.Organisation, live)
-		byAllotter[at] = append(byAllotter[at], demand)
+		allocator := member.Best("limits/"+demand.Organisation, live)
+		byAllocator[allocator] = append(byAllocator[allocator], demand)
 	}
-	for at, demands := range byAllotter {
-		shares, err := n.askShares(ctx, at, demands)
+	for allocator, demands := range byAllocator {
+		shares, err := n.requestShares(ctx, allocator, demands)
 		if err != nil {
 			continue
 		}
@@ -113,26 +116,27 @@
 	}
 }
 
-func (n *Node) askShares(ctx context.Context, at string, demands []limit.Demand) (map[string]limit.Share, error) {
-	if at == n.incarnation {
+func (n *Node) requestShares(ctx context.Context, allocator string, demands []limit.Demand) (map[string]limit.Share, error) {
+	if allocator == n.incarnation {
 		return n.allocator.Report(n.incarnation, demands), nil
 	}
-	d, ok := n.registry.Get(at)
+	d, ok := n.registry.Get(allocator)
 	if !ok {
 		return nil, nil
 	}
-	asked := n.clock.Now()
-	shares, err := n.peers.ReportDemand(ctx, d.PeerAddress, peer.DemandRequest{From: n.incarnation, Demands: demands})
+	requestedAt := n.clock.Now()
+	shares, err := n.peerClient.ReportDemand(ctx, d.PeerAddress, peer.DemandRequest{From: n.incarnation, Demands: demands})
 	for organisation, share := range shares {
-		// Clocks differ; the share lapses here no later than there.
-		share.Until = asked.Add(limit.ShareTTL)
+		// Until is in the time of the other daemon's clock. Computed from before the
+		// request in the own clock, the share expires here no later than there.
+		share.Until = requestedAt.Add(limit.ShareTTL)
 		shares[organisation] = share
 	}
 	return shares, err
 }
 
-// dead returns the daemons whose bills others have to close.
-func (n *Node) dead() map[string]bool {
+// deadDaemons returns the daemons whose bills other daemons have to close.
+func (n *Node) deadDaemons() map[string]bool {
 	out := map[string]bool{}
 	for _, id := range n.registry.Dead(settings.MS(n.settings.Timing.SealAfterMS)) {
 		out[id] = true
@@ -140,23 +144,25 @@
 	return out
 }
 
-// sealHeld closes the bills of dead daemons that this daemon holds copies of.
-func (n *Node) sealHeld(ctx context.Context) {
-	dead := n.dead()
-	for _, owner := range n.holdings.Owners() {
+// sealReplicated closes the bills of dead or unknown daemons of which this
+// daemon holds replicas.
+func (n *Node) sealReplicated(ctx context.Context) {
+	dead := n.deadDaemons()
+	for _, owner := range n.replicas.Owners() {
 		if _, known := n.registry.Get(owner); dead[owner] || !known {
-			n.seal(ctx, owner)
+			n.sealLog(ctx, owner)
 		}
 	}
 }
 
-// sealAbandoned closes the bills of dead daemons that only the table knows, as
-// a duty of one daemon.
-func (n *Node) sealAbandoned(ctx context.Context) {
+// sealUnsealedLogs closes the bills of dead daemons that are in the store's
+// logs, of which no replica may be left. Only the daemon that ranks first for
+// this duty does so.
+func (n *Node) sealUnsealedLogs(ctx context.Context) {
 	if !n.registry.RanksFirst("ledger-sweep") {
 		return
 	}
-	dead := n.dead()
+	dead := n.deadDaemons()
 	live := map[string]bool{}
 	for _, d := range n.registry.All() {
 		live[d.Incarnation] = !dead[d.Incarnation]
@@ -166,20 +172,23 @@
 		return
 	}
 	for _, owner := range abandoned {
-		n.seal(ctx, owner)
+		n.sealLog(ctx, owner)
 	}
 }
 
-func (n *Node) seal(ctx context.Context, owner string) {
-	if _, err := n.holdings.Seal(ctx, owner); err != nil {
+// sealLog tries to seal the log of one daemon. A later round repeats what failed.
+// sealLog tries to seal the log of one daemon. A later round repeats what failed.
+func (n *Node) sealLog(ctx context.Context, owner string) {
+	if _, err := n.replicas.Seal(ctx, owner); err != nil {
 		slog.Debug("ledger.seal_failed", "incarnation", owner, "error", err)
 	}
 }
 
-// tidy moves old bills to the object store and deletes rows that have expired,
-// as a duty of one daemon. Two daemons that both believe to have the duty do
-// no harm: every step is conditional on the rows it saw.
-func (n *Node) tidy(ctx context.Context) {
+// archiveAndSweep moves old bills to the object store and deletes expired rows.
+// Only the daemon that ranks first for this duty does so. It is safe if two
+// daemons do it at once, because every write is conditional on the rows that
+// were read.
+func (n *Node) archiveAndSweep(ctx context.Context) {
 	if !n.registry.RanksFirst("tidy") {
 		return
 	}
@@ -190,10 +199,10 @@
 	if moved > 0 {
 		slog.Info("ledger.archived", "batches", moved)
 	}
-	if n.claimCursor, _, err = claim.SweepRows(ctx, n.platform, n.claimCursor, n.clock.Now()); err != nil {
+	if n.claimSweepCursor, _, err = claim.SweepRows(ctx, n.platform, n.claimSweepCursor, n.clock.Now()); err != nil {
 		slog.Debug("claim.sweep_failed", "error", err)
 	}
-	if n.changeCursor, _, err = n.config.SweepChanges(ctx, n.changeCursor); err != nil {
+	if n.changeSweepCursor, _, err = n.config.SweepChanges(ctx, n.changeSweepCursor); err != nil {
 		slog.Debug("config.sweep_failed", "error", err)
 	}
 }
--- a/internal/daemon/entries_test.go
+++ b/internal/daemon/entries_test.go
@@ -16,31 +16,33 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/settings"
 )
 
-// A daemon starts and is known to the others at once. It is offered to callers
-// only when it can serve them; a planned restart would show as errors.
-func TestOfferedWhenReady(t *testing.T) {
+// Guards against errors at a planned restart: peers know a starting daemon from
+// its first heartbeat, but must not list it in discovery until it has a
+// configuration, signing keys and upstreams.
+func TestDaemonIsAdvertisedOnlyWhenReady(t *testing.T) {
 	memory := backing.NewMemory()
 	n := NewNode(settings.Defaults(), memory, clockwork.NewFakeClock())
 	n.callerURL = "http://here"
 	other := NewNode(settings.Defaults(), memory, clockwork.NewFakeClock())
-	tell := func() []caller.Entry {
-		n.offer()
+	listed := func() []caller.Entry {
+		n.advertise()
 		other.registry.Merge([]member.Daemon{n.registry.Self()})
 		entries, _ := other.Entries()
 		return entries
 	}
-	require.Empty(t, tell())
+	require.Empty(t, listed())
 	_, err := n.config.Apply(context.Background(), config.ApplyRequest{ChangeID: "1", Text: `{}`})
 	require.NoError(t, err)
 	n.pollConfig(context.Background())
-	require.Empty(t, tell(), "no upstream is known yet")
-	n.pollList(context.Background())
-	require.Len(t, tell(), 1)
+	require.Empty(t, listed(), "no upstream is known yet")
+	n.pollInstances(context.Background())
+	require.Len(t, listed(), 1)
 }
 
-// A caller of a large site is told of a few daemons, not of hundreds, never of
-// one that leaves or of another site; over many answers of all of them.
-func TestEntriesOfALargeSite(t *testing.T) {
+// Guards against discovery answers that have all the daemons of a large site, or
+// that have leaving daemons or those of other sites, and against a sample that
+// leaves out some daemons in every answer.
+func TestEntriesOfLargeSiteAreSampled(t *testing.T) {
 	s := settings.Defaults()
 	n := NewNode(s, backing.NewMemory(), clockwork.NewFakeClock())
 	var news []member.Daemon
--- a/internal/daemon/export.go
+++ b/internal/daemon/export.go
@@ -9,8 +9,8 @@
 // Registry returns the table of daemons, for measurements.
 func (n *Node) Registry() *member.Registry { return n.registry }
 
-// Heartbeat returns what the daemon would tell a peer now, for measurements.
+// Heartbeat returns the next heartbeat to a peer, for measurements.
 func (n *Node) Heartbeat() peer.Heartbeat { return n.heartbeat() }
 
-// AddRatings counts ratings as if they had been read, for measurements.
+// AddRatings counts ratings as if they came from the feed, for measurements.
 func (n *Node) AddRatings(ratings []backing.Rating) { n.ratings.Add(ratings) }
--- a/internal/daemon/fresh.go
+++ b/internal/daemon/fresh.go
@@ -11,112 +11,125 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/fault"
 )
 
-// contact remembers when each peer last answered a heartbeat.
+// reachability records when each peer last answered a heartbeat.
 //
-// Lock order: mu is taken alone.
-type contact struct {
+// Lock order: no other lock is taken while mu is held.
+type reachability struct {
 	clock clockwork.Clock
 
-	mu       sync.Mutex
-	answered map[string]time.Time
-	// targets are the peers that heartbeats go to.
+	mu sync.Mutex
+	// lastReply is when the last answered heartbeat was sent, by incarnation.
+	lastReply map[string]time.Time
+	// targets are the incarnations to which the last heartbeats were sent.
 	targets []string
 }
 
-func newContact(clock clockwork.Clock) *contact {
-	return &contact{clock: clock, answered: map[string]time.Time{}}
+func newReachability(clock clockwork.Clock) *reachability {
+	return &reachability{clock: clock, lastReply: map[string]time.Time{}}
 }
 
-func (c *contact) setTargets(incarnations []string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.targets = incarnations
+func (r *reachability) setTargets(incarnations []string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.targets = incarnations
 }
 
-// note records an answer to a heartbeat that was sent at sent.
-func (c *contact) note(incarnation string, sent time.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.answered[incarnation] = sent
+// recordReply records a reply to a heartbeat that was sent at sent.
+func (r *reachability) recordReply(incarnation string, sent time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.lastReply[incarnation] = sent
 }
 
-// share returns which part of the targets answered within window; 1 when there
-// are none.
-func (c *contact) share(window time.Duration) float64 {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if len(c.targets) == 0 {
+// repliedShare returns the fraction of the targets that answered a heartbeat sent
+// within window; it is 1 if there are no targets.
+func (r *reachability) repliedShare(window time.Duration) float64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if len(r.targets) == 0 {
 		return 1
 	}
 	n := 0
-	for _, t := range c.targets {
-		if at, ok := c.answered[t]; ok && c.clock.Since(at) <= window {
+	for _, t := range r.targets {
+		if at, ok := r.lastReply[t]; ok && r.clock.Since(at) <= window {
 			n++
 		}
 	}
-	return float64(n) / float64(len(c.targets))
+	return float64(n) / float64(len(r.targets))
 }
 
-// freshness decides whether the configuration in force may be relied on.
+// freshness decides whether the daemon may dispatch with the active
+// configuration.
 //
-// A daemon that was paused, or that is cut off, may have missed a withdrawal
-// and would send new work to the withdrawn version. So the configuration has
-// to be confirmed within a short time: by reading the head, or by a peer that
-// has confirmed it. While the store is out for everyone, nothing can be
-// accepted, and it is enough that every known daemon answers and none has
-// heard of a newer generation. With some peers missing, one of them might
-// have reached the store, so only proven versions are served; with nearly all
-// missing this ends after a limit, too.
+// A daemon that was paused or is partitioned may have missed the withdrawal of a
+// version, and would send new work to it. So the configuration must have been
+// confirmed as the newest within maxAge, by a read of the head row or by a peer
+// that has confirmed it.
+//
+// If it was not, the decision depends on the heartbeat targets:
+//   - If all of them answer and no daemon is suspect, the configuration may be
+//     used. A daemon that could read the store would have confirmed the
+//     configuration or announced a newer one by heartbeat. So the store is
+//     unavailable to all daemons, and no change can be accepted.
+//   - If some of them do not answer, or a daemon is suspect, that daemon may have
+//     read a newer configuration from the store. Only proven versions may be used.
+//   - If at most half of them answer, proven versions may be used until refuseAge
+//     has passed since the last confirmation. After that Ensure returns an error.
 type freshness struct {
-	follower *config.Follower
-	contact  *contact
-	// refresh reads the head from the store.
+	follower     *config.Follower
+	reachability *reachability
+	// refresh reads the configuration from the store.
 	refresh func(ctx context.Context) error
-	// suspects reports whether any daemon is suspect.
-	suspects func() bool
-	fresh    time.Duration
-	refuse   time.Duration
+	// anySuspect reports whether any daemon is suspect.
+	anySuspect func() bool
+	// maxAge is the age of the last confirmation up to which the configuration may
+	// be used without further conditions.
+	maxAge time.Duration
+	// refuseAge is the age beyond which a daemon that is cut off from store and
+	// peers refuses to dispatch.
+	refuseAge time.Duration
 
-	// confirming makes requests that find the configuration stale share one
-	// confirmation.
-	mu         sync.Mutex
+	mu sync.Mutex
+	// confirming is closed when the running confirmation ends, and nil if none
+	// runs. Concurrent requests share one confirmation.
 	confirming chan struct{}
 }
 
 // Ensure implements dispatch.Fresh.
 func (f *freshness) Ensure(ctx context.Context) (*config.Snapshot, bool, error) {
-	if f.follower.Age() > f.fresh {
+	if f.follower.SinceConfirmed() > f.maxAge {
 		f.confirm(ctx)
 	}
 	snapshot := f.follower.Current()
 	if snapshot == nil {
 		return nil, false, fault.New(fault.NotReady, "no configuration yet")
 	}
-	age := f.follower.Age()
-	share := f.contact.share(f.fresh)
+	age := f.follower.SinceConfirmed()
+	share := f.reachability.repliedShare(f.maxAge)
 	switch {
-	case age <= f.fresh:
+	case age <= f.maxAge:
 		return snapshot, false, nil
-	case share == 1 && !f.suspects():
+	case share == 1 && !f.anySuspect():
 		return snapshot, false, nil
-	case share > 0.5 || age <= f.refuse:
+	case share > 0.5 || age <= f.refuseAge:
 		return snapshot, true, nil
 	default:
 		return nil, false, fault.New(fault.ConfigStale, "the configuration could not be confirmed for %v", age.Round(time.Second))
 	}
 }
 
-// confirmWait bounds how long a request waits for a confirmation.
+// confirmWait bounds the time that a request waits for a confirmation.
 const confirmWait = 500 * time.Millisecond
 
-// confirm asks the store once for all requests that wait.
+// confirm waits until a read of the store has ended, at most confirmWait. It
+// starts the read unless one already runs.
 func (f *freshness) confirm(ctx context.Context) {
 	f.mu.Lock()
 	running := f.confirming
 	if running == nil {
 		running = make(chan struct{})
 		f.confirming = running
-		go f.ask(running)
+		go f.refreshOnce(running)
 	}
 	f.mu.Unlock()
 	timer := time.NewTimer(confirmWait)
@@ -128,10 +141,11 @@
 	}
 }
 
-func (f *freshness) ask(done chan struct{}) {
+// refreshOnce reads the store and then closes done.
+func (f *freshness) refreshOnce(done chan struct{}) {
 	ctx, cancel := context.WithTimeout(context.Background(), confirmWait)
 	defer cancel()
-	// What a failure means is decided by age and contact.
+	// After a failure, Ensure decides by the age and the reachable peers.
 	_ = f.refresh(ctx)
 	f.mu.Lock()
 	f.confirming = nil
--- a/internal/daemon/fresh_test.go
+++ b/internal/daemon/fresh_test.go
@@ -14,16 +14,16 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/fault"
 )
 
-// stale is a daemon whose configuration was confirmed ten seconds ago, with
-// two peers.
-type stale struct {
+// staleDaemon is the freshness of a daemon that has two heartbeat targets, whose
+// configuration was confirmed ten seconds ago, and whose store is unavailable.
+type staleDaemon struct {
 	*freshness
 	clock     *clockwork.FakeClock
 	store     *config.Store
 	suspected bool
 }
 
-func newStale(t *testing.T) *stale {
+func newStaleDaemon(t *testing.T) *staleDaemon {
 	t.Helper()
 	clock := clockwork.NewFakeClock()
 	store := config.NewStore(backing.NewMemory(), clock.Now)
@@ -31,24 +31,25 @@
 	require.NoError(t, err)
 	follower := config.NewFollower("s", store, clock)
 	require.NoError(t, follower.Refresh(context.Background()))
-	s := &stale{clock: clock, store: store}
+	s := &staleDaemon{clock: clock, store: store}
 	s.freshness = &freshness{
-		follower: follower,
-		contact:  newContact(clock),
-		refresh:  func(context.Context) error { return errors.New("store out") },
-		suspects: func() bool { return s.suspected },
-		fresh:    3 * time.Second,
-		refuse:   15 * time.Second,
+		follower:     follower,
+		reachability: newReachability(clock),
+		refresh:      func(context.Context) error { return errors.New("store out") },
+		anySuspect:   func() bool { return s.suspected },
+		maxAge:       3 * time.Second,
+		refuseAge:    15 * time.Second,
 	}
-	s.contact.setTargets([]string{"b", "c"})
+	s.reachability.setTargets([]string{"b", "c"})
 	clock.Advance(10 * time.Second)
 	return s
 }
 
-// A daemon was paused while a version was withdrawn. The first request after it
-// wakes must see the new generation, not the one in memory.
-func TestAsksBeforeItDispatchesAfterAPause(t *testing.T) {
-	s := newStale(t)
+// Guards against dispatching with an old configuration after a pause of the
+// process. A version may have been withdrawn in that time, so the first request
+// must see the new generation instead of the one in memory.
+func TestFreshnessRefreshesAfterPause(t *testing.T) {
+	s := newStaleDaemon(t)
 	s.refresh = s.follower.Refresh
 	_, err := s.store.Apply(context.Background(), config.ApplyRequest{FromRevision: 1, ChangeID: "2", Text: `{}`})
 	require.NoError(t, err)
@@ -58,16 +59,17 @@
 	require.Equal(t, int64(2), snapshot.Generation)
 }
 
-// The store is out. What a daemon may still do depends on which peers answer:
-// all, most, or none.
-func TestWithoutTheStore(t *testing.T) {
-	s := newStale(t)
+// Guards against serving a version that another daemon knows to be withdrawn
+// while this daemon cannot read the store. The versions that it may use depend on
+// whether all, most or none of its peers answer.
+func TestFreshnessWithoutStore(t *testing.T) {
+	s := newStaleDaemon(t)
 	ensure := func() (bool, error) {
 		_, provenOnly, err := s.Ensure(context.Background())
 		return provenOnly, err
 	}
-	s.contact.note("b", s.clock.Now())
-	s.contact.note("c", s.clock.Now())
+	s.reachability.recordReply("b", s.clock.Now())
+	s.reachability.recordReply("c", s.clock.Now())
 	provenOnly, err := ensure()
 	require.NoError(t, err)
 	require.False(t, provenOnly, "nobody can have accepted anything")
@@ -82,8 +84,8 @@
 	s.clock.Advance(2 * time.Second)
 	_, err = ensure()
 	require.True(t, fault.Is(err, fault.ConfigStale), "cut off for too long")
-	s.contact.note("b", s.clock.Now())
-	s.contact.note("c", s.clock.Now())
+	s.reachability.recordReply("b", s.clock.Now())
+	s.reachability.recordReply("c", s.clock.Now())
 	provenOnly, err = ensure()
 	require.NoError(t, err)
 	require.True(t, provenOnly)
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -10,12 +10,13 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/settings"
 )
 
-// heartbeatLoop exchanges heartbeats, on time and when kicked.
+// heartbeatLoop runs a heartbeat round per interval, and one whenever
+// TriggerHeartbeat is called, until ctx ends.
 func (n *Node) heartbeatLoop(ctx context.Context) {
 	for {
 		n.heartbeatRound(ctx)
 		select {
-		case <-n.kick:
+		case <-n.heartbeatTrigger:
 		case <-n.clock.After(settings.MS(n.settings.Timing.HeartbeatMS)):
 		case <-ctx.Done():
 			return
@@ -23,23 +24,24 @@
 	}
 }
 
-// heartbeatRound sends one heartbeat to each target and to each address whose
-// daemon is not known yet.
+// heartbeatRound sends one heartbeat to each target and to each seed address at
+// which no daemon is known.
 func (n *Node) heartbeatRound(ctx context.Context) {
-	n.offer()
+	n.advertise()
 	targets := n.registry.HeartbeatTargets()
-	n.contact.setTargets(member.Incarnations(targets))
+	n.reachability.setTargets(member.Incarnations(targets))
 	var round sync.WaitGroup
 	for _, d := range targets {
-		round.Go(func() { n.beat(ctx, d.PeerAddress, d.Incarnation) })
+		round.Go(func() { n.sendHeartbeat(ctx, d.PeerAddress, d.Incarnation) })
 	}
 	for _, address := range n.unknownSeeds() {
-		round.Go(func() { n.beat(ctx, address, "") })
+		round.Go(func() { n.sendHeartbeat(ctx, address, "") })
 	}
 	round.Wait()
 }
 
-// unknownSeeds returns the addresses at which no live daemon is known.
+// unknownSeeds returns the seed addresses at which no daemon is known that has
+// not left.
 func (n *Node) unknownSeeds() []string {
 	known := map[string]bool{n.registry.Self().PeerAddress: true}
 	for _, d := range n.registry.All() {
@@ -47,8 +49,8 @@
 			known[d.PeerAddress] = true
 		}
 	}
-	n.listMu.Lock()
-	defer n.listMu.Unlock()
+	n.instancesMu.Lock()
+	defer n.instancesMu.Unlock()
 	var out []string
 	for address := range n.seeds {
 		if !known[address] {
@@ -58,43 +60,48 @@
 	return out
 }
 
-func (n *Node) beat(ctx context.Context, address, incarnation string) {
+// sendHeartbeat sends a heartbeat to a daemon and processes the reply.
+// incarnation is the expected one; empty if it is not known.
+func (n *Node) sendHeartbeat(ctx context.Context, address, incarnation string) {
 	interval := settings.MS(n.settings.Timing.HeartbeatMS)
 	call, cancel := context.WithTimeout(ctx, interval)
 	defer cancel()
 	sent := n.clock.Now()
-	reply, err := n.peers.Heartbeat(call, address, n.heartbeat())
+	reply, err := n.peerClient.Heartbeat(call, address, n.heartbeat())
 	if err == nil && (incarnation == "" || reply.From.Incarnation == incarnation) {
-		n.answeredBy(ctx, reply, sent)
+		n.handleReply(ctx, reply, sent)
 		return
 	}
 	if incarnation != "" && ctx.Err() == nil {
-		n.missed(incarnation)
+		n.heartbeatMissed(incarnation)
 	}
 	if err == nil {
-		// Another incarnation lives at this address now.
-		n.answeredBy(ctx, reply, sent)
+		// The daemon at this address was restarted: it has another incarnation.
+		n.handleReply(ctx, reply, sent)
 	}
 }
 
-// missed suspects a daemon that did not answer several times in a row.
-func (n *Node) missed(incarnation string) {
-	n.missesMu.Lock()
-	n.misses[incarnation]++
-	over := n.misses[incarnation] >= n.settings.Timing.SuspectAfter
-	n.missesMu.Unlock()
+// heartbeatMissed records an unanswered heartbeat. It marks the daemon as suspect
+// after Timing.SuspectAfter of them in a row.
+func (n *Node) heartbeatMissed(incarnation string) {
+	n.missedMu.Lock()
+	n.missedHeartbeats[incarnation]++
+	over := n.missedHeartbeats[incarnation] >= n.settings.Timing.SuspectAfter
+	n.missedMu.Unlock()
 	if over {
 		n.registry.Suspect(incarnation)
 	}
 }
 
-// answeredBy takes in an answer to a heartbeat sent at sent.
-func (n *Node) answeredBy(ctx context.Context, reply peer.Heartbeat, sent time.Time) {
-	n.missesMu.Lock()
-	delete(n.misses, reply.From.Incarnation)
-	n.missesMu.Unlock()
-	n.contact.note(reply.From.Incarnation, sent)
-	n.learn(reply)
+// handleReply processes the reply to a heartbeat that was sent at sent. It fetches
+// the configuration, ratings and membership table that the reply shows to be
+// newer than or different from the own ones.
+func (n *Node) handleReply(ctx context.Context, reply peer.Heartbeat, sent time.Time) {
+	n.missedMu.Lock()
+	delete(n.missedHeartbeats, reply.From.Incarnation)
+	n.missedMu.Unlock()
+	n.reachability.recordReply(reply.From.Incarnation, sent)
+	n.mergeHeartbeat(reply)
 	address := reply.From.PeerAddress
 	if reply.Generation > n.follower.Generation() {
 		n.fetchConfig(ctx, address)
@@ -103,41 +110,42 @@
 		n.follower.Confirm(reply.Generation, sent.Add(-settings.MS(reply.ConfirmedMS)))
 	}
 	if reply.RatingSeq > n.ratings.Seq() {
-		if summary, err := n.peers.Ratings(ctx, address); err == nil {
+		if summary, err := n.peerClient.Ratings(ctx, address); err == nil {
 			n.ratings.Install(summary)
 		}
 	}
-	if reply.Digest != n.registry.Digest() && n.maySync() {
+	if reply.Digest != n.registry.Digest() && n.allowSync() {
 		n.syncMembers(ctx, address)
 	}
 }
 
 const (
-	// tableEntryBytes is the size of a daemon in a whole table.
-	tableEntryBytes = 88
-	// syncBytesPerSecond bounds the exchange of whole tables. Digests differ
-	// whenever news is on its way, which reaches all daemons without it; the
-	// whole table is for what was missed.
+	// memberBytes is the encoded size of one daemon in a membership table.
+	memberBytes = 88
+	// syncBytesPerSecond limits the rate at which this daemon fetches whole
+	// membership tables. Digests differ whenever updates are still spreading by
+	// heartbeats; the whole table is only needed for updates that were missed.
 	syncBytesPerSecond = 250
 )
 
-// maySync reports whether it is time for a whole table, and notes it.
-func (n *Node) maySync() bool {
-	size := float64(len(n.registry.All()) * tableEntryBytes)
+// allowSync reports whether the rate limit permits fetching a whole membership
+// table now. If so, it counts one fetch.
+func (n *Node) allowSync() bool {
+	size := float64(len(n.registry.All()) * memberBytes)
 	interval := time.Duration(size / syncBytesPerSecond * float64(time.Second))
-	n.syncedMu.Lock()
-	defer n.syncedMu.Unlock()
+	n.lastSyncMu.Lock()
+	defer n.lastSyncMu.Unlock()
 	now := n.clock.Now()
-	if !n.synced.IsZero() && now.Sub(n.synced) < interval {
+	if !n.lastSync.IsZero() && now.Sub(n.lastSync) < interval {
 		return false
 	}
-	n.synced = now
+	n.lastSync = now
 	return true
 }
 
-// syncMembers takes the whole table of a peer that knows something else.
+// syncMembers merges the whole membership table of a peer.
 func (n *Node) syncMembers(ctx context.Context, address string) {
-	if all, err := n.peers.Members(ctx, address); err == nil {
+	if all, err := n.peerClient.Members(ctx, address); err == nil {
 		n.registry.Merge(all)
 	}
 }
--- a/internal/daemon/handlers.go
+++ b/internal/daemon/handlers.go
@@ -17,10 +17,11 @@
 
 var _ peer.Handler = (*Node)(nil)
 
-// heartbeat builds what this daemon tells its peers.
+// heartbeat returns the next heartbeat to a peer. It counts the membership
+// updates in it as sent.
 func (n *Node) heartbeat() peer.Heartbeat {
 	confirmed := int64(-1)
-	if age := n.follower.Age(); age < time.Hour {
+	if age := n.follower.SinceConfirmed(); age < time.Hour {
 		confirmed = age.Milliseconds()
 	}
 	return peer.Heartbeat{
@@ -30,22 +31,23 @@
 		Generation:  n.follower.Generation(),
 		ConfirmedMS: confirmed,
 		Leaving:     n.upstreams.Leaving(),
-		Stopped:     n.exposure.Stopped(),
+		Stopped:     n.credits.Stopped(),
 		RatingSeq:   n.ratings.Seq(),
 	}
 }
 
 // OnHeartbeat implements peer.Handler.
 func (n *Node) OnHeartbeat(h peer.Heartbeat) peer.Heartbeat {
-	n.learn(h)
+	n.mergeHeartbeat(h)
 	if h.Generation > n.follower.Generation() {
 		go n.fetchConfig(n.base, h.From.PeerAddress)
 	}
 	return n.heartbeat()
 }
 
-// learn takes in what a peer said, whichever way it came.
-func (n *Node) learn(h peer.Heartbeat) {
+// mergeHeartbeat merges the state that a peer sent in a heartbeat or in the reply
+// to one.
+func (n *Node) mergeHeartbeat(h peer.Heartbeat) {
 	n.registry.Merge(append(h.News, h.From))
 	for _, id := range h.Leaving {
 		n.upstreams.MarkLeaving(id)
@@ -55,15 +57,15 @@
 	}
 }
 
-// stopVersion stops the exposure of new sessions to a version here, while it
-// is being rolled out, and has the peers told.
+// stopVersion stops new sessions of a version at this daemon while it is being
+// rolled out. It triggers a heartbeat, which tells the peers to do the same.
 func (n *Node) stopVersion(ref config.VersionRef) {
 	snapshot := n.follower.Current()
 	if snapshot == nil || snapshot.Rollouts[ref].State != config.RollingOut {
 		return
 	}
-	if n.exposure.Stop(ref) {
-		n.Kick()
+	if n.credits.Stop(ref) {
+		n.TriggerHeartbeat()
 	}
 }
 
@@ -76,10 +78,10 @@
 func (n *Node) OnMembers() []member.Daemon { return n.registry.All() }
 
 // OnHold implements peer.Handler.
-func (n *Node) OnHold(r peer.HoldRequest) { n.holdings.Add(r.Owner, r.After, r.Bills) }
+func (n *Node) OnHold(r peer.HoldRequest) { n.replicas.Add(r.Owner, r.After, r.Bills) }
 
 // OnRelease implements peer.Handler.
-func (n *Node) OnRelease(r peer.ReleaseRequest) { n.holdings.Remove(r.Owner, r.IDs) }
+func (n *Node) OnRelease(r peer.ReleaseRequest) { n.replicas.Remove(r.Owner, r.IDs) }
 
 // OnTake implements peer.Handler.
 func (n *Node) OnTake(r peer.TakeRequest) claim.Result {
@@ -100,7 +102,7 @@
 	defer cancel()
 	view, err := a.Wait(ctx, r.After, r.HaveHead)
 	if err != nil {
-		// Nothing new in time; the peer asks again.
+		// The wait ended without new events; the peer repeats the request.
 		view.RequestID, view.Organisation = a.RequestID, a.Organisation
 	}
 	return peer.AnswerReply{Found: true, View: view}
@@ -134,7 +136,7 @@
 
 // OnInstances implements peer.Handler.
 func (n *Node) OnInstances() []backing.Instance {
-	n.listMu.Lock()
-	defer n.listMu.Unlock()
-	return n.list
+	n.instancesMu.Lock()
+	defer n.instancesMu.Unlock()
+	return n.instances
 }
--- a/internal/daemon/loops.go
+++ b/internal/daemon/loops.go
@@ -17,12 +17,13 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/settings"
 )
 
-// reportWorkers bounds the load reports asked for at once.
-const reportWorkers = 16
+// loadReportWorkers bounds the concurrent requests for load reports.
+const loadReportWorkers = 16
 
-// every runs f again and again until ctx ends, with a tenth of jitter so that
-// daemons do not fall into step.
-func (n *Node) every(ctx context.Context, interval func() time.Duration, f func(context.Context)) {
+// runEvery runs f repeatedly until ctx ends, and waits interval between the runs.
+// The wait varies randomly by a tenth, so that the daemons' calls are not
+// synchronised.
+func (n *Node) runEvery(ctx context.Context, interval func() time.Duration, f func(context.Context)) {
 	for {
 		f(ctx)
 		d := interval()
@@ -35,12 +36,14 @@
 	}
 }
 
-func fixed(ms int64) func() time.Duration {
+// fixedInterval returns a constant interval for runEvery.
+func fixedInterval(ms int64) func() time.Duration {
 	return func() time.Duration { return settings.MS(ms) }
 }
 
-// scaled is an interval that keeps all daemons together under a rate.
-func (n *Node) scaled(perSecond float64, floorMS int64) func() time.Duration {
+// sharedRateInterval returns an interval for runEvery that keeps the calls of all
+// daemons together under perSecond, and is never shorter than floorMS.
+func (n *Node) sharedRateInterval(perSecond float64, floorMS int64) func() time.Duration {
 	return func() time.Duration {
 		return backing.Interval(len(n.registry.Live()), perSecond, settings.MS(floorMS))
 	}
@@ -51,18 +54,20 @@
 	t := n.settings.Timing
 	loops := []func(){
 		func() { n.heartbeatLoop(ctx) },
-		func() { n.every(ctx, n.scaled(headReadsPerSecond, t.ConfigMS), n.pollConfig) },
-		func() { n.every(ctx, n.scaled(listReadsPerSecond, t.ListMS), n.pollList) },
-		func() { n.every(ctx, n.reportInterval, n.pollReports) },
-		func() { n.every(ctx, n.scaled(keyReadsPerSecond, keyMS), n.refreshKeys) },
-		func() { n.every(ctx, n.scaled(ratingReadsPerSecond, t.RatingMS), n.pollRatings) },
-		func() { n.every(ctx, fixed(t.RolloutMS), n.stepRollouts) },
-		func() { n.every(ctx, n.scaled(creditAsksPerSecond, creditMS), n.refillCredits) },
-		func() { n.every(ctx, fixed(demandMS), n.reportDemand) },
-		func() { n.every(ctx, fixed(housekeepingMS), n.housekeeping) },
-		func() { n.every(ctx, fixed(sealMS), n.sealHeld) },
-		func() { n.every(ctx, n.scaled(headListsPerSecond, sealMS), n.sealAbandoned) },
-		func() { n.every(ctx, fixed(t.TidyMS), n.tidy) },
+		func() { n.runEvery(ctx, n.sharedRateInterval(headReadsPerSecond, t.ConfigMS), n.pollConfig) },
+		func() { n.runEvery(ctx, n.sharedRateInterval(listReadsPerSecond, t.ListMS), n.pollInstances) },
+		func() { n.runEvery(ctx, n.loadReportInterval, n.pollLoadReports) },
+		func() { n.runEvery(ctx, n.sharedRateInterval(keyReadsPerSecond, keyIntervalMS), n.refreshKeys) },
+		func() { n.runEvery(ctx, n.sharedRateInterval(ratingReadsPerSecond, t.RatingMS), n.pollRatings) },
+		func() { n.runEvery(ctx, fixedInterval(t.RolloutMS), n.stepRollouts) },
+		func() {
+			n.runEvery(ctx, n.sharedRateInterval(creditRequestsPerSecond, creditIntervalMS), n.refillCredits)
+		},
+		func() { n.runEvery(ctx, fixedInterval(demandIntervalMS), n.reportDemand) },
+		func() { n.runEvery(ctx, fixedInterval(expiryIntervalMS), n.removeExpired) },
+		func() { n.runEvery(ctx, fixedInterval(sealIntervalMS), n.sealReplicated) },
+		func() { n.runEvery(ctx, n.sharedRateInterval(headListsPerSecond, sealIntervalMS), n.sealUnsealedLogs) },
+		func() { n.runEvery(ctx, fixedInterval(t.TidyMS), n.archiveAndSweep) },
 		func() { n.ledger.Run(ctx) },
 		func() { n.dispatcher.PokeLoop(ctx) },
 	}
@@ -73,20 +78,21 @@
 	running.Wait()
 }
 
-// Times of the loops that have no setting, in milliseconds.
+// Intervals of the loops that have no setting, in milliseconds.
 const (
-	creditMS       = 200
-	demandMS       = 1000
-	keyMS          = 5000
-	housekeepingMS = 5000
-	sealMS         = 1000
+	creditIntervalMS = 200
+	demandIntervalMS = 1000
+	keyIntervalMS    = 5000
+	expiryIntervalMS = 5000
+	sealIntervalMS   = 1000
 )
 
-// pollConfig reads the configuration and the signing keys.
+// pollConfig reads the configuration, and the signing keys while there are none.
+// While the store is unavailable, a daemon without configuration asks its peers.
 func (n *Node) pollConfig(ctx context.Context) {
 	before := n.follower.Generation()
 	if err := n.follower.Refresh(ctx); err != nil && n.follower.Current() == nil {
-		n.fetchFromAnyPeer(ctx)
+		n.fetchConfigFromPeers(ctx)
 	}
 	if len(n.keys.Keys()) == 0 {
 		n.refreshKeys(ctx)
@@ -96,9 +102,10 @@
 	}
 }
 
-// fetchFromAnyPeer starts a daemon while the store is out: it asks every known
-// peer and keeps the highest generation.
-func (n *Node) fetchFromAnyPeer(ctx context.Context) {
+// fetchConfigFromPeers requests the configuration from each live peer and
+// activates the highest generation. It lets a daemon start while the store is
+// unavailable.
+func (n *Node) fetchConfigFromPeers(ctx context.Context) {
 	for _, d := range n.registry.Live() {
 		if d.Incarnation != n.incarnation {
 			n.fetchConfig(ctx, d.PeerAddress)
@@ -106,100 +113,107 @@
 	}
 }
 
+// fetchConfig requests from a peer what its configuration has newer, and
+// activates it.
 func (n *Node) fetchConfig(ctx context.Context, address string) {
-	asked := n.clock.Now()
+	requestedAt := n.clock.Now()
 	before := n.follower.Generation()
-	delta, err := n.peers.Config(ctx, address, peer.ConfigRequest{Site: n.settings.Site, Known: n.follower.Known()})
+	delta, err := n.peerClient.Config(ctx, address, peer.ConfigRequest{Site: n.settings.Site, Known: n.follower.Head()})
 	if err != nil || !n.follower.Install(delta) || n.follower.Generation() == before {
 		return
 	}
-	slog.Info("config.from_peer", "generation", n.follower.Generation(), "took", n.clock.Since(asked))
+	slog.Info("config.from_peer", "generation", n.follower.Generation(), "took", n.clock.Since(requestedAt))
 	n.configChanged()
 }
 
-// configChanged spreads a new generation: whoever learns it tells others at
-// once, so that it reaches all daemons in a few round trips.
+// configChanged runs after a new generation was activated. It triggers a
+// heartbeat: since each daemon does so, a generation reaches all daemons in a few
+// round trips.
 func (n *Node) configChanged() {
 	slog.Info("config.in_force", "generation", n.follower.Generation())
-	for _, ref := range n.exposure.Stopped() {
+	for _, ref := range n.credits.Stopped() {
 		if n.follower.Current().Rollouts[ref].State != "" {
 			continue
 		}
-		n.exposure.Allow(ref)
+		n.credits.Allow(ref)
 	}
-	n.Kick()
+	n.TriggerHeartbeat()
 }
 
+// refreshKeys reads the signing keys from the store. If that fails and the daemon
+// has none yet, it takes those of a peer.
 func (n *Node) refreshKeys(ctx context.Context) {
 	if err := n.keys.Refresh(ctx); err == nil {
 		return
 	}
 	for _, d := range n.registry.Live() {
-		if keys, err := n.peers.Keys(ctx, d.PeerAddress); err == nil && len(keys) > 0 && len(n.keys.Keys()) == 0 {
+		if keys, err := n.peerClient.Keys(ctx, d.PeerAddress); err == nil && len(keys) > 0 && len(n.keys.Keys()) == 0 {
 			n.keys.Install(keys)
 			return
 		}
 	}
 }
 
-// pollList reads the platform's list of instances. A daemon that starts while
-// the platform is out takes the list of a peer.
-func (n *Node) pollList(ctx context.Context) {
+// pollInstances reads the platform's list of instances. While the platform is
+// unavailable, a daemon that has no list yet takes the list of a peer.
+func (n *Node) pollInstances(ctx context.Context) {
 	list, err := n.platform.ListInstances(ctx)
 	if err != nil && len(n.OnInstances()) == 0 {
-		list, err = n.listFromPeers(ctx)
+		list, err = n.instancesFromPeers(ctx)
 	}
 	if err != nil {
 		return
 	}
-	n.listMu.Lock()
-	n.list = list
+	n.instancesMu.Lock()
+	n.instances = list
 	for _, i := range list {
 		if i.Role == backing.RoleEntry {
 			n.seeds[i.Address] = true
 		}
 	}
-	n.listMu.Unlock()
-	n.upstreams.SetList(n.visible(list))
-	if !n.reported.Load() {
-		n.pollReports(ctx)
-		n.reported.Store(true)
-		n.Kick()
+	n.instancesMu.Unlock()
+	n.upstreams.SetList(n.selectUpstreams(list))
+	if !n.upstreamsPolled.Load() {
+		n.pollLoadReports(ctx)
+		n.upstreamsPolled.Store(true)
+		n.TriggerHeartbeat()
 	}
 }
 
-func (n *Node) listFromPeers(ctx context.Context) ([]backing.Instance, error) {
+// instancesFromPeers returns the first list of instances that a peer has.
+func (n *Node) instancesFromPeers(ctx context.Context) ([]backing.Instance, error) {
 	err := trace.ConnectionProblem(nil, "no peer has a list of instances")
 	for _, d := range n.registry.Live() {
 		if d.Incarnation == n.incarnation {
 			continue
 		}
-		if list, callErr := n.peers.Instances(ctx, d.PeerAddress); callErr == nil && len(list) > 0 {
+		if list, callErr := n.peerClient.Instances(ctx, d.PeerAddress); callErr == nil && len(list) > 0 {
 			return list, nil
 		}
 	}
 	return nil, err
 }
 
-// visible bounds the upstreams that this daemon uses: those of its own failure
-// domain first, in the order of rendezvous hashing, so that the subsets of all
-// daemons cover the upstreams evenly.
-func (n *Node) visible(list []backing.Instance) []backing.Instance {
+// selectUpstreams returns the upstreams that this daemon uses, at most
+// Limits.UpstreamsSeen. Those of its own failure domain come first. Within a
+// domain it takes them in the order of rendezvous hashing, so that the subsets of
+// all daemons cover the upstreams evenly.
+func (n *Node) selectUpstreams(list []backing.Instance) []backing.Instance {
 	limit := n.settings.Limits.UpstreamsSeen
 	byID := map[string]backing.Instance{}
-	var near, far []string
+	var local, remote []string
 	for _, i := range list {
 		switch {
 		case i.Role == backing.RoleEntry:
 			continue
 		case i.FailureDomain == n.settings.FailureDomain:
-			near = append(near, i.ID)
+			local = append(local, i.ID)
 		default:
-			far = append(far, i.ID)
+			remote = append(remote, i.ID)
 		}
 		byID[i.ID] = i
 	}
-	ranked := append(member.Rank("see/"+n.incarnation, near), member.Rank("see/"+n.incarnation, far)...)
+	ranked := append(member.Rank("see/"+n.incarnation, local), member.Rank("see/"+n.incarnation, remote)...)
 	var out []backing.Instance
 	for _, id := range ranked[:min(limit, len(ranked))] {
 		out = append(out, byID[id])
@@ -207,29 +221,32 @@
 	return out
 }
 
-// reportBytes is the size of a load report over HTTP, both ways.
-const reportBytes = 430
+// loadReportBytes is the size of a load report over HTTP, request and response
+// together.
+const loadReportBytes = 430
 
-// reportInterval keeps the load reports of all upstreams within the bytes a
-// second allowed for them. The daemon's own work since a report, which the
-// estimate adds, makes up for longer intervals.
-func (n *Node) reportInterval() time.Duration {
-	bytes := float64(len(n.upstreams.All()) * reportBytes)
+// loadReportInterval returns the shortest interval, at least Timing.ReportMS, at
+// which the load reports of all upstreams stay within
+// Limits.ReportBytesPerSecond. A longer interval is acceptable because the load
+// estimate adds the work that this daemon has sent since the report.
+func (n *Node) loadReportInterval() time.Duration {
+	bytes := float64(len(n.upstreams.All()) * loadReportBytes)
 	least := time.Duration(bytes / n.settings.Limits.ReportBytesPerSecond * float64(time.Second))
 	return max(least, settings.MS(n.settings.Timing.ReportMS))
 }
 
-// pollReports asks the upstreams for their load.
-func (n *Node) pollReports(ctx context.Context) {
+// pollLoadReports requests load reports from the upstreams, and counts a failure
+// of each upstream that does not answer.
+func (n *Node) pollLoadReports(ctx context.Context) {
 	var group errgroup.Group
-	group.SetLimit(reportWorkers)
+	group.SetLimit(loadReportWorkers)
 	for _, u := range n.upstreams.All() {
 		group.Go(func() error {
-			asked := n.clock.Now()
-			report, err := n.engines.Load(ctx, u.Instance.Address)
+			requestedAt := n.clock.Now()
+			report, err := n.upstreamClient.Load(ctx, u.Instance.Address)
 			switch {
 			case err == nil:
-				n.upstreams.SetReport(u.Instance.ID, report, asked)
+				n.upstreams.SetReport(u.Instance.ID, report, requestedAt)
 			case ctx.Err() == nil:
 				n.upstreams.Failed(u.Instance.ID)
 			}
@@ -239,22 +256,24 @@
 	_ = group.Wait()
 }
 
-// ratingReaders is how many daemons read the ratings feed; the others get
-// summaries from their peers.
+// ratingReaders is the number of daemons that read the ratings feed. The others
+// get summaries from their peers.
 const ratingReaders = 2
 
-// pollRatings reads the feed, if this daemon is one of its readers, and stops
-// the exposure to versions that the ratings speak against.
+// pollRatings reads the ratings feed if this daemon is one of its readers, and
+// stops new sessions of versions whose ratings are too low.
 func (n *Node) pollRatings(ctx context.Context) {
 	ranked := member.Rank("duty/ratings", member.Incarnations(n.registry.Live()))
 	at := slices.Index(ranked, n.incarnation)
 	if at >= 0 && at < ratingReaders {
-		n.readFeed(ctx)
+		n.readRatings(ctx)
 	}
-	n.judgeRollouts()
+	n.stopRegressedRollouts()
 }
 
-func (n *Node) readFeed(ctx context.Context) {
+// readRatings counts the new ratings of the feed and stores the counts. Before
+// the first rating it restores the stored counts.
+func (n *Node) readRatings(ctx context.Context) {
 	if n.ratings.Seq() == 0 {
 		if err := n.ratings.Restore(ctx, n.platform); err != nil {
 			return
@@ -268,8 +287,9 @@
 	}
 }
 
-// housekeeping drops what is not needed any more.
-func (n *Node) housekeeping(context.Context) {
+// removeExpired removes expired answers, idempotency keys and membership entries
+// from memory.
+func (n *Node) removeExpired(context.Context) {
 	n.answers.Sweep()
 	n.claims.Expire()
 	n.registry.RemoveExpired()
--- a/internal/daemon/module.go
+++ b/internal/daemon/module.go
@@ -27,8 +27,8 @@
 	"github.com/hornbeamsill/hornbeamsill/platform"
 )
 
-// Module provides a Node and runs it between the start and stop of the app.
-// Settings are supplied from outside.
+// Module provides a Node and runs it from the start to the stop of the app. The
+// app supplies the settings.
 var Module = fx.Module("daemon",
 	fx.Provide(
 		clockwork.NewRealClock,
@@ -43,14 +43,15 @@
 	}),
 )
 
-// services are the platform's store and the services beside it.
-type services struct {
+// platformServices implements backing.Platform with the clients of the
+// platform's store and of its other services.
+type platformServices struct {
 	platform.Table
 	*backing.Client
 }
 
 func newPlatform(s settings.Settings) backing.Platform {
-	return services{Table: platform.Table{Store: platform.NewStore(s.Platform)}, Client: backing.NewClient(s.Platform)}
+	return platformServices{Table: platform.Table{Store: platform.NewStore(s.Platform)}, Client: backing.NewClient(s.Platform)}
 }
 
 func newCaller(n *Node) *caller.Server {
@@ -64,7 +65,7 @@
 		Store:      n.answers,
 		Answers: &answerFinder{
 			self: n.incarnation, store: n.answers, registry: n.registry,
-			client: n.peers, engines: n.engines, now: n.clock.Now,
+			peerClient: n.peerClient, upstreamClient: n.upstreamClient, now: n.clock.Now,
 		},
 		Signer:   n.signer,
 		Requests: n.requests,
@@ -82,7 +83,7 @@
 		Keys:            n.keys,
 		Directory:       n,
 		Status:          n.Status,
-		Accepted:        n.Accepted,
+		Accepted:        n.OnConfigAccepted,
 		Token:           n.settings.OperatorToken,
 		SessionLifetime: settings.MS(n.settings.Timing.SessionMS),
 	})
@@ -94,7 +95,7 @@
 	caller   *caller.Server
 	operator *operator.Server
 
-	peers         *peer.Server
+	peerServer    *peer.Server
 	callerHTTP    *http.Server
 	operatorHTTP  *http.Server
 	callerAddress string
@@ -102,10 +103,10 @@
 	loops         sync.WaitGroup
 	stopLoops     context.CancelFunc
 	flushTraces   func(context.Context) error
-	// limit ends the patience of a stop; nil is the context of the stop.
-	limit context.Context
-	// Cut is the number of requests that the stop cut off.
-	Cut int
+	// drainContext bounds Node.Drain; if nil, the context of the stop hook does.
+	drainContext context.Context
+	// CutRequests is the number of requests that the stop cut off.
+	CutRequests int
 }
 
 func newProcess(n *Node, c *caller.Server, o *operator.Server) *Process {
@@ -119,7 +120,7 @@
 func (p *Process) OperatorAddress() string { return p.operatorAddr }
 
 // PeerAddress returns host:port of the listener for peers.
-func (p *Process) PeerAddress() string { return p.peers.Address() }
+func (p *Process) PeerAddress() string { return p.peerServer.Address() }
 
 func (p *Process) start(context.Context) error {
 	gin.SetMode(gin.ReleaseMode)
@@ -132,8 +133,8 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	p.node.peers.SetTLS(tlsClient)
-	if p.peers, err = peer.Listen(s.PeerListen, tlsServer, p.node); err != nil {
+	p.node.peerClient.SetTLS(tlsClient)
+	if p.peerServer, err = peer.Listen(s.PeerListen, tlsServer, p.node); err != nil {
 		return trace.Wrap(err)
 	}
 	callerListener, err := net.Listen("tcp", s.CallerListen)
@@ -146,20 +147,21 @@
 	}
 	p.callerAddress = callerListener.Addr().String()
 	p.operatorAddr = operatorListener.Addr().String()
-	p.announce(s)
+	p.setAddresses(s)
 	p.callerHTTP = serve(callerListener, p.caller.Handler(), s.TLS)
 	p.operatorHTTP = serve(operatorListener, p.operator.Handler(), s.TLS)
 	ctx, cancel := context.WithCancel(context.Background())
 	p.stopLoops = cancel
 	p.loops.Go(func() { p.node.Run(ctx) })
-	p.publish()
+	p.publishMetrics()
 	slog.Info("daemon.started", "incarnation", p.node.incarnation, "site", s.Site, "failure_domain", s.FailureDomain,
-		"caller", p.callerAddress, "operator", p.operatorAddr, "peer", p.peers.Address(), "pid", os.Getpid())
+		"caller", p.callerAddress, "operator", p.operatorAddr, "peer", p.peerServer.Address(), "pid", os.Getpid())
 	return nil
 }
 
-// announce fills in the addresses told to others.
-func (p *Process) announce(s settings.Settings) {
+// setAddresses sets the addresses that peers and callers use, from the settings
+// or else from the listeners.
+func (p *Process) setAddresses(s settings.Settings) {
 	scheme := "http://"
 	if s.TLS.Enabled() {
 		scheme = "https://"
@@ -171,14 +173,16 @@
 	p.node.registry.SetSelf(func(d *member.Daemon) {
 		d.PeerAddress = s.PeerAddress
 		if d.PeerAddress == "" {
-			d.PeerAddress = p.peers.Address()
+			d.PeerAddress = p.peerServer.Address()
 		}
 	})
 }
 
-// headerTimeout bounds how slowly a client may send its headers.
+// headerTimeout bounds the time to read the headers of a request.
 const headerTimeout = 10 * time.Second
 
+// serve serves h on l in a goroutine, with TLS if it is enabled.
+// serve serves h on l in a goroutine, with TLS if it is enabled.
 func serve(l net.Listener, h http.Handler, t settings.TLS) *http.Server {
 	server := &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout}
 	go func() {
@@ -196,11 +200,11 @@
 }
 
 func (p *Process) stop(ctx context.Context) error {
-	patience := p.limit
-	if patience == nil {
-		patience = ctx
+	drainCtx := p.drainContext
+	if drainCtx == nil {
+		drainCtx = ctx
 	}
-	p.Cut = p.node.Drain(patience)
+	p.CutRequests = p.node.Drain(drainCtx)
 	late := context.WithoutCancel(ctx)
 	const closing = 5 * time.Second
 	httpCtx, cancel := context.WithTimeout(late, closing)
@@ -212,22 +216,22 @@
 	p.stopLoops()
 	p.loops.Wait()
 	p.node.baseStop()
-	p.peers.Close()
-	p.node.peers.Close()
-	p.node.engines.Close()
+	p.peerServer.Close()
+	p.node.peerClient.Close()
+	p.node.upstreamClient.Close()
 	err := p.flushTraces(late)
-	slog.Info("daemon.stopped", "incarnation", p.node.incarnation, "cut", p.Cut)
+	slog.Info("daemon.stopped", "incarnation", p.node.incarnation, "cut", p.CutRequests)
 	return trace.Wrap(err)
 }
 
-// publish shows figures in /debug/vars.
-func (p *Process) publish() {
+// publishMetrics adds the daemon's metrics to /debug/vars.
+func (p *Process) publishMetrics() {
 	n := p.node
-	telemetry.Publish("hornbeamsill", func() any { return n.Figures() })
+	telemetry.Publish("hornbeamsill", func() any { return n.Metrics() })
 }
 
-// Figures are the numbers shown in /debug/vars.
-type Figures struct {
+// Metrics are the daemon's values in /debug/vars.
+type Metrics struct {
 	Generation   int64          `json:"config_generation"`
 	ConfirmedMS  int64          `json:"config_confirmed_ms"`
 	Running      int            `json:"requests_running"`
@@ -240,15 +244,15 @@
 	Goroutines   int            `json:"goroutines"`
 }
 
-// Figures returns the numbers shown in /debug/vars.
-func (n *Node) Figures() Figures {
-	return Figures{
+// Metrics returns the current values for /debug/vars.
+func (n *Node) Metrics() Metrics {
+	return Metrics{
 		Generation:   n.follower.Generation(),
 		ConfirmedMS:  n.confirmedMS(),
 		Running:      n.answers.Running(),
 		Waiting:      n.dispatcher.Waiting(),
 		BillsPending: n.ledger.Pending(),
-		BillsHeld:    n.holdings.Len(),
+		BillsHeld:    n.replicas.Len(),
 		Keys:         n.claims.Len(),
 		Daemons:      len(n.registry.Live()),
 		RatingSeq:    n.ratings.Seq(),
--- a/internal/daemon/node.go
+++ b/internal/daemon/node.go
@@ -1,5 +1,6 @@
-// Package daemon puts the parts of hornbeamsilld together: the tables, the
-// loops that feed them, what peers ask of each other, and the planned stop.
+// Package daemon assembles hornbeamsilld. It builds the tables and services of
+// one daemon, runs the loops that update them, handles the requests of peers,
+// and performs the planned stop.
 package daemon
 
 import (
@@ -33,7 +34,8 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/upstream"
 )
 
-// Budgets of the platform shared by all daemons, in calls per second.
+// Limits on the calls of all daemons together to the platform, in calls per
+// second.
 const (
 	headReadsPerSecond   = 200
 	listReadsPerSecond   = 100
@@ -42,13 +44,13 @@
 	keyReadsPerSecond    = 20
 )
 
-// headListsPerSecond, divided by the number of daemons, is how often one of them
-// lists the heads of all logs, whose number grows with the daemons.
+// headListsPerSecond limits how often all daemons together list the heads of
+// all ledger logs. A list gets longer with the number of daemons.
 const headListsPerSecond = 100
 
-// creditAsksPerSecond bounds the questions to the duty holder of a roll-out by
-// all daemons together.
-const creditAsksPerSecond = 200
+// creditRequestsPerSecond limits the credit requests of all daemons together to
+// the daemon that has the duty for a roll-out.
+const creditRequestsPerSecond = 200
 
 // Node is one daemon.
 type Node struct {
@@ -57,71 +59,73 @@
 	incarnation string
 	platform    backing.Platform
 
-	registry   *member.Registry
-	upstreams  *member.Upstreams
-	contact    *contact
-	fresh      *freshness
-	follower   *config.Follower
-	config     *config.Store
-	keys       *session.Keyring
-	signer     *session.Signer
-	answers    *answer.Store
-	claims     *claim.Table
-	resolver   *claim.Resolver
-	ledger     *ledger.Ledger
-	holdings   *ledger.ReplicaStore
-	limits     *limit.OrganisationLimiter
-	allocator  *limit.Allocator
-	ratings    *rating.Counter
-	exposure   *rollout.DaemonCredits
-	controller *rollout.Controller
-	dispatcher *dispatch.Dispatcher
-	engines    *upstream.Client
-	peers      *peer.Client
-	requests   *ident.Requests
+	registry       *member.Registry
+	upstreams      *member.Upstreams
+	reachability   *reachability
+	freshness      *freshness
+	follower       *config.Follower
+	config         *config.Store
+	keys           *session.Keyring
+	signer         *session.Signer
+	answers        *answer.Store
+	claims         *claim.Table
+	resolver       *claim.Resolver
+	ledger         *ledger.Ledger
+	replicas       *ledger.ReplicaStore
+	limits         *limit.OrganisationLimiter
+	allocator      *limit.Allocator
+	ratings        *rating.Counter
+	credits        *rollout.DaemonCredits
+	controller     *rollout.Controller
+	dispatcher     *dispatch.Dispatcher
+	upstreamClient *upstream.Client
+	peerClient     *peer.Client
+	requests       *ident.Requests
 
-	// kick asks for a heartbeat round at once.
-	kick chan struct{}
-	// list is the last list of instances, and seeds the peer addresses in it
-	// and in the settings.
-	listMu sync.Mutex
-	list   []backing.Instance
-	seeds  map[string]bool
-	// callerURL is told to others once this daemon is ready.
+	// heartbeatTrigger starts a heartbeat round without waiting for the interval.
+	heartbeatTrigger chan struct{}
+	// instances is the last list of instances. seeds are the peer addresses from
+	// such lists and from the settings.
+	instancesMu sync.Mutex
+	instances   []backing.Instance
+	seeds       map[string]bool
+	// callerURL is announced to other daemons once this daemon is ready.
 	callerURL string
-	// reported is set once the upstreams have been asked for their load.
-	reported atomic.Bool
-	// misses counts unanswered heartbeats by incarnation.
-	missesMu sync.Mutex
-	misses   map[string]int
+	// upstreamsPolled is set after the first load reports were requested.
+	upstreamsPolled atomic.Bool
+	// missedHeartbeats counts consecutive unanswered heartbeats by incarnation.
+	missedMu         sync.Mutex
+	missedHeartbeats map[string]int
 
-	// claimCursor and changeCursor are where the sweeps of the table go on.
-	// Only the tidy loop uses them.
-	claimCursor, changeCursor string
+	// claimSweepCursor and changeSweepCursor are the keys after which the next
+	// sweeps start. Only archiveAndSweep uses them.
+	claimSweepCursor, changeSweepCursor string
 
-	// synced is when whole tables of daemons were last exchanged.
-	syncedMu sync.Mutex
-	synced   time.Time
+	// lastSync is when this daemon last requested the whole membership table of a
+	// peer.
+	lastSyncMu sync.Mutex
+	lastSync   time.Time
 
-	// leaving is set when a planned stop begins, and refusing when new work
-	// is no longer taken.
+	// leaving is set when a planned stop begins, refusing when the daemon starts
+	// to reject new work.
 	leaving  atomic.Bool
 	refusing atomic.Bool
-	// base outlives connections; it ends when the daemon stops.
+	// base is the context of work that continues after the caller's connection is
+	// closed. It is canceled when the daemon stops.
 	base     context.Context
 	baseStop context.CancelFunc
 }
 
-// NewNode builds a daemon. It does nothing until its loops run.
+// NewNode returns a daemon. It is passive until Run is called.
 func NewNode(s settings.Settings, p backing.Platform, clock clockwork.Clock) *Node {
 	n := &Node{
-		settings:    s,
-		clock:       clock,
-		incarnation: ident.NewIncarnation(),
-		platform:    p,
-		kick:        make(chan struct{}, 1),
-		seeds:       map[string]bool{},
-		misses:      map[string]int{},
+		settings:         s,
+		clock:            clock,
+		incarnation:      ident.NewIncarnation(),
+		platform:         p,
+		heartbeatTrigger: make(chan struct{}, 1),
+		seeds:            map[string]bool{},
+		missedHeartbeats: map[string]int{},
 	}
 	n.base, n.baseStop = context.WithCancel(context.Background())
 	for _, address := range s.Peers {
@@ -132,8 +136,8 @@
 	return n
 }
 
-// seed derives a number for random sources from the incarnation.
-func (n *Node) seed() uint64 {
+// randomSeed returns a hash of the incarnation as seed for random sources.
+func (n *Node) randomSeed() uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(n.incarnation))
 	return h.Sum64()
@@ -147,11 +151,11 @@
 		Site:          s.Site,
 	}, n.clock, member.Options{
 		RingTargets: 2, RandomTargets: 2, MaxUpdates: 16, RetransmitFactor: 3, ForgetAfter: 2 * claim.Lifetime,
-	}, rand.New(rand.NewPCG(n.seed(), 1)))
+	}, rand.New(rand.NewPCG(n.randomSeed(), 1)))
 	n.config = config.NewStore(n.platform, n.clock.Now)
 	n.follower = config.NewFollower(s.Site, n.config, n.clock)
 	n.upstreams = member.NewUpstreams(n.clock, n.upstreamPolicy)
-	n.contact = newContact(n.clock)
+	n.reachability = newReachability(n.clock)
 	n.keys = session.NewKeyring(n.platform, n.clock)
 	n.signer = session.NewSigner(n.keys, n.clock, settings.MS(s.Timing.SessionMS))
 	n.answers = answer.NewStore(n.clock, answer.Limits{
@@ -159,14 +163,15 @@
 		Bytes:     s.Limits.AnswerBytes,
 	})
 	n.claims = claim.NewTable(n.incarnation, n.clock)
-	n.limits = limit.NewOrganisationLimiter(n.clock, n.sharers)
-	n.allocator = limit.NewAllocator(n.clock, n.sharers)
+	n.limits = limit.NewOrganisationLimiter(n.clock, n.siteDaemonCount)
+	n.allocator = limit.NewAllocator(n.clock, n.siteDaemonCount)
 	n.ratings = rating.NewCounter()
-	n.exposure = rollout.NewDaemonCredits(n.clock)
+	n.credits = rollout.NewDaemonCredits(n.clock)
 	n.requests = ident.NewRequests(n.incarnation)
 }
 
-// upstreamPolicy returns the policy in force.
+// upstreamPolicy returns the policy of the active configuration, or the zero
+// policy before there is one.
 func (n *Node) upstreamPolicy() config.UpstreamPolicy {
 	if snapshot := n.follower.Current(); snapshot != nil {
 		return snapshot.Doc.Upstreams
@@ -174,9 +179,10 @@
 	return config.UpstreamPolicy{}
 }
 
-// sharers is the number of daemons of this site that may serve callers, which
-// share its limits: those that are leaving or suspect still do.
-func (n *Node) sharers() int {
+// siteDaemonCount returns the number of daemons of this site among which its
+// limits are divided, at least 1. Leaving and suspect daemons count because
+// they may still serve callers.
+func (n *Node) siteDaemonCount() int {
 	count := 0
 	for _, d := range n.registry.All() {
 		if d.Site == n.settings.Site && d.State != member.Left {
@@ -188,46 +194,46 @@
 
 func (n *Node) buildServices() {
 	t := n.settings.Timing
-	n.engines = upstream.NewClient(time.Second)
-	n.peers = peer.NewClient(nil)
-	n.fresh = &freshness{
-		follower: n.follower,
-		contact:  n.contact,
-		refresh:  n.follower.Refresh,
-		suspects: n.suspects,
-		fresh:    settings.MS(t.FreshMS),
-		refuse:   settings.MS(t.RefuseMS),
+	n.upstreamClient = upstream.NewClient(time.Second)
+	n.peerClient = peer.NewClient(nil)
+	n.freshness = &freshness{
+		follower:     n.follower,
+		reachability: n.reachability,
+		refresh:      n.follower.Refresh,
+		anySuspect:   n.anySuspect,
+		maxAge:       settings.MS(t.FreshMS),
+		refuseAge:    settings.MS(t.RefuseMS),
 	}
 	n.resolver = claim.NewResolver(n.incarnation, n.claims, n.platform,
-		&asker{self: n.incarnation, registry: n.registry, client: n.peers, claims: n.claims}, n.clock)
-	n.ledger = ledger.New(n.incarnation, n.platform, newReplicator(n.registry, n.peers), n.clock, ledger.Options{
+		&keyTaker{self: n.incarnation, registry: n.registry, client: n.peerClient, claims: n.claims}, n.clock)
+	n.ledger = ledger.New(n.incarnation, n.platform, newReplicator(n.registry, n.peerClient), n.clock, ledger.Options{
 		CommitInterval: func() time.Duration {
 			return backing.Interval(len(n.registry.Live()), commitsPerSecond, settings.MS(t.CommitMS))
 		},
 		MaxPending:         n.settings.Limits.MaxPendingBills,
 		ReplicationTimeout: settings.MS(t.HoldMS),
 	})
-	n.holdings = ledger.NewReplicaStore(n.incarnation, n.platform, n.engines, n.clock)
+	n.replicas = ledger.NewReplicaStore(n.incarnation, n.platform, n.upstreamClient, n.clock)
 	n.dispatcher = dispatch.New(dispatch.Deps{
 		Site:          n.settings.Site,
 		FailureDomain: n.settings.FailureDomain,
 		Clock:         n.clock,
-		Fresh:         n.fresh,
+		Fresh:         n.freshness,
 		Upstreams:     n.upstreams,
-		Engines:       n.engines,
-		Services:      n.engines,
+		Engines:       n.upstreamClient,
+		Services:      n.upstreamClient,
 		Billing:       n.ledger,
 		Judge:         n.platform,
 		Signer:        n.signer,
 		Ratings:       n.ratings,
-		Exposure:      n.exposure,
+		Exposure:      n.credits,
 		Policy:        n.upstreamPolicy,
-		Seed:          n.seed(),
+		Seed:          n.randomSeed(),
 		AbandonGrace:  settings.MS(t.AbandonMS),
 	})
 	n.controller = rollout.NewController(rollout.Deps{
 		Writer:   n.config,
-		Orders:   n.engines,
+		Orders:   n.upstreamClient,
 		Clock:    n.clock,
 		Snapshot: n.follower.Current,
 		Evidence: n.evidence,
@@ -240,7 +246,9 @@
 	})
 }
 
-func (n *Node) suspects() bool {
+// anySuspect reports whether any daemon is suspect.
+// anySuspect reports whether any daemon is suspect.
+func (n *Node) anySuspect() bool {
 	for _, d := range n.registry.All() {
 		if d.State == member.Suspect {
 			return true
@@ -249,7 +257,8 @@
 	return false
 }
 
-// evidence returns the ratings of a version, by kind.
+// evidence returns the rating counts of a version for each kind that has a
+// quality target.
 func (n *Node) evidence(snapshot *config.Snapshot, ref config.VersionRef) []rollout.Evidence {
 	var out []rollout.Evidence
 	for kind, count := range n.ratings.ByKind(ref) {
@@ -261,7 +270,7 @@
 	return out
 }
 
-// engineList returns the engines for the roll-out duty.
+// engineList returns the usable engines with the versions that each one serves.
 func (n *Node) engineList() []rollout.Engine {
 	var out []rollout.Engine
 	for _, u := range n.upstreams.Usable(backing.RoleEngine) {
@@ -274,20 +283,22 @@
 	return out
 }
 
-// Kick asks for a heartbeat round at once.
-func (n *Node) Kick() {
+// TriggerHeartbeat starts a heartbeat round without waiting for the interval.
+// It does not block; triggers that are pending at the same time start one round.
+func (n *Node) TriggerHeartbeat() {
 	select {
-	case n.kick <- struct{}{}:
+	case n.heartbeatTrigger <- struct{}{}:
 	default:
 	}
 }
 
-// Accepted brings an accepted change into force here and tells the peers.
-func (n *Node) Accepted(ctx context.Context) {
+// OnConfigAccepted activates an accepted change at this daemon and triggers a
+// heartbeat, by which the peers learn the new generation.
+func (n *Node) OnConfigAccepted(ctx context.Context) {
 	if err := n.follower.Refresh(ctx); err != nil {
 		slog.Warn("config.refresh_failed", "error", err)
 	}
-	n.Kick()
+	n.TriggerHeartbeat()
 }
 
 // Entries implements caller.Directory.
@@ -308,8 +319,8 @@
 			KeyPrefix:     claim.Prefix(d.Incarnation, now),
 		})
 	}
-	// At a large site each answer names a few daemons, drawn anew, so that
-	// callers spread over all of them.
+	// At a large site each answer has a new random sample of the daemons, so that
+	// callers are distributed over all of them.
 	if most := n.settings.Limits.EntriesListed; len(out) > most {
 		rand.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
 		out = out[:most]
@@ -326,26 +337,27 @@
 		return fault.New(fault.NotReady, "no configuration yet")
 	case len(n.keys.Keys()) == 0:
 		return fault.New(fault.NotReady, "no signing key yet")
-	case !n.reported.Load():
-		// Offered to callers before it knows any upstream, a daemon would
-		// refuse its first requests.
+	case !n.upstreamsPolled.Load():
+		// A daemon that is listed in discovery before it knows any upstream
+		// rejects its first requests.
 		return fault.New(fault.NotReady, "no upstream is known yet")
 	}
 	return nil
 }
 
-// offer lets others name this daemon to callers once it is ready.
+// advertise sets the caller URL in this daemon's membership entry once it is
+// ready. Daemons list only peers with a caller URL in discovery.
 //
-// Others know a daemon as soon as it sends heartbeats. If they offered it to
-// callers at once, its first requests would be refused, since it knows no
-// upstream yet; callers would see errors at every planned restart.
-func (n *Node) offer() {
+// Peers know a daemon from its first heartbeat, before it knows any upstream.
+// If they listed it in discovery at that time, it would reject its first
+// requests, and callers would see errors at each planned restart.
+func (n *Node) advertise() {
 	if n.registry.Self().CallerURL != "" || n.Ready() != nil {
 		return
 	}
 	n.registry.SetSelf(func(d *member.Daemon) {
 		d.CallerURL = n.callerURL
-		// A higher version makes the news replace what others know.
+		// Peers replace their entry only with one of a higher version.
 		d.Version++
 	})
 }
--- a/internal/daemon/replicate.go
+++ b/internal/daemon/replicate.go
@@ -12,37 +12,40 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/peer"
 )
 
-// copiesWanted is how many peers hold each uncommitted bill.
-const copiesWanted = 2
+// replicasPerBill is the number of peers that hold a replica of each uncommitted
+// bill.
+const replicasPerBill = 2
 
-// replicator copies bills to peers, in other failure domains if there are any.
+// replicator replicates bills to peers, preferably in other failure domains. It
+// implements ledger.Replicator.
 type replicator struct {
 	registry *member.Registry
 	client   *peer.Client
 
 	mu sync.Mutex
-	// past are the peers that were sent copies, so that a release reaches
-	// earlier holders, too.
-	past map[string]bool
-	// seen is the set of holders of the last call, and epoch its number.
-	seen  []string
-	epoch uint64
-	// ranked are the holders in order as of the registry's epoch rankedAt. To
-	// rank all daemons for each bill would cost more than the bill.
-	ranked   []member.Daemon
-	rankedAt uint64
+	// sentTo has the addresses of all peers that were sent replicas. Release also
+	// has to reach peers that are not among the first holders any more.
+	sentTo map[string]bool
+	// epochHolders are the first holders at the last call of Epoch, and epoch is
+	// the number that it returned.
+	epochHolders []string
+	epoch        uint64
+	// ranked caches the result of rank for the registry's epoch rankedEpoch.
+	// Ranking all daemons costs more than the rest of the work for a bill.
+	ranked      []member.Daemon
+	rankedEpoch uint64
 }
 
 func newReplicator(registry *member.Registry, client *peer.Client) *replicator {
-	return &replicator{registry: registry, client: client, past: map[string]bool{}}
+	return &replicator{registry: registry, client: client, sentTo: map[string]bool{}}
 }
 
-// holders returns the live daemons in the order in which they hold this
-// daemon's bills: other failure domains first.
+// holders returns the other live daemons in the order in which they are asked to
+// hold replicas of this daemon's bills. Other failure domains come first.
 func (r *replicator) holders() []member.Daemon {
 	epoch := r.registry.Epoch()
 	r.mu.Lock()
-	ranked, current := r.ranked, r.rankedAt == epoch
+	ranked, current := r.ranked, r.rankedEpoch == epoch
 	r.mu.Unlock()
 	if current {
 		return ranked
@@ -50,26 +53,28 @@
 	ranked = r.rank()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ranked, r.rankedAt = ranked, epoch
+	r.ranked, r.rankedEpoch = ranked, epoch
 	return ranked
 }
 
+// rank computes the result of holders, by rendezvous hashing within the other
+// failure domains and then within the own one.
 func (r *replicator) rank() []member.Daemon {
 	self := r.registry.Self()
 	byID := map[string]member.Daemon{}
-	var far, near []string
+	var remote, local []string
 	for _, d := range r.registry.Live() {
 		switch {
 		case d.Incarnation == self.Incarnation:
 			continue
 		case d.FailureDomain != self.FailureDomain:
-			far = append(far, d.Incarnation)
+			remote = append(remote, d.Incarnation)
 		default:
-			near = append(near, d.Incarnation)
+			local = append(local, d.Incarnation)
 		}
 		byID[d.Incarnation] = d
 	}
-	ranked := append(member.Rank("hold/"+self.Incarnation, far), member.Rank("hold/"+self.Incarnation, near)...)
+	ranked := append(member.Rank("hold/"+self.Incarnation, remote), member.Rank("hold/"+self.Incarnation, local)...)
 	out := make([]member.Daemon, len(ranked))
 	for i, id := range ranked {
 		out[i] = byID[id]
@@ -77,26 +82,26 @@
 	return out
 }
 
-// Hold implements ledger.Replicator. It asks the first holders at once and the
-// next ones where a holder does not answer.
+// Replicate implements ledger.Replicator. It sends the bills to the first holders
+// concurrently, and to the next holder whenever one fails.
 func (r *replicator) Replicate(ctx context.Context, owner string, after int64, bills []ledger.Bill) error {
 	holders := r.holders()
 	if len(holders) == 0 {
 		return trace.NotFound("no peer to hold bills")
 	}
-	wanted := min(copiesWanted, len(holders))
+	wanted := min(replicasPerBill, len(holders))
 	request := peer.HoldRequest{Owner: owner, After: after, Bills: bills}
-	answers := make(chan error, len(holders))
-	ask := func(d member.Daemon) {
-		r.notePast(d.PeerAddress)
-		answers <- r.client.HoldBills(ctx, d.PeerAddress, request)
+	results := make(chan error, len(holders))
+	send := func(d member.Daemon) {
+		r.recordSent(d.PeerAddress)
+		results <- r.client.HoldBills(ctx, d.PeerAddress, request)
 	}
 	for _, d := range holders[:wanted] {
-		go ask(d)
+		go send(d)
 	}
 	next, acks, open := wanted, 0, wanted
 	for open > 0 {
-		err := <-answers
+		err := <-results
 		open--
 		if err == nil {
 			if acks++; acks == wanted {
@@ -105,7 +110,7 @@
 			continue
 		}
 		if next < len(holders) && ctx.Err() == nil {
-			go ask(holders[next])
+			go send(holders[next])
 			next++
 			open++
 		}
@@ -113,29 +118,30 @@
 	return trace.ConnectionProblem(ctx.Err(), "%d of %d peers hold the bills", acks, wanted)
 }
 
-func (r *replicator) notePast(address string) {
+// recordSent adds an address to sentTo.
+func (r *replicator) recordSent(address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.past[address] = true
+	r.sentTo[address] = true
 }
 
-// Release implements ledger.Replicator. A peer that misses it keeps copies
-// until it finds the bills committed.
+// Release implements ledger.Replicator. A peer that does not get it keeps its
+// replicas until it finds the bills committed.
 func (r *replicator) Release(ctx context.Context, owner string, ids []string) {
 	r.mu.Lock()
-	addresses := make([]string, 0, len(r.past))
-	for a := range r.past {
+	addresses := make([]string, 0, len(r.sentTo))
+	for a := range r.sentTo {
 		addresses = append(addresses, a)
 	}
 	r.mu.Unlock()
-	live := r.registry.All()
+	daemons := r.registry.All()
 	for _, address := range addresses {
-		known := slices.ContainsFunc(live, func(d member.Daemon) bool {
+		known := slices.ContainsFunc(daemons, func(d member.Daemon) bool {
 			return d.PeerAddress == address && d.State != member.Left
 		})
 		if !known {
 			r.mu.Lock()
-			delete(r.past, address)
+			delete(r.sentTo, address)
 			r.mu.Unlock()
 			continue
 		}
@@ -145,14 +151,15 @@
 	}
 }
 
-// Epoch implements ledger.Replicator: it changes with the first holders.
+// Epoch implements ledger.Replicator. The number changes when the first
+// replicasPerBill holders change.
 func (r *replicator) Epoch() uint64 {
 	holders := r.holders()
-	ids := member.Incarnations(holders[:min(copiesWanted, len(holders))])
+	ids := member.Incarnations(holders[:min(replicasPerBill, len(holders))])
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !slices.Equal(ids, r.seen) {
-		r.seen = ids
+	if !slices.Equal(ids, r.epochHolders) {
+		r.epochHolders = ids
 		r.epoch++
 	}
 	return r.epoch
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -6,16 +6,17 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/operator"
 )
 
-// confirmedMS is the age of the last confirmation; -1 is never.
+// confirmedMS returns the milliseconds since the configuration was last confirmed
+// as the newest, or -1 if it never was.
 func (n *Node) confirmedMS() int64 {
-	age := n.follower.Age()
+	age := n.follower.SinceConfirmed()
 	if age > 365*24*time.Hour {
 		return -1
 	}
 	return age.Milliseconds()
 }
 
-// Status describes the daemon for operators.
+// Status returns the state of this daemon for the operators' API.
 func (n *Node) Status() operator.Status {
 	out := operator.Status{
 		Incarnation:     n.incarnation,
@@ -29,10 +30,10 @@
 		Running:         n.answers.Running(),
 		Waiting:         n.dispatcher.Waiting(),
 		BillsPending:    n.ledger.Pending(),
-		BillsHeld:       n.holdings.Len(),
+		BillsHeld:       n.replicas.Len(),
 		Daemons:         []operator.DaemonStatus{},
 		Upstreams:       []operator.UpstreamStatus{},
-		StoppedVersions: n.exposure.Stopped(),
+		StoppedVersions: n.credits.Stopped(),
 	}
 	for _, d := range n.registry.All() {
 		out.Daemons = append(out.Daemons, operator.DaemonStatus{
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -12,69 +12,72 @@
 )
 
 const (
-	// stopPoll is how often a stop looks whether it can go on.
-	stopPoll = 20 * time.Millisecond
-	// handoverBytes bounds the answers handed to a successor.
+	// drainPollInterval is the time between two checks of a condition that Drain
+	// waits for.
+	drainPollInterval = 20 * time.Millisecond
+	// handoverBytes bounds the size of the answers sent to a successor.
 	handoverBytes = 16 << 20
-	// handoverTimeout bounds one try to hand over.
+	// handoverTimeout bounds one handover request.
 	handoverTimeout = 5 * time.Second
 )
 
-// Drain takes the daemon out of service without cutting off a request. It
-// returns the number of requests that were cut because ctx ended first.
+// Drain takes the daemon out of service and waits for its running requests. It
+// returns the number of requests that it cut off because ctx ended first.
 //
-// Callers keep a discovery answer for a while and go on connecting here. If
-// the daemon refused them as soon as it was told to stop, each planned restart
-// would show as a burst of errors. So it first leaves discovery, serves what
-// still arrives until every answer that names it has lapsed, and only then
-// takes no new work.
+// Callers cache a discovery answer for its TTL and continue to connect to this
+// daemon. If it rejected them from the beginning of the stop, each planned
+// restart would cause a burst of errors. So it first leaves discovery, then
+// serves new requests until all discovery answers that name it have expired, and
+// only then rejects new requests.
 func (n *Node) Drain(ctx context.Context) int {
 	slog.Info("stop.begun", "running", n.answers.Running())
 	n.leaving.Store(true)
 	n.registry.SetSelf(func(d *member.Daemon) { d.State = member.Leaving })
-	n.Kick()
+	n.TriggerHeartbeat()
 	if len(n.registry.Live()) > 0 {
-		n.wait(ctx, settings.MS(n.settings.Timing.EntriesTTLMS))
+		n.sleep(ctx, settings.MS(n.settings.Timing.EntriesTTLMS))
 	}
 	n.refusing.Store(true)
 	n.waitUntil(ctx, func() bool { return n.answers.Running() == 0 })
 	cut := n.answers.FailRunning(fault.New(fault.Stopping, "the daemon stopped before the answer was complete").WithRan(fault.RanUnknown))
 	n.controller.ReleaseAll(context.WithoutCancel(ctx))
-	n.returnShares(context.WithoutCancel(ctx))
-	n.settleBills(ctx)
+	n.releaseShares(context.WithoutCancel(ctx))
+	n.commitBills(ctx)
 	n.handOver(ctx)
 	slog.Info("stop.drained", "cut", cut, "bills_left", n.ledger.Pending())
 	return cut
 }
 
-func (n *Node) wait(ctx context.Context, d time.Duration) {
+// sleep waits for d, or until ctx ends.
+func (n *Node) sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-n.clock.After(d):
 	case <-ctx.Done():
 	}
 }
 
+// waitUntil polls done until it returns true or ctx ends.
 func (n *Node) waitUntil(ctx context.Context, done func() bool) {
 	for !done() && ctx.Err() == nil {
-		n.wait(ctx, stopPoll)
+		n.sleep(ctx, drainPollInterval)
 	}
 }
 
-// returnShares gives the shares of limits back, so that the daemon's successors
-// need not wait until they lapse.
-func (n *Node) returnShares(ctx context.Context) {
+// releaseShares releases this daemon's shares of the organisations' limits, so
+// that other daemons can get them before they expire.
+func (n *Node) releaseShares(ctx context.Context) {
 	for _, d := range n.registry.Live() {
 		if d.Site == n.settings.Site {
-			_, _ = n.peers.ReportDemand(ctx, d.PeerAddress, peer.DemandRequest{From: n.incarnation, Leaving: true})
+			_, _ = n.peerClient.ReportDemand(ctx, d.PeerAddress, peer.DemandRequest{From: n.incarnation, Leaving: true})
 		}
 	}
 }
 
-// settleBills commits what is left. Bills that cannot be committed because the
-// store is out stay with the peers that hold copies, who close them.
-func (n *Node) settleBills(ctx context.Context) {
-	const patience = 5 * time.Second
-	ctx, cancel := context.WithTimeout(ctx, patience)
+// commitBills commits the pending bills. Bills that cannot be committed because
+// the store is unavailable are closed by the peers that hold replicas of them.
+func (n *Node) commitBills(ctx context.Context) {
+	const commitTimeout = 5 * time.Second
+	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	n.waitUntil(ctx, func() bool {
 		if n.ledger.Pending() == 0 {
@@ -84,9 +87,9 @@
 	})
 }
 
-// handOver gives idempotency keys and kept answers to a successor and says so
-// to everybody. Without it, repeats of keys of this daemon would be answered
-// "unknown" for as long as their life.
+// handOver sends the idempotency keys and kept answers to a successor, and
+// announces the successor to the peers. Without it, requests that repeat a key of
+// this daemon would get the outcome "unknown" for the lifetime of the key.
 func (n *Node) handOver(ctx context.Context) {
 	homes, entries := n.claims.Export()
 	request := peer.HandoverRequest{Homes: homes, Entries: entries, Answers: n.answers.Export(handoverBytes)}
@@ -94,7 +97,7 @@
 	for _, id := range member.Rank("successor/"+n.incarnation, member.Incarnations(n.registry.Live())) {
 		d, _ := n.registry.Get(id)
 		call, cancel := context.WithTimeout(context.WithoutCancel(ctx), handoverTimeout)
-		err := n.peers.Handover(call, d.PeerAddress, request)
+		err := n.peerClient.Handover(call, d.PeerAddress, request)
 		cancel()
 		if err == nil {
 			successor = id
--- a/internal/daemon/tls.go
+++ b/internal/daemon/tls.go
@@ -10,9 +10,9 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/settings"
 )
 
-// loadTLS returns the configurations of the peer listener and of calls to
-// peers. Both sides show a certificate of the CA, since peers exchange signing
-// keys and bills. Both are nil when TLS is off.
+// loadTLS returns the TLS configurations of the peer listener and of calls to
+// peers. Both sides must present a certificate of the CA, because peers exchange
+// signing keys and bills. Both results are nil if TLS is not enabled.
 func loadTLS(s settings.TLS) (server, client *tls.Config, err error) {
 	if !s.Enabled() {
 		return nil, nil, nil
--- a/internal/daemon/tls_test.go
+++ b/internal/daemon/tls_test.go
@@ -24,14 +24,14 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/settings"
 )
 
-// authority makes certificates for 127.0.0.1.
-type authority struct {
+// testCA is a certificate authority that issues certificates for 127.0.0.1.
+type testCA struct {
 	t    *testing.T
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-func newAuthority(t *testing.T) *authority {
+func newTestCA(t *testing.T) *testCA {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(t, err)
@@ -43,11 +43,12 @@
 	require.NoError(t, err)
 	cert, err := x509.ParseCertificate(der)
 	require.NoError(t, err)
-	return &authority{t: t, cert: cert, key: key}
+	return &testCA{t: t, cert: cert, key: key}
 }
 
-// settings writes a certificate of this authority, to be trusted with ca.
-func (a *authority) settings(ca *authority) settings.TLS {
+// settings writes a new certificate of this CA to files, and returns TLS settings
+// with it that trust certificates of ca.
+func (a *testCA) settings(ca *testCA) settings.TLS {
 	a.t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(a.t, err)
@@ -73,11 +74,11 @@
 	}
 }
 
-// Somebody on the network asks a daemon for its signing keys, without a
-// certificate or with one of another authority. Only daemons with a
-// certificate of the operators' authority are answered.
-func TestOnlyPeersOfTheAuthorityAreAnswered(t *testing.T) {
-	ours, theirs := newAuthority(t), newAuthority(t)
+// Guards against a host on the network that gets signing keys from a daemon
+// without a certificate, or with a certificate of another CA. The peer listener
+// answers only clients with a certificate of the configured CA.
+func TestPeerListenerRequiresCertificateOfCA(t *testing.T) {
+	ours, theirs := newTestCA(t), newTestCA(t)
 	server, own, err := loadTLS(ours.settings(ours))
 	require.NoError(t, err)
 	_, foreign, err := loadTLS(theirs.settings(ours))
