--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -7,11 +7,11 @@
 	"strings"
 )
 
-// digestPrefix starts each API key digest; 64 hex digits follow.
+// digestPrefix is the prefix of an API key digest. 64 hex digits follow it.
 const digestPrefix = "sha256:"
 
-// Check looks for faults in the merged document of a site. text is the
-// document under change, in which lines are looked up.
+// Check returns the problems of the merged document of a site. text is the
+// changed document; line numbers refer to it.
 func Check(doc Document, text []byte) []Problem {
 	c := &checker{doc: doc, text: text}
 	c.organisations()
@@ -22,6 +22,7 @@
 	return c.problems
 }
 
+// checker collects the problems of a document.
 type checker struct {
 	doc      Document
 	text     []byte
@@ -158,8 +159,9 @@
 	c.require(r.FalseAcceptance >= 0 && r.FalseAcceptance < 0.5, "/rollouts/false_acceptance", "must be below 0.5")
 }
 
-// CheckOverlay looks for faults of an overlay against its base: it may narrow
-// what a version may do, never widen it.
+// CheckOverlay returns the problems of an overlay with regard to its base. An
+// overlay must not add versions, and may only make the state of a version more
+// restrictive.
 func CheckOverlay(base, merged Document, text []byte) []Problem {
 	c := &checker{doc: merged, text: text}
 	for _, name := range slices.Sorted(maps.Keys(merged.Models)) {
@@ -178,7 +180,7 @@
 	return c.problems
 }
 
-// restrictiveness orders states by how little they allow.
+// restrictiveness returns a number that is higher for states that allow less work.
 func restrictiveness(s VersionState) int {
 	switch s {
 	case Serving:
@@ -192,7 +194,7 @@
 	}
 }
 
-// escapePointer makes name a JSON pointer segment.
+// escapePointer escapes name as a segment of a JSON pointer.
 func escapePointer(name string) string {
 	return strings.NewReplacer("~", "~0", "/", "~1").Replace(name)
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -23,6 +23,8 @@
 	return string(text)
 }
 
+// Guards against example documents that the checks reject, and against a merge that
+// loses fields of the base which the overlay does not set.
 func TestExampleDocumentsAreValid(t *testing.T) {
 	base := []byte(example(t, "base.jsonc"))
 	for _, site := range []string{"gothenburg", "tbilisi"} {
@@ -39,8 +41,8 @@
 	require.False(t, s.Allows("franchise-batumi", VersionRef{"mail-small", "2"}))
 }
 
-// A withdrawn version stays withdrawn, whether the document or the live row
-// says so.
+// Guards against new sessions for a withdrawn version when only one of the document
+// and the Rollout row has the state Withdrawn.
 func TestWithdrawnStateOverridesOthers(t *testing.T) {
 	a, b := VersionRef{"m", "1"}, VersionRef{"m", "2"}
 	doc := Document{Models: map[string]Model{"m": {Versions: map[string]Version{"1": {State: Withdrawn}, "2": {State: Serving}}}}}
@@ -52,9 +54,9 @@
 	}
 }
 
-// The answer to an accepted change is lost and its id cannot be read. The
-// operator is told that the outcome is unknown, never that it failed; asking
-// again gives the truth, and the change does not take effect later.
+// Guards against reporting a change as failed when its outcome is unknown, and
+// against applying it twice. The commit or its response is lost, and the change row
+// cannot be read afterwards. Repeating the request returns the actual outcome.
 func TestChangeWithUnknownOutcome(t *testing.T) {
 	for _, action := range []backing.FaultAction{backing.FaultLoseAnswer, backing.FaultLoseRequest} {
 		memory := backing.NewMemory()
@@ -84,8 +86,8 @@
 	}
 }
 
-// The write is still on its way when the operator is told that it was not
-// accepted. It must not take effect afterwards.
+// Guards against a change that takes effect after it was reported as not accepted,
+// because its commit was delayed and reaches the store after the report.
 func TestDelayedWriteDoesNotTakeEffectLater(t *testing.T) {
 	memory := backing.NewMemory()
 	store := NewStore(memory, time.Now)
@@ -107,8 +109,8 @@
 	require.Zero(t, head.Generation)
 }
 
-// A follower reads while changes are made; rows of different generations must
-// not be mixed, and nothing older than what is in force is installed.
+// Guards against a follower that installs rows of different generations, which were
+// read during changes, or a delta that is older than the active generation.
 func TestFollowerNeverMixesGenerationsOrGoesBack(t *testing.T) {
 	memory := backing.NewMemory()
 	store := NewStore(memory, time.Now)
@@ -140,8 +142,9 @@
 	}
 }
 
-// A daemon is paused. Its confirmation ages meanwhile, so that it asks before
-// it dispatches again.
+// Guards against a daemon that dispatches after a pause without reading the store,
+// because it takes its last confirmation as recent. A confirmation counts from the
+// time of its request, and does not apply to other generations.
 func TestConfirmationAgesFromRequestTime(t *testing.T) {
 	memory := backing.NewMemory()
 	store := NewStore(memory, time.Now)
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -1,6 +1,7 @@
-// Package config holds the co-operative's configuration: the base document
-// shared by all sites, the overlay of each site, their checks, and the
-// generations in which changes come into force.
+// Package config stores, checks and distributes the co-operative's
+// configuration. It consists of a base document for all sites, one overlay
+// document per site, and the states of roll-outs. Each accepted change creates a
+// new generation of the whole configuration.
 package config
 
 import (
@@ -30,12 +31,13 @@
 	Limits   Limits   `json:"limits,omitzero"`
 }
 
-// Limits bound an organisation over all daemons of a site. Zero is no limit.
+// Limits bound the requests of an organisation at all daemons of a site
+// together. Zero means no limit.
 type Limits struct {
 	RequestsPerSecond float64 `json:"requests_per_second,omitempty"`
-	// InFlight bounds requests that are admitted and not finished.
+	// InFlight bounds the number of admitted requests that have not ended.
 	InFlight int `json:"in_flight,omitempty"`
-	// TokensInFlight bounds the tokens those requests may generate.
+	// TokensInFlight bounds the tokens that those requests together may generate.
 	TokensInFlight int `json:"tokens_in_flight,omitempty"`
 }
 
@@ -44,12 +46,12 @@
 	Versions map[string]Version `json:"versions"`
 }
 
-// VersionState is where a version stands in its life.
+// VersionState is the life cycle state of a version.
 type VersionState string
 
-// States of versions, in the order of their lives. A rolling-out version
-// takes a share of new sessions, a draining one only its own sessions, and a
-// withdrawn one no work at all.
+// States of versions, in the order of the life cycle. A rolling-out version
+// gets a share of the new sessions, a serving version all of them, a draining
+// version only requests of its existing sessions, and a withdrawn version none.
 const (
 	RollingOut VersionState = "rolling-out"
 	Serving    VersionState = "serving"
@@ -64,31 +66,31 @@
 	// token.
 	InputPrice  int64 `json:"input_price"`
 	OutputPrice int64 `json:"output_price"`
-	// Prior is what is believed of the quality before any rating, by kind;
-	// "default" serves the kinds not named.
+	// Prior has the prior distribution of the quality by kind. The key "default"
+	// is for kinds that have no entry.
 	Prior map[string]Prior `json:"prior,omitempty"`
 }
 
-// Prior is a belief about the chance that an answer is good.
+// Prior is the prior distribution of the probability that an answer is good.
 type Prior struct {
-	// Mean is the expected chance, between 0 and 1.
+	// Mean is the expected probability, between 0 and 1.
 	Mean float64 `json:"mean"`
-	// Weight is the number of ratings the belief is worth.
+	// Weight is the number of ratings that have the same weight as the prior.
 	Weight float64 `json:"weight"`
 }
 
-// Priority orders kinds of work.
+// Priority is the scheduling priority of a kind of request or of a service.
 type Priority string
 
-// Priorities, most urgent first.
+// Priorities, from the highest to the lowest.
 const (
 	PriorityInteractive Priority = "interactive"
 	PriorityNormal      Priority = "normal"
 	PriorityBatch       Priority = "batch"
 )
 
-// Level returns the number that engines and queues sort by; larger is more
-// urgent.
+// Level returns the priority as a number for engines and queues. Larger numbers
+// are served first.
 func (p Priority) Level() int {
 	switch p {
 	case PriorityInteractive:
@@ -102,90 +104,100 @@
 
 // Kind is a kind of request.
 type Kind struct {
-	// QualityTarget is the share of answers that must be good.
+	// QualityTarget is the required fraction of good answers, between 0 and 1.
 	QualityTarget float64 `json:"quality_target"`
-	// Idempotent work may be run again after an unknown outcome.
+	// Idempotent allows a request to be run again after an unknown outcome.
 	Idempotent bool `json:"idempotent"`
-	// KeyRequired refuses requests without an Idempotency-Key.
+	// KeyRequired rejects requests without an Idempotency-Key header.
 	KeyRequired bool     `json:"key_required,omitempty"`
 	Priority    Priority `json:"priority,omitempty"`
-	// DeadlineMS is used when the caller names no deadline, in milliseconds.
+	// DeadlineMS is the deadline in milliseconds of requests that set none.
 	DeadlineMS int64 `json:"deadline_ms"`
-	// FirstTokenMS is the wanted time to the first token, in milliseconds; 0
-	// is none. Slower candidates are left out while a faster one qualifies.
+	// FirstTokenMS is the target for the time to the first token, in
+	// milliseconds; 0 means no target. Candidates that miss it are excluded
+	// as long as another qualified candidate meets it.
 	FirstTokenMS int64 `json:"first_token_ms,omitempty"`
-	// Cascade allows trying a cheap model first and having its answer judged.
+	// Cascade allows a cheap model to be tried first. A judge service then decides
+	// whether its answer is accepted.
 	Cascade bool `json:"cascade,omitempty"`
-	// ExpectedTokens is the usual length of an answer, for cost estimates.
+	// ExpectedTokens is the typical number of tokens of an answer, for cost
+	// estimates.
 	ExpectedTokens int `json:"expected_tokens,omitempty"`
-	// Models restricts the kind to these models; empty is no restriction.
+	// Models lists the models that may serve the kind; empty means all.
 	Models []string `json:"models,omitempty"`
 }
 
 // Deadline returns the default deadline.
 func (k Kind) Deadline() time.Duration { return time.Duration(k.DeadlineMS) * time.Millisecond }
 
-// Service is a plain service beside the model engines.
+// Service is a plain HTTP service, as opposed to a model engine.
 type Service struct {
-	// RepeatableMethods may be sent again after an unknown outcome.
+	// RepeatableMethods lists the HTTP methods whose requests may be sent again
+	// after an unknown outcome.
 	RepeatableMethods []string `json:"repeatable_methods,omitempty"`
-	// DeadlineMS bounds a call, in milliseconds.
+	// DeadlineMS bounds the duration of a call, in milliseconds.
 	DeadlineMS int64    `json:"deadline_ms"`
 	Priority   Priority `json:"priority,omitempty"`
 	// Price is charged per call, in millionths of the currency unit.
 	Price int64 `json:"price,omitempty"`
 }
 
-// UpstreamPolicy bounds how upstreams are chosen, ejected and retried.
+// UpstreamPolicy configures the choice, ejection and retries of upstreams.
 type UpstreamPolicy struct {
-	// EjectAfter is the number of failures in a row that ejects an upstream.
-	// Default 3.
+	// EjectAfter is the number of consecutive failures after which an upstream is
+	// ejected. Default 3.
 	EjectAfter int `json:"eject_after,omitempty"`
-	// EjectMS is the first time out, in milliseconds; it doubles. Default 2000.
+	// EjectMS is the duration of the first ejection, in milliseconds. Each further
+	// ejection lasts twice as long. Default 2000.
 	EjectMS int64 `json:"eject_ms,omitempty"`
-	// MaxEjectedShare caps the share of upstreams that are out. Default 0.5.
+	// MaxEjectedShare is the largest fraction of upstreams that may be ejected at
+	// the same time. Default 0.5.
 	MaxEjectedShare float64 `json:"max_ejected_share,omitempty"`
-	// RetryRatio is the number of retries earned by a success. Default 0.1.
+	// RetryRatio is the number of retries that each success adds to the retry
+	// budget. Default 0.1.
 	RetryRatio float64 `json:"retry_ratio,omitempty"`
-	// AffinityBound is how far over the mean load an upstream with a cached
-	// prefix may be. Default 1.25.
+	// AffinityBound is the largest load, as a multiple of the mean load, at which
+	// an upstream is preferred for having a prefix cached. Default 1.25.
 	AffinityBound float64 `json:"affinity_bound,omitempty"`
-	// Evacuated are the failure domains whose upstreams get nothing new, each with the
-	// time since when.
+	// Evacuated maps the failure domains whose upstreams get no new work to the
+	// start of their evacuation.
 	Evacuated map[string]time.Time `json:"evacuated,omitempty"`
 }
 
 // Judge describes the service that judges answers inside a cascade.
 type Judge struct {
-	// TrueAccept is the chance that a good answer is accepted.
+	// TrueAccept is the probability that a good answer is accepted.
 	TrueAccept float64 `json:"true_accept,omitempty"`
-	// FalseAccept is the chance that a poor answer is accepted.
+	// FalseAccept is the probability that a bad answer is accepted.
 	FalseAccept float64 `json:"false_accept,omitempty"`
 	// Price is charged per judgement, in millionths of the currency unit.
 	Price int64 `json:"price,omitempty"`
-	// LatencyMS is the usual time of a judgement, in milliseconds.
+	// LatencyMS is the typical duration of a judgement, in milliseconds.
 	LatencyMS int64 `json:"latency_ms,omitempty"`
 }
 
-// RolloutPolicy bounds roll-outs.
+// RolloutPolicy configures the statistical test and the stages of roll-outs.
 type RolloutPolicy struct {
-	// Stages are the shares of new sessions a new version takes, rising to 1.
+	// Stages are the fractions of new sessions that a new version gets one after
+	// the other. They increase, and the last is 1. Default 0.01, 0.05, 0.2, 0.5, 1.
 	Stages []float64 `json:"stages,omitempty"`
-	// ExposureBudget is the number of unrated answers allowed before there is
-	// evidence. Default 20.
+	// ExposureBudget is the number of unrated answers that a new version may give
+	// before it has good ratings. Default 20.
 	ExposureBudget int `json:"exposure_budget,omitempty"`
-	// BudgetPerGood is the growth of the budget per good rating. Default 2.
+	// BudgetPerGood is added to the budget for each good rating. Default 2.
 	BudgetPerGood float64 `json:"budget_per_good,omitempty"`
-	// FalseWithdrawal is the accepted chance of withdrawing a good version.
+	// FalseWithdrawal is the accepted probability of withdrawing a good version.
 	// Default 0.01.
 	FalseWithdrawal float64 `json:"false_withdrawal,omitempty"`
-	// FalseAcceptance is the accepted chance of keeping a bad one. Default 0.01.
+	// FalseAcceptance is the accepted probability of keeping a bad version.
+	// Default 0.01.
 	FalseAcceptance float64 `json:"false_acceptance,omitempty"`
-	// Tolerance is how far below the target a version counts as bad. Default 0.1.
+	// Tolerance is the distance below the quality target at which a version counts
+	// as bad. Default 0.1.
 	Tolerance float64 `json:"tolerance,omitempty"`
-	// RatingHorizonMS is how long after an answer a rating is still expected,
-	// in milliseconds. Later the answer no longer counts as not rated yet.
-	// Default 300000.
+	// RatingHorizonMS is the time after an answer in which its rating is expected,
+	// in milliseconds. An older answer without a rating does not count as unrated
+	// any more. Default 300000.
 	RatingHorizonMS int64 `json:"rating_horizon_ms,omitempty"`
 }
 
@@ -194,7 +206,7 @@
 	return time.Duration(p.RatingHorizonMS) * time.Millisecond
 }
 
-// WithDefaults fills in defaults.
+// WithDefaults returns the policy with defaults in the fields that are zero.
 func (p RolloutPolicy) WithDefaults() RolloutPolicy {
 	if len(p.Stages) == 0 {
 		p.Stages = []float64{0.01, 0.05, 0.2, 0.5, 1}
@@ -208,7 +220,7 @@
 	return p
 }
 
-// WithDefaults fills in defaults.
+// WithDefaults returns the policy with defaults in the fields that are zero.
 func (p UpstreamPolicy) WithDefaults() UpstreamPolicy {
 	setDefault(&p.EjectAfter, 3)
 	setDefault(&p.EjectMS, 2000)
@@ -218,6 +230,7 @@
 	return p
 }
 
+// setDefault sets *v to def if it is zero.
 func setDefault[T comparable](v *T, def T) {
 	var zero T
 	if *v == zero {
--- a/internal/config/evacuate.go
+++ b/internal/config/evacuate.go
@@ -9,21 +9,21 @@
 	"github.com/tailscale/hujson"
 )
 
-// Pointers into a document for evacuations.
+// JSON pointers to the parts of a document that record evacuations.
 const (
 	upstreamsPointer = "/upstreams"
 	evacuatedPointer = upstreamsPointer + "/evacuated"
 )
 
-// patchOperation is one of a JSON patch (RFC 6902).
+// patchOperation is one operation of a JSON patch (RFC 6902).
 type patchOperation struct {
 	Op    string `json:"op"`
 	Path  string `json:"path"`
 	Value any    `json:"value,omitempty"`
 }
 
-// Evacuate returns an overlay in which a failure domain is evacuated since a time. Its
-// comments stay.
+// Evacuate returns the overlay with the evacuation of a failure domain added, which
+// began at since. It keeps the comments of the overlay.
 func Evacuate(overlay []byte, domain string, since time.Time) ([]byte, error) {
 	if domain == "" {
 		return nil, trace.BadParameter("failure domain: missing")
@@ -42,7 +42,8 @@
 	return applyPatch(root, patch)
 }
 
-// Restore returns an overlay in which a failure domain is not evacuated any more.
+// Restore returns the overlay with the evacuation of a failure domain removed. It
+// fails if the overlay does not evacuate the domain.
 func Restore(overlay []byte, domain string) ([]byte, error) {
 	root, err := parseOverlay(overlay)
 	if err != nil {
--- a/internal/config/evacuate_test.go
+++ b/internal/config/evacuate_test.go
@@ -9,7 +9,7 @@
 
 var since = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// Guards against an evacuation that drops what operators have written beside it.
+// Guards against an evacuation that removes comments or settings from the overlay.
 func TestEvacuateKeepsRestOfOverlay(t *testing.T) {
 	for _, overlay := range []string{"", "{}", "{\n  // hall-b is rewired.\n  \"upstreams\": {\"retry_ratio\": 0.2},\n}"} {
 		text, err := Evacuate([]byte(overlay), "hall-b", since)
@@ -31,7 +31,7 @@
 	}
 }
 
-// Guards against commands that succeed and change nothing.
+// Guards against evacuations and restores that report success but change nothing.
 func TestInvalidEvacuationsFail(t *testing.T) {
 	_, err := Evacuate(nil, "", since)
 	require.ErrorContains(t, err, "failure domain")
--- a/internal/config/follower.go
+++ b/internal/config/follower.go
@@ -9,22 +9,22 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// maxReadAttempts bounds how often a read is repeated because the configuration
-// changed under it.
+// maxReadAttempts bounds how often Refresh reads the configuration when it changes
+// during the read.
 const maxReadAttempts = 5
 
-// Delta carries a head and the rows in which it differs from what the
-// receiver has.
+// Delta is a head and the rows that differ from those of the receiver.
 type Delta struct {
 	Head      Head
 	Documents map[string]StoredDocument
 	Rollouts  map[string]Rollout
 }
 
-// Follower holds the configuration in force at one daemon. Its generation
-// only rises.
+// Follower keeps the active configuration of one daemon up to date. The generation
+// of the active configuration never decreases.
 //
-// Lock order: mu is taken alone; no method calls out while holding it.
+// Lock order: no other lock is taken, and no other component is called, while mu
+// is held.
 type Follower struct {
 	site  string
 	store *Store
@@ -35,8 +35,10 @@
 	documents map[string]StoredDocument
 	rollouts  map[string]Rollout
 	snapshot  *Snapshot
+	// confirmed is the last time at which the active generation was the newest.
 	confirmed time.Time
-	changed   chan struct{}
+	// changed is closed and replaced when a new generation becomes active.
+	changed chan struct{}
 }
 
 // NewFollower returns a follower of the configuration of a site.
@@ -52,34 +54,35 @@
 	}
 }
 
-// Current returns the snapshot in force, or nil when there is none yet.
+// Current returns the active snapshot, or nil if there is none yet.
 func (f *Follower) Current() *Snapshot {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.snapshot
 }
 
-// Generation returns the generation in force; 0 is none.
+// Generation returns the active generation, or 0 if there is none yet.
 func (f *Follower) Generation() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.head.Generation
 }
 
-// Changed returns a channel that is closed at the next change.
+// Changed returns a channel that is closed when the next generation becomes
+// active.
 func (f *Follower) Changed() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.changed
 }
 
-// SinceConfirmed returns how long ago the generation in force was last known to be the
-// newest.
+// SinceConfirmed returns the time since the active generation was last known to be
+// the newest, or the largest duration if it never was.
 //
-// The age counts from before the question was asked. A daemon that was paused
-// or cut off finds itself with a large age as soon as it runs again and can
-// refuse to dispatch before it has asked; otherwise it would send work to a
-// version that was withdrawn while it slept.
+// The time is measured from before the request that confirmed it was sent. So a
+// daemon that was paused or partitioned gets a large value as soon as it runs
+// again, and can refuse to dispatch before it has read the store. Otherwise it
+// would send work to a version that was withdrawn in the meantime.
 func (f *Follower) SinceConfirmed() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -89,8 +92,8 @@
 	return f.clock.Since(f.confirmed)
 }
 
-// Confirm notes that generation was the newest at a moment. It has no effect
-// unless that generation is in force.
+// Confirm records that generation was the newest at the time at. It has no effect
+// unless that generation is active.
 func (f *Follower) Confirm(generation int64, at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -99,14 +102,15 @@
 	}
 }
 
-// Head returns the head in force.
+// Head returns a copy of the active head.
 func (f *Follower) Head() Head {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.head.Clone()
 }
 
-// DeltaFor returns what a follower of site that knows head lacks.
+// DeltaFor returns the active head, and the rows that a follower of site with the
+// head known does not have.
 func (f *Follower) DeltaFor(site string, known Head) Delta {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -125,10 +129,11 @@
 	return d
 }
 
-// Refresh reads the store and installs what is new.
+// Refresh reads the changed rows from the store, installs them, and confirms the
+// generation.
 func (f *Follower) Refresh(ctx context.Context) error {
 	for range maxReadAttempts {
-		asked := f.clock.Now()
+		requestedAt := f.clock.Now()
 		head, _, err := f.store.Head(ctx)
 		if err != nil {
 			return trace.Wrap(err)
@@ -138,14 +143,14 @@
 			return trace.Wrap(err)
 		}
 		if f.Install(delta) {
-			f.Confirm(head.Generation, asked)
+			f.Confirm(head.Generation, requestedAt)
 			return nil
 		}
 	}
 	return trace.CompareFailed("the configuration kept changing while it was read")
 }
 
-// read fetches the rows in which head differs from what is in force.
+// read reads the rows in which head differs from the active configuration.
 func (f *Follower) read(ctx context.Context, head Head) (Delta, error) {
 	known := f.Head()
 	d := Delta{Head: head, Documents: map[string]StoredDocument{}, Rollouts: map[string]Rollout{}}
@@ -175,12 +180,12 @@
 	return d, nil
 }
 
-// Install brings a delta into force and reports whether the follower is now
-// at least at its generation. An older delta changes nothing.
+// Install activates a delta. It reports whether the active generation is now at
+// least that of the delta. An older delta has no effect.
 //
-// The rows of a delta are read one after the other, so a change between two
-// reads could mix generations. The head names the revision of each row; a
-// delta whose rows do not match its head is not installed.
+// The rows of a delta are read one after the other, so a concurrent change could
+// mix rows of different generations. Install compares each row with the revision
+// in the head, and rejects the delta if one does not match.
 func (f *Follower) Install(d Delta) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -205,6 +210,8 @@
 	return true
 }
 
+// mergeDocuments returns the documents of d, and the active ones where d has none.
+// It returns false if one does not match the head of d.
 func (f *Follower) mergeDocuments(d Delta) (map[string]StoredDocument, bool) {
 	out := map[string]StoredDocument{}
 	for _, target := range []string{baseName, Target(f.site)} {
@@ -220,6 +227,7 @@
 	return out, true
 }
 
+// mergeRollouts is like mergeDocuments for the states of roll-outs.
 func (f *Follower) mergeRollouts(d Delta) (map[string]Rollout, bool) {
 	out := map[string]Rollout{}
 	for ref, generation := range d.Head.Rollouts {
@@ -235,6 +243,7 @@
 	return out, true
 }
 
+// buildSnapshot merges the documents and returns the snapshot of a generation.
 func buildSnapshot(generation int64, site string, documents map[string]StoredDocument, rollouts map[string]Rollout) (*Snapshot, error) {
 	doc, err := Merge([]byte(documents[baseName].Text), []byte(documents[Target(site)].Text))
 	if err != nil {
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// FuzzCheckSite feeds any text as base and overlay: the answer is a list of
-// problems or none, never a panic, and what is accepted can be merged.
+// FuzzCheckSite checks that CheckSite does not panic on any base and overlay, and
+// that accepted documents can be merged.
 func FuzzCheckSite(f *testing.F) {
 	for _, name := range []string{"base.jsonc", "overlay-gothenburg.jsonc", "overlay-tbilisi.jsonc"} {
 		text, err := os.ReadFile("../../examples/" + name)
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -14,11 +14,11 @@
 	"github.com/tailscale/hujson"
 )
 
-// Problem is one fault of a document.
+// Problem is one error in a document.
 type Problem struct {
-	// Path is the JSON pointer of the field.
+	// Path is the JSON pointer to the field.
 	Path string `json:"path"`
-	// Line counts from 1; 0 where the field is not in the document.
+	// Line is the line number from 1; 0 if the field is not in the document.
 	Line    int    `json:"line"`
 	Message string `json:"message"`
 }
@@ -47,13 +47,14 @@
 	return strings.Join(lines, "\n")
 }
 
-// DecodeStrict decodes JSON with comments into out. Unknown fields and wrong
-// types are an *InvalidError that names path and line.
+// DecodeStrict decodes JSON with comments and trailing commas into out. For syntax
+// errors, unknown fields and wrong types it returns an *InvalidError, with path and
+// line where they are known.
 func DecodeStrict(text []byte, out any) error {
 	return decode(text, out, json.RejectUnknownMembers(true))
 }
 
-// Decode is DecodeStrict that passes over unknown fields.
+// Decode is like DecodeStrict, but ignores unknown fields.
 func Decode(text []byte, out any) error { return decode(text, out) }
 
 func decode(text []byte, out any, options ...json.Options) error {
@@ -68,6 +69,7 @@
 	return &InvalidError{Problems: []Problem{decodeProblem(text, err)}}
 }
 
+// decodeProblem converts an error of the JSON decoder to a Problem.
 func decodeProblem(text []byte, err error) Problem {
 	var semantic *json.SemanticError
 	if errors.As(err, &semantic) {
@@ -93,8 +95,9 @@
 	return Problem{Message: err.Error()}
 }
 
-// lineAtOffset returns the line of the first character after offset that is not
-// white space.
+// lineAtOffset returns the line of the first character at or after offset that is
+// not white space or one of the separators ',', ':' and '{'. The decoder reports
+// the offset before these.
 func lineAtOffset(text []byte, offset int64) int {
 	at := min(int(offset), len(text))
 	for at < len(text) && strings.IndexByte(" \t\r\n,:{", text[at]) >= 0 {
@@ -103,7 +106,8 @@
 	return 1 + bytes.Count(text[:at], []byte("\n"))
 }
 
-// lineOfPath returns the line of the field at path, or 0.
+// lineOfPath returns the line of the field at path, or of its innermost parent
+// that is in the document, or 0.
 func lineOfPath(text []byte, path string) int {
 	root, err := hujson.Parse(text)
 	if err != nil {
@@ -122,14 +126,16 @@
 	}
 }
 
-// Parse decodes one document, base or overlay, without looking at others.
+// Parse decodes one document, which may be a base or an overlay, as in
+// DecodeStrict.
 func Parse(text []byte) (Document, error) {
 	var doc Document
 	err := DecodeStrict(text, &doc)
 	return doc, err
 }
 
-// Merge lays the overlay over the base. Either may be empty.
+// Merge returns the base with the overlay applied to it as a JSON merge patch.
+// Either may be empty.
 func Merge(base, overlay []byte) (Document, error) {
 	plain, err := standardize(base)
 	if err != nil {
@@ -148,7 +154,7 @@
 	return doc, trace.Wrap(err)
 }
 
-// Difference returns the merge patch that turns one document into another.
+// Difference returns the JSON merge patch that converts one document to another.
 func Difference(from, to []byte) (string, error) {
 	a, err := standardize(from)
 	if err != nil {
@@ -162,6 +168,7 @@
 	return string(patch), trace.Wrap(err)
 }
 
+// standardize removes comments and trailing commas. An empty text becomes "{}".
 func standardize(text []byte) ([]byte, error) {
 	if len(bytes.TrimSpace(text)) == 0 {
 		return []byte("{}"), nil
--- a/internal/config/rollouts.go
+++ b/internal/config/rollouts.go
@@ -9,10 +9,12 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/fault"
 )
 
-// WriteRollouts brings roll-out states into force in one generation. checks
-// are further conditions, such as a lease that must still be held. edit is
-// given the rows as they are and may be called again after a lost race; it
-// returns nil to write nothing.
+// WriteRollouts stores roll-out states as one new generation, and returns the
+// generation. edit gets the current rows of refs and returns the rows to write, or
+// none to write nothing. checks are further conditions of the write, such as a
+// lease that must still be held. If the head row changes concurrently,
+// WriteRollouts calls edit again with the new rows; if one of checks fails, it
+// returns a CompareFailed error.
 func (s *Store) WriteRollouts(ctx context.Context, refs []VersionRef, checks []backing.Check, edit func(now map[VersionRef]Rollout) ([]Rollout, error)) (int64, error) {
 	for {
 		head, headRevision, err := s.Head(ctx)
@@ -48,6 +50,7 @@
 	}
 }
 
+// rolloutTxn returns the transaction that writes rows and the next head row.
 func (s *Store) rolloutTxn(head Head, headRevision int64, rows []Rollout) backing.Txn {
 	next := head.Clone()
 	next.Generation++
@@ -62,7 +65,9 @@
 	return txn
 }
 
-// resolveRolloutWrite reads back what became of a write whose answer was lost.
+// resolveRolloutWrite returns the result of a write that failed with cause. If the
+// outcome is unknown, it reads the row: nil means that the row has the wanted
+// state, and a ConfigUnknown error that it cannot tell.
 func (s *Store) resolveRolloutWrite(ctx context.Context, wanted Rollout, cause error) error {
 	if !backing.IsUnknownOutcome(cause) {
 		return storeError(cause)
@@ -74,7 +79,8 @@
 	return fault.New(fault.ConfigUnknown, "the store does not say whether the change of %s was accepted; look at its status", wanted.VersionRef).WithRan(fault.RanUnknown)
 }
 
-// verifyChecks tells a lost race on the head from a condition that failed.
+// verifyChecks returns a CompareFailed error if one of checks does not hold any
+// more. Otherwise the commit failed because the head row changed.
 func (s *Store) verifyChecks(ctx context.Context, checks []backing.Check) error {
 	for _, c := range checks {
 		row, err := s.table.Get(ctx, c.Key)
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// VersionRef names a version of a model.
+// VersionRef identifies a version of a model.
 type VersionRef struct {
 	Model   string `json:"model"`
 	Version string `json:"version"`
@@ -16,34 +16,35 @@
 // String returns "model@version".
 func (r VersionRef) String() string { return r.Model + "@" + r.Version }
 
-// Rollout is the live state of a version that is or was rolled out, or was
-// withdrawn by an operator. It overrides the state in the documents, except
-// that a withdrawn version stays withdrawn.
+// Rollout is the stored state of a version that is or was rolled out, or that an
+// operator withdrew. It overrides the state in the documents, unless that state
+// is Withdrawn.
 type Rollout struct {
 	VersionRef
-	// From is the version whose sessions the new one takes over; it starts to
-	// drain when the new one serves in full.
+	// From is the version that the new one replaces. It is set to Draining when
+	// the new version is set to Serving.
 	From  string       `json:"from,omitempty"`
 	State VersionState `json:"state"`
-	Stage int          `json:"stage"`
-	// Share of the model's new sessions.
+	// Stage is the index of the current stage in RolloutPolicy.Stages.
+	Stage int `json:"stage"`
+	// Share is the fraction of the model's new sessions that the version gets.
 	Share float64 `json:"share"`
-	// Good and Bad count the ratings seen so far.
+	// Good and Bad are the numbers of ratings counted so far.
 	Good int `json:"good"`
 	Bad  int `json:"bad"`
-	// Fence is the fencing number of the lease under which this was written;
-	// 0 for an operator.
+	// Fence is the fencing token of the lease under which this row was written; 0
+	// if an operator wrote it.
 	Fence  int64  `json:"fence"`
 	Reason string `json:"reason,omitempty"`
-	// Upstreams lists the instances ordered to load the version.
+	// Upstreams lists the instances that were ordered to load the version.
 	Upstreams []string  `json:"upstreams,omitempty"`
 	Updated   time.Time `json:"updated"`
-	// Generation is the one in which this row came into force.
+	// Generation is the configuration generation that this row belongs to.
 	Generation int64 `json:"generation"`
 }
 
-// Snapshot is the configuration of one site in one generation. It is not
-// changed after it is built.
+// Snapshot is the merged configuration of one site in one generation. It is
+// immutable.
 type Snapshot struct {
 	Generation int64
 	Doc        Document
@@ -52,7 +53,7 @@
 	organisationByDigest map[string]string
 }
 
-// NewSnapshot builds a snapshot.
+// NewSnapshot returns a snapshot of a merged document and the states of roll-outs.
 func NewSnapshot(generation int64, doc Document, rollouts []Rollout) *Snapshot {
 	s := &Snapshot{
 		Generation:           generation,
@@ -71,19 +72,22 @@
 	return s
 }
 
-// KeyDigest returns the digest of an API key as it stands in documents.
+// KeyDigest returns the digest of an API key in the form that documents use.
 func KeyDigest(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return digestPrefix + hex.EncodeToString(sum[:])
 }
 
-// OrganisationOf returns the organisation that an API key belongs to.
+// OrganisationOf returns the organisation that an API key belongs to, and false if
+// there is none.
 func (s *Snapshot) OrganisationOf(key string) (string, bool) {
 	name, ok := s.organisationByDigest[KeyDigest(key)]
 	return name, ok
 }
 
-// State returns the state of a version in force.
+// State returns the state of a version, and false if the version is unknown. The
+// state of a roll-out overrides that of the document, unless the document has
+// Withdrawn.
 func (s *Snapshot) State(ref VersionRef) (VersionState, bool) {
 	v, ok := s.Doc.Models[ref.Model].Versions[ref.Version]
 	if !ok {
@@ -96,7 +100,8 @@
 	return r.State, true
 }
 
-// Share returns the share of its model's new sessions that a version takes.
+// NewSessionShare returns the fraction of its model's new sessions for which a
+// version may be chosen.
 func (s *Snapshot) Share(ref VersionRef) float64 {
 	state, _ := s.State(ref)
 	switch state {
@@ -109,8 +114,9 @@
 	}
 }
 
-// Proven reports whether a version may serve when the configuration can no
-// longer be confirmed.
+// Proven reports whether a version has passed its roll-out and is not withdrawn.
+// Only proven versions may serve while the configuration cannot be confirmed as
+// the newest.
 func (s *Snapshot) Proven(ref VersionRef) bool {
 	state, _ := s.State(ref)
 	return state == Serving || state == Draining
@@ -127,8 +133,8 @@
 	return slices.Contains(s.Doc.Organisations[organisation].Services, service)
 }
 
-// Cost returns what a version charges for tokens, in millionths of the
-// currency unit.
+// Cost returns the price of tokens at a version, in millionths of the currency
+// unit.
 func (s *Snapshot) Cost(ref VersionRef, inputTokens, outputTokens int) int64 {
 	v := s.Doc.Models[ref.Model].Versions[ref.Version]
 	return v.InputPrice*int64(inputTokens) + v.OutputPrice*int64(outputTokens)
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -16,7 +16,7 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/fault"
 )
 
-// Keys of the rows that hold the configuration.
+// Keys and key prefixes of the configuration's rows, and names of documents.
 const (
 	headKey           = "config/head"
 	baseName          = "base"
@@ -27,17 +27,17 @@
 	overlayPrefix     = "overlay/"
 )
 
-// Head is the row that says what is in force. Every accepted change raises
-// Generation by one, in the transaction that writes what changed.
+// Head is the row that identifies the current configuration. Each accepted change
+// increments Generation in the transaction that writes the changed rows.
 type Head struct {
 	Generation int64 `json:"generation"`
-	// Documents maps "base" and "overlay/SITE" to revisions.
+	// Documents maps document names, "base" or "overlay/SITE", to their revisions.
 	Documents map[string]int64 `json:"documents"`
-	// Rollouts maps "model@version" to the generation that last wrote it.
+	// Rollouts maps "model@version" to the generation of its Rollout row.
 	Rollouts map[string]int64 `json:"rollouts"`
 }
 
-// Clone returns a deep copy.
+// Clone returns a deep copy in which no map is nil.
 func (h Head) Clone() Head {
 	h.Documents = cloneMap(h.Documents)
 	h.Rollouts = cloneMap(h.Rollouts)
@@ -51,8 +51,8 @@
 	return maps.Clone(m)
 }
 
-// Target returns the document name of a site's overlay, or of the base when
-// site is empty.
+// DocumentName returns the name of a site's overlay, or of the base if site is
+// empty.
 func Target(site string) string {
 	if site == "" {
 		return baseName
@@ -60,7 +60,7 @@
 	return overlayPrefix + site
 }
 
-// StoredDocument is the row of a document.
+// StoredDocument is the row of one revision of a document.
 type StoredDocument struct {
 	Revision   int64     `json:"revision"`
 	Generation int64     `json:"generation"`
@@ -70,66 +70,70 @@
 	At         time.Time `json:"at"`
 }
 
-// Change is the row that makes a change idempotent: it exists exactly when
-// the change with that id was accepted, or was given up for good.
+// Change is the row that makes applying a change idempotent. It is written in the
+// transaction of the change with that id, or to mark the id as abandoned.
 type Change struct {
-	ID         string    `json:"id"`
+	ID string `json:"id"`
+	// Target is the name of the changed document.
 	Target     string    `json:"target"`
 	Revision   int64     `json:"revision"`
 	Generation int64     `json:"generation"`
 	Author     string    `json:"author,omitempty"`
 	At         time.Time `json:"at"`
-	// Abandoned marks an id whose write had an unknown outcome and was then
-	// ruled out.
+	// Abandoned marks an id whose write had an unknown outcome. The change was not
+	// accepted, and this row prevents that it is committed later.
 	Abandoned bool `json:"abandoned,omitempty"`
 }
 
-// ApplyRequest asks for a document to come into force.
+// ApplyRequest is a request to replace a document.
 type ApplyRequest struct {
-	// Site names the overlay; empty is the base.
+	// Site selects the overlay of a site; empty selects the base.
 	Site string `json:"site"`
-	// FromRevision is the revision that the text was edited from; 0 for the
-	// first.
-	FromRevision int64  `json:"from_revision"`
-	ChangeID     string `json:"change_id"`
-	Text         string `json:"text"`
-	Author       string `json:"author"`
+	// FromRevision is the revision that Text was edited from; 0 if the document
+	// does not exist yet.
+	FromRevision int64 `json:"from_revision"`
+	// ChangeID identifies the change if the request is repeated.
+	ChangeID string `json:"change_id"`
+	Text     string `json:"text"`
+	Author   string `json:"author"`
 }
 
-// Store reads and writes the configuration in the table.
+// Store reads and writes the configuration in a backing.Table.
 type Store struct {
 	table backing.Table
 	now   func() time.Time
 }
 
-// NewStore returns a store over table.
+// NewStore returns a store that keeps the configuration in table.
 func NewStore(table backing.Table, now func() time.Time) *Store {
 	return &Store{table: table, now: now}
 }
 
-// Head reads the head row. The second result is the revision for conditional
-// writes.
+// Head reads the head row, and the revision of the row for conditional writes.
 func (s *Store) Head(ctx context.Context) (Head, int64, error) {
 	head := Head{}
 	revision, err := backing.GetJSON(ctx, s.table, headKey, &head)
 	return head.Clone(), revision, err
 }
 
-// Document reads a document; one never written is empty.
+// Document reads a document. It returns the zero value for a document that does
+// not exist.
 func (s *Store) Document(ctx context.Context, target string) (StoredDocument, error) {
 	var doc StoredDocument
 	_, err := backing.GetJSON(ctx, s.table, documentKeyPrefix+target, &doc)
 	return doc, err
 }
 
-// Rollout reads the live state of a version, if it has one.
+// Rollout reads the Rollout row of a version given as "model@version". It returns
+// false if there is none.
 func (s *Store) Rollout(ctx context.Context, ref string) (Rollout, bool, error) {
 	var r Rollout
 	revision, err := backing.GetJSON(ctx, s.table, rolloutKeyPrefix+ref, &r)
 	return r, revision != 0, err
 }
 
-// Apply checks a document and brings it into force. The errors are of kinds
+// Apply checks a document and stores it as a new generation. If the change id was
+// already accepted, it returns that change. Its faults have the kinds BadRequest,
 // ConfigInvalid, ConfigConflict, ConfigUnknown and StoreUnavailable.
 func (s *Store) Apply(ctx context.Context, req ApplyRequest) (Change, error) {
 	if req.ChangeID == "" {
@@ -146,7 +150,7 @@
 	if head.Documents[target] != req.FromRevision {
 		return Change{}, s.conflictError(ctx, target, req.FromRevision, head.Documents[target])
 	}
-	if err := s.checkAgainstOthers(ctx, head, req); err != nil {
+	if err := s.checkWithOtherDocuments(ctx, head, req); err != nil {
 		return Change{}, err
 	}
 	change := Change{ID: req.ChangeID, Target: target, Revision: req.FromRevision + 1, Generation: head.Generation + 1, Author: req.Author, At: s.now()}
@@ -162,7 +166,9 @@
 	}
 }
 
-// retryAfterConflict tells our own earlier write from another operator's.
+// retryAfterConflict handles a commit of Apply whose conditions failed. It returns
+// the change if this request was committed before, an error if the document was
+// changed by another request, and else applies the request again.
 func (s *Store) retryAfterConflict(ctx context.Context, req ApplyRequest) (Change, error) {
 	if done, found, err := s.readChange(ctx, req.ChangeID); err != nil || found {
 		return s.changeResult(done, err)
@@ -175,19 +181,18 @@
 	if head.Documents[target] != req.FromRevision {
 		return Change{}, s.conflictError(ctx, target, req.FromRevision, head.Documents[target])
 	}
-	// Another document changed at the same moment; the checks have to be made
-	// again with it.
+	// Another document was changed concurrently. The text has to be checked with it
+	// before the next commit.
 	return s.Apply(ctx, req)
 }
 
-// resolveUnknownOutcome finds out what became of a write whose answer was lost.
+// resolveUnknownOutcome determines whether a commit without a response took effect.
 //
-// The write may still be on its way when the change row is read. Reading "not
-// there" and reporting a failure would let it take effect later, seen as a
-// change that comes into force after the operator was told it did not. So the
-// id is first written off with a row of its own, on the condition that there
-// is none: if that succeeds, the original can no longer commit, because its
-// transaction has the same condition.
+// The commit may still be in transit when the change row is read. If a missing row
+// were reported as a failure, the change could become active after the operator was
+// told that it was not accepted. So this function first writes an abandoned change
+// row, on condition that the row does not exist. If that succeeds, the original
+// commit can no longer succeed, because its transaction has the same condition.
 func (s *Store) resolveUnknownOutcome(ctx context.Context, id string) (Change, error) {
 	done, found, err := s.readChange(ctx, id)
 	if err == nil && !found {
@@ -207,6 +212,8 @@
 	return s.changeResult(done, nil)
 }
 
+// changeResult converts the result of readChange, for a row that exists or an
+// error, to the result of Apply.
 func (s *Store) changeResult(c Change, err error) (Change, error) {
 	if err != nil {
 		return Change{}, storeError(err)
@@ -223,6 +230,7 @@
 	return c, revision != 0, err
 }
 
+// storeError converts errors of an unavailable store to the fault StoreUnavailable.
 func storeError(err error) error {
 	if backing.IsUnavailable(err) {
 		return fault.New(fault.StoreUnavailable, "%v", err)
@@ -230,6 +238,8 @@
 	return trace.Wrap(err)
 }
 
+// documentTxn returns the transaction that writes a document, its history row, the
+// change row and the next head row.
 func (s *Store) documentTxn(head Head, headRevision int64, c Change, text string) backing.Txn {
 	next := head.Clone()
 	next.Generation = c.Generation
@@ -249,12 +259,13 @@
 	}
 }
 
+// historyRowKey returns a key whose order follows the revisions.
 func historyRowKey(target string, revision int64) string {
 	return fmt.Sprintf("%s%s/%012d", historyKeyPrefix, target, revision)
 }
 
-// conflictError reports that the document moved on, with the difference between
-// the revision edited from and the current one.
+// conflictError returns the fault for a document that was changed since revision
+// from. Its message has the difference between from and the current revision.
 func (s *Store) conflictError(ctx context.Context, target string, from, current int64) error {
 	before, after := s.historyText(ctx, target, from), s.historyText(ctx, target, current)
 	diff, err := Difference(before, after)
@@ -267,15 +278,16 @@
 func (s *Store) historyText(ctx context.Context, target string, revision int64) []byte {
 	var doc StoredDocument
 	if revision > 0 {
-		// A missing text only makes the difference less exact.
+		// If the row is missing or cannot be read, the text counts as empty. The
+		// difference in the message is then larger than the actual one.
 		_, _ = backing.GetJSON(ctx, s.table, historyRowKey(target, revision), &doc)
 	}
 	return []byte(doc.Text)
 }
 
-// checkAgainstOthers checks a base with every overlay, and an overlay with
-// the base.
-func (s *Store) checkAgainstOthers(ctx context.Context, head Head, req ApplyRequest) error {
+// checkWithOtherDocuments checks a base with each overlay, or an overlay with the
+// base.
+func (s *Store) checkWithOtherDocuments(ctx context.Context, head Head, req ApplyRequest) error {
 	if req.Site != "" {
 		base, err := s.Document(ctx, baseName)
 		if err != nil {
@@ -302,6 +314,7 @@
 	return nil
 }
 
+// invalidError wraps err as a ConfigInvalid fault; it returns nil for nil.
 func invalidError(what string, err error) error {
 	if err == nil {
 		return nil
@@ -309,8 +322,9 @@
 	return fault.New(fault.ConfigInvalid, "%s: %v", what, err)
 }
 
-// CheckSite parses and checks a base with an overlay. baseChanged tells in
-// which of the two to look up lines.
+// CheckSite parses and checks a base with an overlay. The line numbers of problems
+// in the merged document refer to the base if baseChanged is set, and else to the
+// overlay.
 func CheckSite(base, overlay []byte, baseChanged bool) error {
 	baseDoc, err := parseNonEmpty(base)
 	if err != nil {
@@ -335,6 +349,7 @@
 	return nil
 }
 
+// parseNonEmpty is Parse, except that an empty text is an empty document.
 func parseNonEmpty(text []byte) (Document, error) {
 	if len(bytes.TrimSpace(text)) == 0 {
 		return Document{}, nil
@@ -342,7 +357,7 @@
 	return Parse(text)
 }
 
-// History returns the accepted revisions of a document, oldest first.
+// History returns the first limit accepted revisions of a document, oldest first.
 func (s *Store) History(ctx context.Context, site string, limit int) ([]StoredDocument, error) {
 	rows, err := s.table.List(ctx, historyKeyPrefix+Target(site)+"/", "", limit)
 	if err != nil {
@@ -357,11 +372,11 @@
 	return out, nil
 }
 
-// changeRetention is how long the outcome of a change can be asked for.
+// changeRetention is how long the outcome of a change can be read by its id.
 const changeRetention = 30 * 24 * time.Hour
 
-// SweepChanges deletes the rows of old change ids, one page a call; see
-// backing.Sweep. The revisions they made stay in the history.
+// SweepChanges deletes Change rows that are older than changeRetention, one page
+// per call; see backing.Sweep. The revisions remain in the history.
 func (s *Store) SweepChanges(ctx context.Context, after string) (next string, deleted int, err error) {
 	return backing.Sweep(ctx, s.table, changeKeyPrefix, after, func(row backing.Row) bool {
 		var c Change
