--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -148,7 +148,8 @@
 	// ejected. Default 3.
 	EjectAfter int `json:"eject_after,omitempty"`
 	// EjectMS is the duration of the first ejection, in milliseconds. Each further
-	// ejection lasts twice as long. Default 2000.
+	// ejection without a success in between lasts twice as long as the one before,
+	// up to a fixed limit. Default 2000.
 	EjectMS int64 `json:"eject_ms,omitempty"`
 	// MaxEjectedShare is the largest fraction of upstreams that may be ejected at
 	// the same time. Default 0.5.
--- a/internal/config/rollouts.go
+++ b/internal/config/rollouts.go
@@ -72,8 +72,8 @@
 	if !backing.IsUnknownOutcome(cause) {
 		return storeError(cause)
 	}
-	now, _, err := s.Rollout(ctx, wanted.VersionRef.String())
-	if err == nil && now.State == wanted.State && now.Stage == wanted.Stage {
+	row, _, err := s.Rollout(ctx, wanted.VersionRef.String())
+	if err == nil && row.State == wanted.State && row.Stage == wanted.Stage {
 		return nil
 	}
 	return fault.New(fault.ConfigUnknown, "the store does not say whether the change of %s was accepted; look at its status", wanted.VersionRef).WithRan(fault.RanUnknown)
--- a/internal/daemon/answers.go
+++ b/internal/daemon/answers.go
@@ -17,8 +17,8 @@
 
 // successorOf returns the daemon that has the keys and answers of an incarnation:
 // the daemon itself, or the last of the successors to which they were handed over.
-// It reports false if a daemon in this chain is not known, or if the chain is too
-// long.
+// If that daemon has left without a successor, its state is Left. successorOf
+// returns false if a daemon in this chain is not known, or if the chain is too long.
 func successorOf(registry *member.Registry, incarnation string) (member.Daemon, bool) {
 	const maxSteps = 8
 	for range maxSteps {
--- a/internal/daemon/fresh_test.go
+++ b/internal/daemon/fresh_test.go
@@ -35,7 +35,7 @@
 	s.freshness = &freshness{
 		follower:     follower,
 		reachability: newReachability(clock),
-		refresh:      func(context.Context) error { return errors.New("store out") },
+		refresh:      func(context.Context) error { return errors.New("store unavailable") },
 		anySuspect:   func() bool { return s.suspected },
 		maxAge:       3 * time.Second,
 		refuseAge:    15 * time.Second,
@@ -72,7 +72,7 @@
 	s.reachability.recordReply("c", s.clock.Now())
 	provenOnly, err := ensure()
 	require.NoError(t, err)
-	require.False(t, provenOnly, "nobody can have accepted anything")
+	require.False(t, provenOnly, "no daemon can have accepted a change")
 	s.suspected = true
 	provenOnly, err = ensure()
 	require.NoError(t, err)
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -64,10 +64,10 @@
 // incarnation is the expected one; empty if it is not known.
 func (n *Node) sendHeartbeat(ctx context.Context, address, incarnation string) {
 	interval := settings.MS(n.settings.Timing.HeartbeatMS)
-	call, cancel := context.WithTimeout(ctx, interval)
+	callCtx, cancel := context.WithTimeout(ctx, interval)
 	defer cancel()
 	sent := n.clock.Now()
-	reply, err := n.peerClient.Heartbeat(call, address, n.heartbeat())
+	reply, err := n.peerClient.Heartbeat(callCtx, address, n.heartbeat())
 	if err == nil && (incarnation == "" || reply.From.Incarnation == incarnation) {
 		n.handleReply(ctx, reply, sent)
 		return
@@ -86,9 +86,9 @@
 func (n *Node) heartbeatMissed(incarnation string) {
 	n.missedMu.Lock()
 	n.missedHeartbeats[incarnation]++
-	over := n.missedHeartbeats[incarnation] >= n.settings.Timing.SuspectAfter
+	suspect := n.missedHeartbeats[incarnation] >= n.settings.Timing.SuspectAfter
 	n.missedMu.Unlock()
-	if over {
+	if suspect {
 		n.registry.Suspect(incarnation)
 	}
 }
--- a/internal/daemon/loops.go
+++ b/internal/daemon/loops.go
@@ -231,8 +231,8 @@
 // estimate adds the work that this daemon has sent since the report.
 func (n *Node) loadReportInterval() time.Duration {
 	bytes := float64(len(n.upstreams.All()) * loadReportBytes)
-	least := time.Duration(bytes / n.settings.Limits.ReportBytesPerSecond * float64(time.Second))
-	return max(least, settings.MS(n.settings.Timing.ReportMS))
+	minInterval := time.Duration(bytes / n.settings.Limits.ReportBytesPerSecond * float64(time.Second))
+	return max(minInterval, settings.MS(n.settings.Timing.ReportMS))
 }
 
 // pollLoadReports requests load reports from the upstreams, and counts a failure
@@ -264,8 +264,8 @@
 // stops new sessions of versions whose ratings are too low.
 func (n *Node) pollRatings(ctx context.Context) {
 	ranked := member.Rank("duty/ratings", member.Incarnations(n.registry.Live()))
-	at := slices.Index(ranked, n.incarnation)
-	if at >= 0 && at < ratingReaders {
+	rank := slices.Index(ranked, n.incarnation)
+	if rank >= 0 && rank < ratingReaders {
 		n.readRatings(ctx)
 	}
 	n.stopRegressedRollouts()
--- a/internal/daemon/module.go
+++ b/internal/daemon/module.go
@@ -205,9 +205,9 @@
 		drainCtx = ctx
 	}
 	p.CutRequests = p.node.Drain(drainCtx)
-	late := context.WithoutCancel(ctx)
-	const closing = 5 * time.Second
-	httpCtx, cancel := context.WithTimeout(late, closing)
+	uncanceled := context.WithoutCancel(ctx)
+	const closeTimeout = 5 * time.Second
+	httpCtx, cancel := context.WithTimeout(uncanceled, closeTimeout)
 	defer cancel()
 	if err := p.callerHTTP.Shutdown(httpCtx); err != nil {
 		p.callerHTTP.Close()
@@ -219,7 +219,7 @@
 	p.peerServer.Close()
 	p.node.peerClient.Close()
 	p.node.upstreamClient.Close()
-	err := p.flushTraces(late)
+	err := p.flushTraces(uncanceled)
 	slog.Info("daemon.stopped", "incarnation", p.node.incarnation, "cut", p.CutRequests)
 	return trace.Wrap(err)
 }
--- a/internal/daemon/node.go
+++ b/internal/daemon/node.go
@@ -321,9 +321,9 @@
 	}
 	// At a large site each answer has a new random sample of the daemons, so that
 	// callers are distributed over all of them.
-	if most := n.settings.Limits.EntriesListed; len(out) > most {
+	if maxEntries := n.settings.Limits.EntriesListed; len(out) > maxEntries {
 		rand.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
-		out = out[:most]
+		out = out[:maxEntries]
 	}
 	return out, settings.MS(n.settings.Timing.EntriesTTLMS)
 }
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -96,8 +96,8 @@
 	successor := ""
 	for _, id := range member.Rank("successor/"+n.incarnation, member.Incarnations(n.registry.Live())) {
 		d, _ := n.registry.Get(id)
-		call, cancel := context.WithTimeout(context.WithoutCancel(ctx), handoverTimeout)
-		err := n.peerClient.Handover(call, d.PeerAddress, request)
+		callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), handoverTimeout)
+		err := n.peerClient.Handover(callCtx, d.PeerAddress, request)
 		cancel()
 		if err == nil {
 			successor = id
--- a/internal/daemon/tls_test.go
+++ b/internal/daemon/tls_test.go
@@ -83,7 +83,7 @@
 	require.NoError(t, err)
 	_, foreign, err := loadTLS(theirs.settings(ours))
 	require.NoError(t, err)
-	_, misled, err := loadTLS(ours.settings(theirs))
+	_, wrongRoot, err := loadTLS(ours.settings(theirs))
 	require.NoError(t, err)
 	node := NewNode(settings.Defaults(), backing.NewMemory(), clockwork.NewFakeClock())
 	listener, err := peer.Listen("127.0.0.1:0", server, node)
@@ -96,7 +96,7 @@
 		"peer":                {own, true},
 		"no certificate":      {&tls.Config{RootCAs: own.RootCAs}, false},
 		"foreign certificate": {foreign, false},
-		"server not trusted":  {misled, false},
+		"server not trusted":  {wrongRoot, false},
 		"no encryption":       {nil, false},
 	} {
 		client := peer.NewClient(c.config)
