--- a/internal/daemon/loops.go
+++ b/internal/daemon/loops.go
@@ -128,7 +128,8 @@
 
 // configChanged runs after a new generation was activated. It triggers a
 // heartbeat: since each daemon does so, a generation reaches all daemons in a few
-// round trips.
+// round trips. Versions that were stopped at this daemon and have no Rollout row
+// in the new generation may get new sessions again.
 func (n *Node) configChanged() {
 	slog.Info("config.in_force", "generation", n.follower.Generation())
 	for _, ref := range n.credits.Stopped() {
