--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -7,11 +7,11 @@
 	"strings"
 )
 
-// digestPrefix starts each API key digest; 64 hex digits follow.
+// digestPrefix is the prefix of an API key digest. 64 hex digits follow it.
 const digestPrefix = "sha256:"
 
-// Check looks for faults in the merged document of a site. text is the
-// document under change, in which lines are looked up.
+// Check returns the problems of the merged document of a site. text is the
+// changed document; line numbers refer to it.
 func Check(doc Document, text []byte) []Problem {
 	c := &checker{doc: doc, text: text}
 	c.organisations()
@@ -22,6 +22,7 @@
 	return c.problems
 }
 
+// checker collects the problems of a document.
 type checker struct {
 	doc      Document
 	text     []byte
@@ -31,7 +32,7 @@
 func (c *checker) add(path, format string, args ...any) {
 	c.problems = append(c.problems, Problem{
 		Path:    path,
-		Line:    lineOf(c.text, path),
+		Line:    lineOfPath(c.text, path),
 		Message: fmt.Sprintf(format, args...),
 	})
 }
@@ -46,7 +47,7 @@
 	owner := map[string]string{}
 	for _, name := range slices.Sorted(maps.Keys(c.doc.Organisations)) {
 		org := c.doc.Organisations[name]
-		path := "/organisations/" + escape(name)
+		path := "/organisations/" + escapePointer(name)
 		for i, digest := range org.KeyDigests {
 			at := fmt.Sprintf("%s/key_digests/%d", path, i)
 			hex := strings.TrimPrefix(digest, digestPrefix)
@@ -85,13 +86,13 @@
 func (c *checker) models() {
 	states := []VersionState{RollingOut, Serving, Draining, Withdrawn}
 	for _, name := range slices.Sorted(maps.Keys(c.doc.Models)) {
-		path := "/models/" + escape(name)
+		path := "/models/" + escapePointer(name)
 		c.require(!strings.ContainsAny(name, "@/ "), path, "a model name has no '@', '/' or space")
 		c.require(name != "auto", path, `"auto" is not a model name`)
 		c.require(len(c.doc.Models[name].Versions) > 0, path+"/versions", "a model has at least one version")
 		for _, id := range slices.Sorted(maps.Keys(c.doc.Models[name].Versions)) {
 			v := c.doc.Models[name].Versions[id]
-			at := path + "/versions/" + escape(id)
+			at := path + "/versions/" + escapePointer(id)
 			c.require(!strings.ContainsAny(id, "@/ "), at, "a version has no '@', '/' or space")
 			c.require(slices.Contains(states, v.State), at+"/state", "unknown state %q, want one of %v", v.State, states)
 			c.require(v.InputPrice >= 0, at+"/input_price", "must not be negative")
@@ -103,7 +104,7 @@
 
 func (c *checker) priors(path string, v Version) {
 	for _, kind := range slices.Sorted(maps.Keys(v.Prior)) {
-		at := path + "/prior/" + escape(kind)
+		at := path + "/prior/" + escapePointer(kind)
 		_, known := c.doc.Kinds[kind]
 		c.require(known || kind == "default", at, "unknown kind %q", kind)
 		c.require(v.Prior[kind].Mean > 0 && v.Prior[kind].Mean < 1, at+"/mean", "must be between 0 and 1")
@@ -115,7 +116,7 @@
 	priorities := []Priority{"", PriorityInteractive, PriorityNormal, PriorityBatch}
 	for _, name := range slices.Sorted(maps.Keys(c.doc.Kinds)) {
 		k := c.doc.Kinds[name]
-		path := "/kinds/" + escape(name)
+		path := "/kinds/" + escapePointer(name)
 		c.require(k.QualityTarget > 0 && k.QualityTarget < 1, path+"/quality_target", "must be between 0 and 1")
 		c.require(k.DeadlineMS > 0, path+"/deadline_ms", "must be positive")
 		c.require(slices.Contains(priorities, k.Priority), path+"/priority", "unknown priority %q", k.Priority)
@@ -130,7 +131,7 @@
 
 func (c *checker) services() {
 	for _, name := range slices.Sorted(maps.Keys(c.doc.Services)) {
-		path := "/services/" + escape(name)
+		path := "/services/" + escapePointer(name)
 		c.require(c.doc.Services[name].DeadlineMS > 0, path+"/deadline_ms", "must be positive")
 		c.require(c.doc.Services[name].Price >= 0, path+"/price", "must not be negative")
 		for i, method := range c.doc.Services[name].RepeatableMethods {
@@ -158,28 +159,29 @@
 	c.require(r.FalseAcceptance >= 0 && r.FalseAcceptance < 0.5, "/rollouts/false_acceptance", "must be below 0.5")
 }
 
-// CheckOverlay looks for faults of an overlay against its base: it may narrow
-// what a version may do, never widen it.
+// CheckOverlay returns the problems of an overlay with regard to its base. An
+// overlay must not add versions, and may only make the state of a version more
+// restrictive.
 func CheckOverlay(base, merged Document, text []byte) []Problem {
 	c := &checker{doc: merged, text: text}
 	for _, name := range slices.Sorted(maps.Keys(merged.Models)) {
 		for _, id := range slices.Sorted(maps.Keys(merged.Models[name].Versions)) {
-			path := fmt.Sprintf("/models/%s/versions/%s", escape(name), escape(id))
+			path := fmt.Sprintf("/models/%s/versions/%s", escapePointer(name), escapePointer(id))
 			before, known := base.Models[name].Versions[id]
 			if !known {
 				c.add(path, "an overlay cannot add a version")
 				continue
 			}
 			after := merged.Models[name].Versions[id].State
-			c.require(restriction(after) >= restriction(before.State), path+"/state",
+			c.require(restrictiveness(after) >= restrictiveness(before.State), path+"/state",
 				"an overlay cannot make a %s version %s", before.State, after)
 		}
 	}
 	return c.problems
 }
 
-// restriction orders states by how little they allow.
-func restriction(s VersionState) int {
+// restrictiveness returns a number that is higher for states that allow less work.
+func restrictiveness(s VersionState) int {
 	switch s {
 	case Serving:
 		return 0
@@ -192,7 +194,7 @@
 	}
 }
 
-// escape makes name a JSON pointer segment.
-func escape(name string) string {
+// escapePointer escapes name as a segment of a JSON pointer.
+func escapePointer(name string) string {
 	return strings.NewReplacer("~", "~0", "/", "~1").Replace(name)
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -23,7 +23,9 @@
 	return string(text)
 }
 
-func TestExamplesOfBothSites(t *testing.T) {
+// Guards against example documents that the checks reject, and against a merge that
+// loses fields of the base which the overlay does not set.
+func TestExampleDocumentsAreValid(t *testing.T) {
 	base := []byte(example(t, "base.jsonc"))
 	for _, site := range []string{"gothenburg", "tbilisi"} {
 		require.NoError(t, CheckSite(base, []byte(example(t, "overlay-"+site+".jsonc")), false))
@@ -39,9 +41,9 @@
 	require.False(t, s.Allows("franchise-batumi", VersionRef{"mail-small", "2"}))
 }
 
-// A withdrawn version stays withdrawn, whether the document or the live row
-// says so.
-func TestWithdrawnWins(t *testing.T) {
+// Guards against new sessions for a withdrawn version when only one of the document
+// and the Rollout row has the state Withdrawn.
+func TestWithdrawnStateOverridesOthers(t *testing.T) {
 	a, b := VersionRef{"m", "1"}, VersionRef{"m", "2"}
 	doc := Document{Models: map[string]Model{"m": {Versions: map[string]Version{"1": {State: Withdrawn}, "2": {State: Serving}}}}}
 	s := NewSnapshot(1, doc, []Rollout{{VersionRef: a, State: Serving, Share: 1}, {VersionRef: b, State: Withdrawn}})
@@ -52,9 +54,9 @@
 	}
 }
 
-// The answer to an accepted change is lost and its id cannot be read. The
-// operator is told that the outcome is unknown, never that it failed; asking
-// again gives the truth, and the change does not take effect later.
+// Guards against reporting a change as failed when its outcome is unknown, and
+// against applying it twice. The commit or its response is lost, and the change row
+// cannot be read afterwards. Repeating the request returns the actual outcome.
 func TestChangeWithUnknownOutcome(t *testing.T) {
 	for _, action := range []backing.FaultAction{backing.FaultLoseAnswer, backing.FaultLoseRequest} {
 		memory := backing.NewMemory()
@@ -84,8 +86,8 @@
 	}
 }
 
-// The write is still on its way when the operator is told that it was not
-// accepted. It must not take effect afterwards.
+// Guards against a change that takes effect after it was reported as not accepted,
+// because its commit was delayed and reaches the store after the report.
 func TestDelayedWriteDoesNotTakeEffectLater(t *testing.T) {
 	memory := backing.NewMemory()
 	store := NewStore(memory, time.Now)
@@ -107,9 +109,9 @@
 	require.Zero(t, head.Generation)
 }
 
-// A follower reads while changes are made; rows of different generations must
-// not be mixed, and nothing older than what is in force is installed.
-func TestFollowerNeverMixesOrGoesBack(t *testing.T) {
+// Guards against a follower that installs rows of different generations, which were
+// read during changes, or a delta that is older than the active generation.
+func TestFollowerNeverMixesGenerationsOrGoesBack(t *testing.T) {
 	memory := backing.NewMemory()
 	store := NewStore(memory, time.Now)
 	clock := clockwork.NewFakeClock()
@@ -126,11 +128,11 @@
 		}
 		torn := follower.DeltaFor("s", Head{})
 		torn.Head.Generation += 100
-		torn.Head.Documents[baseTarget]++
+		torn.Head.Documents[baseName]++
 		require.False(t, peer.Install(torn))
 		require.NoError(t, follower.Refresh(ctx))
 		require.Equal(t, int64(n), follower.Current().Doc.Kinds["k"].DeadlineMS)
-		require.True(t, peer.Install(follower.DeltaFor("s", peer.Known())))
+		require.True(t, peer.Install(follower.DeltaFor("s", peer.Head())))
 		require.Equal(t, follower.Generation(), peer.Generation())
 		if n == 1 {
 			old = follower.DeltaFor("s", Head{})
@@ -140,22 +142,23 @@
 	}
 }
 
-// A daemon is paused. Its confirmation ages meanwhile, so that it asks before
-// it dispatches again.
-func TestConfirmationAgesFromTheQuestion(t *testing.T) {
+// Guards against a daemon that dispatches after a pause without reading the store,
+// because it takes its last confirmation as recent. A confirmation counts from the
+// time of its request, and does not apply to other generations.
+func TestConfirmationAgesFromRequestTime(t *testing.T) {
 	memory := backing.NewMemory()
 	store := NewStore(memory, time.Now)
 	clock := clockwork.NewFakeClock()
 	_, err := store.Apply(ctx, ApplyRequest{ChangeID: "c", Text: `{}`})
 	require.NoError(t, err)
 	f := NewFollower("s", store, clock)
-	require.Greater(t, f.Age(), time.Hour)
+	require.Greater(t, f.SinceConfirmed(), time.Hour)
 	require.NoError(t, f.Refresh(ctx))
-	require.Zero(t, f.Age())
+	require.Zero(t, f.SinceConfirmed())
 	clock.Advance(time.Minute)
-	require.Equal(t, time.Minute, f.Age())
+	require.Equal(t, time.Minute, f.SinceConfirmed())
 	f.Confirm(f.Generation()-1, clock.Now())
-	require.Equal(t, time.Minute, f.Age(), "an older generation confirms nothing")
+	require.Equal(t, time.Minute, f.SinceConfirmed(), "an older generation confirms nothing")
 	f.Confirm(f.Generation(), clock.Now().Add(-time.Second))
-	require.Equal(t, time.Second, f.Age())
+	require.Equal(t, time.Second, f.SinceConfirmed())
 }
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -14,11 +14,11 @@
 	"github.com/tailscale/hujson"
 )
 
-// Problem is one fault of a document.
+// Problem is one error in a document.
 type Problem struct {
-	// Path is the JSON pointer of the field.
+	// Path is the JSON pointer to the field.
 	Path string `json:"path"`
-	// Line counts from 1; 0 where the field is not in the document.
+	// Line is the line number from 1; 0 if the field is not in the document.
 	Line    int    `json:"line"`
 	Message string `json:"message"`
 }
@@ -47,13 +47,14 @@
 	return strings.Join(lines, "\n")
 }
 
-// DecodeStrict decodes JSON with comments into out. Unknown fields and wrong
-// types are an *InvalidError that names path and line.
+// DecodeStrict decodes JSON with comments and trailing commas into out. For syntax
+// errors, unknown fields and wrong types it returns an *InvalidError, with path and
+// line where they are known.
 func DecodeStrict(text []byte, out any) error {
 	return decode(text, out, json.RejectUnknownMembers(true))
 }
 
-// Decode is DecodeStrict that passes over unknown fields.
+// Decode is like DecodeStrict, but ignores unknown fields.
 func Decode(text []byte, out any) error { return decode(text, out) }
 
 func decode(text []byte, out any, options ...json.Options) error {
@@ -68,10 +69,11 @@
 	return &InvalidError{Problems: []Problem{decodeProblem(text, err)}}
 }
 
+// decodeProblem converts an error of the JSON decoder to a Problem.
 func decodeProblem(text []byte, err error) Problem {
 	var semantic *json.SemanticError
 	if errors.As(err, &semantic) {
-		p := Problem{Path: string(semantic.JSONPointer), Line: lineAt(text, semantic.ByteOffset)}
+		p := Problem{Path: string(semantic.JSONPointer), Line: lineAtOffset(text, semantic.ByteOffset)}
 		switch {
 		case errors.Is(err, json.ErrUnknownName):
 			p.Message = "unknown field"
@@ -86,16 +88,17 @@
 	if errors.As(err, &syntactic) {
 		return Problem{
 			Path:    string(syntactic.JSONPointer),
-			Line:    lineAt(text, syntactic.ByteOffset),
+			Line:    lineAtOffset(text, syntactic.ByteOffset),
 			Message: syntactic.Err.Error(),
 		}
 	}
 	return Problem{Message: err.Error()}
 }
 
-// lineAt returns the line of the first character after offset that is not
-// white space.
-func lineAt(text []byte, offset int64) int {
+// lineAtOffset returns the line of the first character at or after offset that is
+// not white space or one of the separators ',', ':' and '{'. The decoder reports
+// the offset before these.
+func lineAtOffset(text []byte, offset int64) int {
 	at := min(int(offset), len(text))
 	for at < len(text) && strings.IndexByte(" \t\r\n,:{", text[at]) >= 0 {
 		at++
@@ -103,8 +106,9 @@
 	return 1 + bytes.Count(text[:at], []byte("\n"))
 }
 
-// lineOf returns the line of the field at path, or 0.
-func lineOf(text []byte, path string) int {
+// lineOfPath returns the line of the field at path, or of its innermost parent
+// that is in the document, or 0.
+func lineOfPath(text []byte, path string) int {
 	root, err := hujson.Parse(text)
 	if err != nil {
 		return 0
@@ -122,20 +126,22 @@
 	}
 }
 
-// Parse decodes one document, base or overlay, without looking at others.
+// Parse decodes one document, which may be a base or an overlay, as in
+// DecodeStrict.
 func Parse(text []byte) (Document, error) {
 	var doc Document
 	err := DecodeStrict(text, &doc)
 	return doc, err
 }
 
-// Merge lays the overlay over the base. Either may be empty.
+// Merge returns the base with the overlay applied to it as a JSON merge patch.
+// Either may be empty.
 func Merge(base, overlay []byte) (Document, error) {
-	plain, err := standard(base)
+	plain, err := standardize(base)
 	if err != nil {
 		return Document{}, err
 	}
-	patch, err := standard(overlay)
+	patch, err := standardize(overlay)
 	if err != nil {
 		return Document{}, err
 	}
@@ -148,13 +154,13 @@
 	return doc, trace.Wrap(err)
 }
 
-// Difference returns the merge patch that turns one document into another.
+// Difference returns the JSON merge patch that converts one document to another.
 func Difference(from, to []byte) (string, error) {
-	a, err := standard(from)
+	a, err := standardize(from)
 	if err != nil {
 		return "", err
 	}
-	b, err := standard(to)
+	b, err := standardize(to)
 	if err != nil {
 		return "", err
 	}
@@ -162,7 +168,8 @@
 	return string(patch), trace.Wrap(err)
 }
 
-func standard(text []byte) ([]byte, error) {
+// standardize removes comments and trailing commas. An empty text becomes "{}".
+func standardize(text []byte) ([]byte, error) {
 	if len(bytes.TrimSpace(text)) == 0 {
 		return []byte("{}"), nil
 	}
