--- a/internal/backing/sweep.go
+++ b/internal/backing/sweep.go
@@ -7,13 +7,13 @@
 )
 
 // sweepPage is how many rows a sweep looks at in one call.
-const sweepPage = 200
+const sweepPageSize = 200
 
 // Sweep deletes the rows below a prefix that have expired, one page a call. It
 // starts after the key after and returns the last key it looked at, or "" when
 // it reached the end. A row that changes meanwhile stays.
 func Sweep(ctx context.Context, t Table, prefix, after string, expired func(Row) bool) (next string, deleted int, err error) {
-	rows, err := t.List(ctx, prefix, after, sweepPage)
+	rows, err := t.List(ctx, prefix, after, sweepPageSize)
 	if err != nil {
 		return after, 0, trace.Wrap(err)
 	}
@@ -27,7 +27,7 @@
 		}
 		deleted++
 	}
-	if len(rows) < sweepPage {
+	if len(rows) < sweepPageSize {
 		return "", deleted, nil
 	}
 	return rows[len(rows)-1].Key, deleted, nil
--- a/internal/settings/routes.go
+++ b/internal/settings/routes.go
@@ -64,7 +64,7 @@
 }
 
 // defaultExposure is what the first installations allow.
-const defaultExposure = 0.15
+const defaultExposureShare = 0.15
 
 // LoadRoutes reads a settings file with the section "routes". ok is false, and
 // nothing else is read, when the file has no such section.
@@ -82,7 +82,7 @@
 	if probe.Routes == nil {
 		return f, false, nil
 	}
-	f = RoutesFile{Routes: Routes{ExposureShare: defaultExposure}, LogLevel: "info", Trace: Trace{Exporter: "none"}}
+	f = RoutesFile{Routes: Routes{ExposureShare: defaultExposureShare}, LogLevel: "info", Trace: Trace{Exporter: "none"}}
 	if err := config.DecodeStrict(text, &f); err != nil {
 		return f, true, trace.BadParameter("%s: %v", path, err)
 	}
