--- a/internal/backing/client.go
+++ b/internal/backing/client.go
@@ -14,11 +14,11 @@
 	"github.com/gravitational/trace"
 )
 
-// CallTimeout bounds one call.
+// CallTimeout bounds one call, including connecting and reading the response.
 const CallTimeout = 2 * time.Second
 
-// Client speaks over HTTP to the services beside the platform's store: the
-// instance list and the service that rates answers. The paths are:
+// Client calls the platform's HTTP services other than its store: the instance
+// list and the service that rates answers. The paths are:
 //
 //	GET  /v1/instances            GET /v1/ratings?after=&limit=
 //	POST /v1/judgements
@@ -27,7 +27,7 @@
 	http *http.Client
 }
 
-// NewClient returns a client of the services at address (host:port).
+// NewClient returns a client for the services at address (host:port).
 func NewClient(address string) *Client {
 	transport := &http.Transport{
 		MaxIdleConnsPerHost: 16,
@@ -39,8 +39,9 @@
 	}
 }
 
-// do sends one request with in as its body, if it has one, and decodes the
-// answer into out.
+// do sends one request and decodes the JSON response into out. The body is the
+// JSON encoding of in; a nil in sends no body. An unreachable service and any
+// status other than 200 return trace.ConnectionProblem.
 func (c *Client) do(ctx context.Context, method, path string, in, out any) error {
 	var body io.Reader
 	if in != nil {
--- a/internal/backing/memory.go
+++ b/internal/backing/memory.go
@@ -10,8 +10,8 @@
 	"github.com/gravitational/trace"
 )
 
-// Memory is the in-memory fake of every platform service. It is safe for
-// concurrent use. The zero value is not usable; see NewMemory.
+// Memory is an in-memory fake of all platform services for tests. It is safe
+// for concurrent use. The zero value is not usable; use NewMemory.
 type Memory struct {
 	mu        sync.Mutex
 	revision  int64
@@ -23,30 +23,33 @@
 	fault     func(FaultPoint) FaultAction
 }
 
-// FaultPoint names the call that a fault hook is asked about.
+// FaultPoint describes the call that is passed to a fault hook.
 type FaultPoint struct {
-	// Op is "get", "list", "commit", "object" or "instances".
+	// Op is "get", "list", "commit", "object", "instances" or "ratings".
 	Op string
-	// Txn is the transaction of a commit.
+	// Txn is the transaction of a commit and nil for other calls.
 	Txn *Txn
 }
 
-// FaultAction is what the hook wants to happen to a call.
+// FaultAction is the result of a fault hook: what happens to the call. Calls
+// other than commits fail without effect on any action but FaultNone.
 type FaultAction int
 
 // Fault actions.
 const (
+	// FaultNone executes the call normally.
 	FaultNone FaultAction = iota
-	// FaultRefuse fails the call; nothing takes effect.
+	// FaultRefuse fails the call without effect.
 	FaultRefuse
-	// FaultLoseAnswer lets the call take effect and loses its answer.
+	// FaultLoseAnswer executes the commit but returns *UnknownOutcomeError.
 	FaultLoseAnswer
-	// FaultLoseRequest reports an unknown outcome although nothing took
-	// effect.
+	// FaultLoseRequest returns *UnknownOutcomeError without executing the
+	// commit.
 	FaultLoseRequest
 )
 
-// NewMemory returns an empty platform.
+// NewMemory returns a platform without rows, objects, instances and ratings. It
+// accepts every answer.
 func NewMemory() *Memory {
 	return &Memory{
 		rows:      map[string]Row{},
@@ -56,20 +59,22 @@
 	}
 }
 
-// SetFault installs a hook that is asked before each call; nil removes it.
+// SetFault installs a hook that is called before each platform call except
+// Judge; nil removes it. The hook must not call Memory, whose lock is held.
 func (m *Memory) SetFault(f func(FaultPoint) FaultAction) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.fault = f
 }
 
-// SetJudge installs the judge of answers.
+// SetJudge installs the function that accepts or rejects answers in Judge.
 func (m *Memory) SetJudge(f func(JudgeRequest) bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.judge = f
 }
 
+// action returns the result of the fault hook, if there is one. The lock is held.
 func (m *Memory) action(p FaultPoint) FaultAction {
 	if m.fault == nil {
 		return FaultNone
@@ -123,13 +128,14 @@
 	case FaultLoseRequest:
 		return 0, &UnknownOutcomeError{Cause: errRefused}
 	case FaultLoseAnswer:
-		// The answer is lost whether or not the checks held.
+		// The caller learns neither a success nor a failed check.
 		_, _ = m.apply(txn)
 		return 0, &UnknownOutcomeError{Cause: errRefused}
 	}
 	return m.apply(txn)
 }
 
+// apply executes a transaction. The lock is held.
 func (m *Memory) apply(txn Txn) (int64, error) {
 	for _, c := range txn.Checks {
 		if m.rows[c.Key].Revision != c.Revision {
@@ -183,14 +189,14 @@
 	return out, nil
 }
 
-// PutInstance adds or replaces an instance of the list.
+// PutInstance adds an instance to the list or replaces the one with its ID.
 func (m *Memory) PutInstance(i Instance) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.instances[i.ID] = i
 }
 
-// RemoveInstance takes an instance off the list.
+// RemoveInstance removes an instance from the list.
 func (m *Memory) RemoveInstance(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -209,7 +215,7 @@
 	return slices.Clone(m.ratings[start:end]), nil
 }
 
-// AddRating appends a rating to the feed and gives it the next number.
+// AddRating appends a rating to the feed with the next Seq.
 func (m *Memory) AddRating(r Rating) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/backing/sweep.go
+++ b/internal/backing/sweep.go
@@ -6,12 +6,14 @@
 	"github.com/gravitational/trace"
 )
 
-// sweepPage is how many rows a sweep looks at in one call.
+// sweepPageSize is the number of rows that one call of Sweep examines.
 const sweepPageSize = 200
 
-// Sweep deletes the rows below a prefix that have expired, one page a call. It
-// starts after the key after and returns the last key it looked at, or "" when
-// it reached the end. A row that changes meanwhile stays.
+// Sweep deletes the expired rows of one page, among the rows whose keys start
+// with prefix and are greater than after. It returns the last key of the page
+// as the start of the next call, or "" if this is the last page, and how many
+// expired rows the page had. A row that changes between reading and deletion is
+// kept but counted.
 func Sweep(ctx context.Context, t Table, prefix, after string, expired func(Row) bool) (next string, deleted int, err error) {
 	rows, err := t.List(ctx, prefix, after, sweepPageSize)
 	if err != nil {
--- a/internal/settings/routes.go
+++ b/internal/settings/routes.go
@@ -9,65 +9,72 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/config"
 )
 
-// RoutesFile is the settings file of a daemon that serves plain HTTP callers by
-// host and path, on a platform that holds the operator's declarations.
+// RoutesFile is the settings file of a daemon that routes plain HTTP requests by
+// host and path. The operator's configuration of such daemons is in the
+// platform's store.
 type RoutesFile struct {
 	Routes Routes `json:"routes"`
-	// LogLevel is debug, info, warn or error. Default info.
+	// LogLevel is debug, info, warn or error. The default is info.
 	LogLevel string `json:"log_level"`
 	Trace    Trace  `json:"trace"`
 }
 
-// Routes are the settings of the interface for plain HTTP callers.
+// Routes are the settings of a daemon that routes plain HTTP requests.
 type Routes struct {
-	// Instance is the name of the machine; FailureDomain and Site are where it
-	// runs.
+	// Instance is the name of the machine. FailureDomain and Site are its
+	// location.
 	Instance      string `json:"instance"`
 	FailureDomain string `json:"failure_domain"`
 	Site          string `json:"site"`
 	// FailureDomains maps every failure domain to its site.
 	FailureDomains map[string]string `json:"failure_domains"`
-	// CallerListen serves requests, ReadyListen the platform's checks,
-	// DirectoryListen callers that ask which daemons to use, PeerListen the
-	// other daemons, MetricsListen counters. All are host:port.
+	// The listen addresses are host:port. CallerListen is for callers' requests,
+	// ReadyListen for the platform's readiness checks, DirectoryListen for callers
+	// that ask which daemons to use, PeerListen for other daemons and MetricsListen
+	// for metrics.
 	CallerListen    string `json:"caller_listen"`
 	ReadyListen     string `json:"ready_listen"`
 	DirectoryListen string `json:"directory_listen"`
 	PeerListen      string `json:"peer_listen"`
 	MetricsListen   string `json:"metrics_listen"`
-	// Seeds are peer addresses of some daemons, which may be down.
+	// Seeds are the peer addresses of daemons to contact at start. Some of them
+	// may be down.
 	Seeds []string `json:"seeds"`
-	// Platform is the address of the platform's store.
+	// Platform is the address of the platform's store, host:port.
 	Platform string `json:"platform"`
-	// MemoryMB is what the process may use, Descriptors how many it may open.
+	// MemoryMB is the memory that the process may use, in MB. Descriptors is the
+	// number of file descriptors that it may open.
 	MemoryMB    int `json:"memory_mb"`
 	Descriptors int `json:"descriptors"`
-	// LinkMbps is what the instance's link carries, in Mbit/s; 0 is not known. Of the
-	// daemons of a failure domain those with wide links read the store for the others.
+	// LinkMbps is the capacity of the machine's network link, in Mbit/s; 0 means
+	// unknown. In a failure domain, daemons with fast links read the store on behalf
+	// of the others.
 	LinkMbps float64 `json:"link_mbps"`
 
-	// SessionS is the longest pause between the requests of a session.
+	// SessionS is the longest pause between two requests of a session, in seconds.
 	SessionS float64 `json:"session_s"`
-	// StopS is the time from SIGTERM until the process is killed.
+	// StopS is the time from SIGTERM until the process is killed, in seconds.
 	StopS float64 `json:"stop_s"`
-	// DrainMS is the time in which a leaving upstream instance must get
-	// nothing new.
+	// DrainMS is the time within which a leaving upstream instance must stop
+	// getting new requests, in milliseconds.
 	DrainMS int64 `json:"drain_ms"`
-	// ExposureShare is the largest part of a service's requests, 0 to 1, that a
-	// new version may get while its roll-out is under way. Default 0.15.
+	// ExposureShare is the largest fraction of a service's requests, above 0 and
+	// at most 1, that a new version may get during its roll-out. The default is 0.15.
 	ExposureShare float64 `json:"exposure_share"`
-	// RetryRatio, RetrySlack and RetryWindowS are the budget of repeats of all
-	// daemons: in a window, the ratio times the requests plus the slack.
+	// RetryRatio, RetrySlack and RetryWindowS are the retry budget of all daemons
+	// together: within a window of RetryWindowS seconds they may make RetryRatio
+	// times the number of requests plus RetrySlack retries.
 	RetryRatio   float64 `json:"retry_ratio"`
 	RetrySlack   float64 `json:"retry_slack"`
 	RetryWindowS float64 `json:"retry_window_s"`
 }
 
-// defaultExposure is what the first installations allow.
+// defaultExposureShare is the default of Routes.ExposureShare: the limit that the first
+// installations allow.
 const defaultExposureShare = 0.15
 
-// LoadRoutes reads a settings file with the section "routes". ok is false, and
-// nothing else is read, when the file has no such section.
+// LoadRoutes reads and checks a settings file with a section "routes". If the file
+// has no such section, ok is false and f is empty.
 func LoadRoutes(path string) (f RoutesFile, ok bool, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -89,7 +96,7 @@
 	return f, true, trace.Wrap(f.Routes.Check())
 }
 
-// Check looks for values that are missing or make no sense.
+// Check returns an error for the first setting that is missing or out of range.
 func (r Routes) Check() error {
 	for _, need := range []struct{ field, value string }{
 		{"failure_domain", r.FailureDomain}, {"caller_listen", r.CallerListen}, {"ready_listen", r.ReadyListen},
@@ -122,5 +129,5 @@
 	return nil
 }
 
-// Seconds converts a setting in seconds.
+// Seconds converts a number of seconds to a duration.
 func Seconds(v float64) time.Duration { return time.Duration(v * float64(time.Second)) }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,5 @@
-// Package settings reads a daemon's own settings file: JSON with comments.
+// Package settings reads the settings file of a daemon, which is JSON with
+// comments.
 package settings
 
 import (
@@ -12,47 +13,51 @@
 
 // Settings are the settings of one daemon.
 type Settings struct {
-	// Site names the overlay that applies. FailureDomain is where the daemon
-	// runs.
+	// Site selects the overlay of the configuration. FailureDomain is the failure
+	// domain in which the daemon runs.
 	Site          string `json:"site"`
 	FailureDomain string `json:"failure_domain"`
-	// Instance is the platform's name of the machine; only shown.
+	// Instance is the platform's name for the machine. It is only displayed.
 	Instance string `json:"instance"`
-	// Listen addresses, host:port; port 0 picks a free one.
+	// The listen addresses are host:port; port 0 selects a free port.
 	CallerListen   string `json:"caller_listen"`
 	OperatorListen string `json:"operator_listen"`
 	PeerListen     string `json:"peer_listen"`
-	// CallerURL and PeerAddress are told to others; the default is the address
-	// listened on.
+	// CallerURL and PeerAddress are announced to callers and peers. The defaults
+	// are the listen addresses.
 	CallerURL   string `json:"caller_url"`
 	PeerAddress string `json:"peer_address"`
 	// Platform is the platform's address, host:port.
 	Platform string `json:"platform"`
-	// Peers are peer addresses to start with; the platform's list adds more.
+	// Peers are the peer addresses to contact at start. The platform's instance
+	// list adds more.
 	Peers []string `json:"peers"`
-	// OperatorToken, when set, is asked of operators as a bearer token.
+	// OperatorToken, if not empty, is the bearer token that operators must send.
 	OperatorToken string `json:"operator_token"`
 	Limits        Limits `json:"limits"`
 	Timing        Timing `json:"timing"`
 	Trace         Trace  `json:"trace"`
 	TLS           TLS    `json:"tls"`
-	// LogLevel is debug, info, warn or error. Default info.
+	// LogLevel is debug, info, warn or error. The default is info.
 	LogLevel string `json:"log_level"`
 }
 
-// Limits bound what one daemon holds.
+// Limits bound the resources that one daemon uses.
 type Limits struct {
 	// MaxBodyBytes bounds request bodies. Default 4 MiB.
 	MaxBodyBytes int64 `json:"max_body_bytes"`
-	// MaxPendingBills bounds bills that wait for the store. Default 100000.
+	// MaxPendingBills bounds the bills that are not yet in the store. Default
+	// 100000.
 	MaxPendingBills int `json:"max_pending_bills"`
-	// AnswerBytes bounds the kept answers together. Default 64 MiB.
+	// AnswerBytes bounds the total size of the answers kept in memory. Default
+	// 64 MiB.
 	AnswerBytes int `json:"answer_bytes"`
-	// UpstreamsSeen bounds how many upstreams the daemon uses. Default 64.
+	// UpstreamsSeen bounds the number of upstreams that the daemon uses. Default 64.
 	UpstreamsSeen int `json:"upstreams_seen"`
-	// EntriesListed bounds the daemons named in a discovery answer. Default 16.
+	// EntriesListed bounds the number of daemons in a discovery response. Default 16.
 	EntriesListed int `json:"entries_listed"`
-	// ReportBytesPerSecond bounds the load reports asked for. Default 40000.
+	// ReportBytesPerSecond bounds the bytes of load reports that the daemon requests
+	// in a second. Default 40000.
 	ReportBytesPerSecond float64 `json:"report_bytes_per_second"`
 }
 
@@ -63,59 +68,65 @@
 	// SuspectAfter is the number of unanswered heartbeats after which a peer
 	// is suspected. Default 3.
 	SuspectAfter int `json:"suspect_after"`
-	// SealAfterMS is how long a daemon is suspect before its bills are
-	// closed by others. Default 10000.
+	// SealAfterMS is how long a daemon is suspected before other daemons close its
+	// bills. Default 10000.
 	SealAfterMS int64 `json:"seal_after_ms"`
-	// ConfigMS is the least time between reads of the configuration head. Default 1000.
+	// ConfigMS is the minimum time between two reads of the configuration head.
+	// Default 1000.
 	ConfigMS int64 `json:"config_ms"`
-	// FreshMS is how long a confirmed configuration is relied on. Default 3000.
+	// FreshMS is how long a configuration counts as current after it was
+	// confirmed. Default 3000.
 	FreshMS int64 `json:"fresh_ms"`
-	// RefuseMS is how long after its last confirmation a daemon cut off from
-	// store and peers still serves proven versions. Default 15000.
+	// RefuseMS is how long a daemon without contact to the store and to peers
+	// still serves proven versions, counted from the last confirmation of its
+	// configuration. Default 15000.
 	RefuseMS int64 `json:"refuse_ms"`
-	// ListMS is the least time between reads of the instance list. Default 1000.
+	// ListMS is the minimum time between two reads of the instance list. Default
+	// 1000.
 	ListMS int64 `json:"list_ms"`
-	// ReportMS is the least time between load reports. Default 500.
+	// ReportMS is the minimum time between two load reports. Default 500.
 	ReportMS int64 `json:"report_ms"`
 	// RatingMS is the time between reads of the ratings feed. Default 1000.
 	RatingMS int64 `json:"rating_ms"`
-	// RolloutMS is the time between steps of the roll-out duty. Default 1000.
+	// RolloutMS is the time between two steps of the daemon that runs a roll-out.
+	// Default 1000.
 	RolloutMS int64 `json:"rollout_ms"`
 	// LeaseMS is the duration of leases. Default 6000.
 	LeaseMS int64 `json:"lease_ms"`
-	// CommitMS is the least time between commits of bills. Default 1000.
+	// CommitMS is the minimum time between two commits of bills. Default 1000.
 	CommitMS int64 `json:"commit_ms"`
-	// TidyMS is the time between two rounds of moving old bills to the object
-	// store and deleting expired rows. Default 10000.
+	// TidyMS is the time between two clean-ups, which move old bills to the object
+	// store and delete expired rows. Default 10000.
 	TidyMS int64 `json:"tidy_ms"`
-	// HoldMS bounds a copy of bills to the peers. Default 300.
+	// HoldMS is the timeout for copying bills to peers. Default 300.
 	HoldMS int64 `json:"hold_ms"`
-	// EntriesTTLMS is how long callers may keep a discovery answer. Default 10000.
+	// EntriesTTLMS is how long callers may cache a discovery response. Default 10000.
 	EntriesTTLMS int64 `json:"entries_ttl_ms"`
-	// AnswerRetentionMS is how long ended answers are kept. Default 300000.
+	// AnswerRetentionMS is how long complete answers are kept. Default 300000.
 	AnswerRetentionMS int64 `json:"answer_retention_ms"`
-	// AbandonMS is how long an answer that nobody reads goes on. Default 10000.
+	// AbandonMS is how long an answer continues that no caller is reading. Default
+	// 10000.
 	AbandonMS int64 `json:"abandon_ms"`
-	// SessionMS is the life of a session. Default 86400000.
+	// SessionMS is the lifetime of a session. Default 86400000.
 	SessionMS int64 `json:"session_ms"`
-	// StopMS bounds a planned stop; what still runs then is cut and reported.
-	// Default 600000.
+	// StopMS bounds a planned stop. Requests that still run after it are cut off and
+	// reported. Default 600000.
 	StopMS int64 `json:"stop_ms"`
 }
 
-// Trace says where spans go.
+// Trace configures the export of trace spans.
 type Trace struct {
 	// Exporter is none, file or otlp. Default none.
 	Exporter string `json:"exporter"`
-	// File is the path for the file exporter.
+	// File is the path of the output of the file exporter.
 	File string `json:"file"`
-	// Endpoint is host:port of an OTLP collector over HTTP.
+	// Endpoint is the host:port of an OTLP/HTTP collector for the otlp exporter.
 	Endpoint string `json:"endpoint"`
 }
 
-// TLS holds paths of PEM files. With them set, the peer listener asks for
-// certificates signed by the CA, and the caller and operator listeners serve
-// HTTPS.
+// TLS has the paths of PEM files. If they are set, the peer listener requires
+// client certificates signed by the CA, and the caller and operator listeners
+// serve HTTPS.
 type TLS struct {
 	Cert string `json:"cert"`
 	Key  string `json:"key"`
@@ -125,7 +136,7 @@
 // Enabled reports whether TLS is configured.
 func (t TLS) Enabled() bool { return t.Cert != "" }
 
-// Defaults returns the settings used where a file says nothing.
+// Defaults returns the settings for everything that a file leaves out.
 func Defaults() Settings {
 	return Settings{
 		Site:           "default",
@@ -155,7 +166,7 @@
 	}
 }
 
-// Load reads a settings file over the defaults.
+// Load reads a settings file, fills in the defaults and checks the result.
 func Load(path string) (Settings, error) {
 	s := Defaults()
 	text, err := os.ReadFile(path)
@@ -168,7 +179,7 @@
 	return s, trace.Wrap(s.Check())
 }
 
-// Check looks for values that make no sense.
+// Check returns an error for the first setting that is missing or out of range.
 func (s Settings) Check() error {
 	switch {
 	case s.Platform == "":
@@ -195,5 +206,5 @@
 	return nil
 }
 
-// MS converts a setting in milliseconds.
+// MS converts a number of milliseconds to a duration.
 func MS(v int64) time.Duration { return time.Duration(v) * time.Millisecond }
