--- a/internal/settings/routes.go
+++ b/internal/settings/routes.go
@@ -98,23 +98,23 @@
 
 // Check returns an error for the first setting that is missing or out of range.
 func (r Routes) Check() error {
-	for _, need := range []struct{ field, value string }{
+	for _, required := range []struct{ field, value string }{
 		{"failure_domain", r.FailureDomain}, {"caller_listen", r.CallerListen}, {"ready_listen", r.ReadyListen},
 		{"directory_listen", r.DirectoryListen}, {"peer_listen", r.PeerListen}, {"platform", r.Platform},
 	} {
-		if need.value == "" {
-			return trace.BadParameter("/routes/%s: missing", need.field)
+		if required.value == "" {
+			return trace.BadParameter("/routes/%s: missing", required.field)
 		}
 	}
-	for _, need := range []struct {
+	for _, required := range []struct {
 		field string
 		value float64
 	}{
 		{"memory_mb", float64(r.MemoryMB)}, {"session_s", r.SessionS}, {"stop_s", r.StopS},
 		{"drain_ms", float64(r.DrainMS)}, {"retry_window_s", r.RetryWindowS},
 	} {
-		if need.value <= 0 {
-			return trace.BadParameter("/routes/%s: must be positive", need.field)
+		if required.value <= 0 {
+			return trace.BadParameter("/routes/%s: must be positive", required.field)
 		}
 	}
 	if r.ExposureShare <= 0 || r.ExposureShare > 1 {
