--- a/internal/backing/memory.go
+++ b/internal/backing/memory.go
@@ -10,8 +10,8 @@
 	"github.com/gravitational/trace"
 )
 
-// Memory is an in-memory fake of all platform services for tests. It is safe
-// for concurrent use. The zero value is not usable; use NewMemory.
+// Memory is an in-memory fake of all platform services, for tests and for the
+// stand-in of the platform. It is safe for concurrent use. The zero value is not usable; use NewMemory.
 type Memory struct {
 	mu        sync.Mutex
 	revision  int64
--- a/internal/backing/platform.go
+++ b/internal/backing/platform.go
@@ -1,8 +1,8 @@
 // Package backing defines the interfaces to the platform's services: the
 // transactional table, the object store, the instance list and the service that
-// rates answers. Memory fakes all of them for tests. In production, the platform
-// package implements the table and the object store, and Client the instance
-// list and the ratings.
+// rates answers. Memory fakes all of them. In production, the platform package
+// implements the table and the object store, and Client the instance list and
+// the ratings.
 package backing
 
 import (
