--- a/internal/session/keyring.go
+++ b/internal/session/keyring.go
@@ -132,7 +132,7 @@
 		}
 	}
 	if len(k.keys) == 0 {
-		return Key{}, trace.NotFound("no signing key has been loaded yet")
+		return Key{}, trace.NotFound("no signing key yet")
 	}
 	return k.keys[0], nil
 }
