--- a/cmd/hornbeamsill-standin/main.go
+++ b/cmd/hornbeamsill-standin/main.go
@@ -75,7 +75,7 @@
 			return nil, fmt.Errorf("--options: %w", err)
 		}
 		if engine.Platform != "" {
-			engine.Rate = standin.PostRating(engine.Platform)
+			engine.OnRating = standin.RatingPoster(engine.Platform)
 		}
 		return standin.NewEngine(engine).Handler(), nil
 	case "service":
--- a/cmd/hornbeamsilld/main.go
+++ b/cmd/hornbeamsilld/main.go
@@ -84,7 +84,7 @@
 		fmt.Fprintln(stderr, err)
 		return exitUsage
 	}
-	logs := telemetry.NewBounded(stdout)
+	logs := telemetry.NewLineWriter(stdout)
 	defer logs.Close()
 	if err := telemetry.SetupLogs(logs, f.LogLevel); err != nil {
 		fmt.Fprintln(stderr, err)
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -32,7 +32,7 @@
 )
 
 // globals are the options of every command.
-type globals struct {
+type globalOptions struct {
 	Daemon string `long:"daemon" default:"127.0.0.1:8481" env:"HORNBEAMSILL_DAEMON" description:"operator listener of any daemon"`
 	Output string `long:"output" choice:"text" choice:"json" default:"text" description:"form of the output"`
 	Token  string `long:"token" env:"HORNBEAMSILL_TOKEN" description:"operator token"`
@@ -40,13 +40,13 @@
 
 // app runs one command.
 type app struct {
-	globals
+	globalOptions
 	stdout io.Writer
 }
 
 // commands is the tree of commands. go-flags reads it by reflection.
 type commands struct {
-	globals
+	globalOptions
 	Config struct {
 		Check   configCheck   `command:"check" description:"check a document"`
 		Apply   configApply   `command:"apply" description:"bring a document into force"`
@@ -68,7 +68,7 @@
 	Evacuated evacuatedCommand `command:"evacuated" description:"list the evacuated failure domains"`
 	Entries   entriesCommand   `command:"entries" description:"list the daemons that callers may use"`
 	Entry     struct {
-		Check    entrySettings `command:"check" description:"check the settings of a daemon for plain HTTP callers"`
+		Check    entryCheck    `command:"check" description:"check the settings of a daemon for plain HTTP callers"`
 		Manifest entryManifest `command:"manifest" description:"check an operator's declaration"`
 		Show     entryShow     `command:"show" description:"show what such a daemon believes"`
 
@@ -102,14 +102,14 @@
 		if len(rest) > 0 {
 			return &flags.Error{Type: flags.ErrUnknown, Message: fmt.Sprintf("unexpected argument %q", rest[0])}
 		}
-		return cmd.run(&app{globals: c.globals, stdout: stdout})
+		return cmd.run(&app{globalOptions: c.globalOptions, stdout: stdout})
 	}
 	_, err := parser.ParseArgs(args)
-	return report(err, stdout, stderr)
+	return reportError(err, stdout, stderr)
 }
 
 // report prints an error and turns it into an exit code.
-func report(err error, stdout, stderr io.Writer) int {
+func reportError(err error, stdout, stderr io.Writer) int {
 	var usage *flags.Error
 	var invalid *config.InvalidError
 	var f *fault.Error
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -74,4 +74,4 @@
 	return trace.Wrap(w.Flush())
 }
 
-func line(w io.Writer, format string, args ...any) { fmt.Fprintf(w, format+"\n", args...) }
+func printLine(w io.Writer, format string, args ...any) { fmt.Fprintf(w, format+"\n", args...) }
--- a/internal/cli/commands.go
+++ b/internal/cli/commands.go
@@ -13,7 +13,7 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/operator"
 )
 
-type statusCommand struct{ leaf }
+type statusCommand struct{ noopCommander }
 
 func (c *statusCommand) run(a *app) error {
 	var s operator.Status
@@ -21,23 +21,23 @@
 		return err
 	}
 	return a.print(s, func(w io.Writer) {
-		line(w, "daemon\t%s", s.Incarnation)
-		line(w, "site\t%s (%s)", s.Site, s.FailureDomain)
-		line(w, "ready\t%v (stopping: %v)", s.Ready, s.Stopping)
-		line(w, "generation\t%d, confirmed %d ms ago", s.Generation, s.ConfirmedMS)
-		line(w, "requests\t%d running", s.Running)
-		line(w, "bills\t%d pending, %d held for peers", s.BillsPending, s.BillsHeld)
+		printLine(w, "daemon\t%s", s.Incarnation)
+		printLine(w, "site\t%s (%s)", s.Site, s.FailureDomain)
+		printLine(w, "ready\t%v (stopping: %v)", s.Ready, s.Stopping)
+		printLine(w, "generation\t%d, confirmed %d ms ago", s.Generation, s.ConfirmedMS)
+		printLine(w, "requests\t%d running", s.Running)
+		printLine(w, "bills\t%d pending, %d held for peers", s.BillsPending, s.BillsHeld)
 		for _, d := range s.Daemons {
-			line(w, "daemon\t%s\t%s\t%s\t%s", d.Incarnation, d.State, d.FailureDomain, d.CallerURL)
+			printLine(w, "daemon\t%s\t%s\t%s\t%s", d.Incarnation, d.State, d.FailureDomain, d.CallerURL)
 		}
 		for _, u := range s.Upstreams {
-			line(w, "upstream\t%s\t%s\t%s\trunning %d, queued %d, leaving %v, ejected %v\t%s",
+			printLine(w, "upstream\t%s\t%s\t%s\trunning %d, queued %d, leaving %v, ejected %v\t%s",
 				u.ID, u.Role, u.FailureDomain, u.Running, u.Queued, u.Leaving, u.Ejected, strings.Join(u.Versions, " "))
 		}
 	})
 }
 
-type versionsCommand struct{ leaf }
+type versionsCommand struct{ noopCommander }
 
 func (c *versionsCommand) run(a *app) error {
 	var rows []operator.VersionStatus
@@ -45,9 +45,9 @@
 		return err
 	}
 	return a.print(rows, func(w io.Writer) {
-		line(w, "VERSION\tSTATE\tSHARE\tGOOD\tBAD\tREASON")
+		printLine(w, "VERSION\tSTATE\tSHARE\tGOOD\tBAD\tREASON")
 		for _, v := range rows {
-			line(w, "%s\t%s\t%.2f\t%d\t%d\t%s", v.VersionRef, v.State, v.Share, v.Good, v.Bad, v.Reason)
+			printLine(w, "%s\t%s\t%.2f\t%d\t%d\t%s", v.VersionRef, v.State, v.Share, v.Good, v.Bad, v.Reason)
 		}
 	})
 }
@@ -59,7 +59,7 @@
 }
 
 type rolloutStart struct {
-	leaf
+	noopCommander
 	From string     `long:"from" value-name:"VERSION" description:"the version that is replaced"`
 	Args versionArg `positional-args:"yes"`
 }
@@ -69,7 +69,7 @@
 }
 
 type rolloutWithdraw struct {
-	leaf
+	noopCommander
 	Reason string     `long:"reason" description:"shown in the version list"`
 	Args   versionArg `positional-args:"yes"`
 }
@@ -84,11 +84,11 @@
 		return err
 	}
 	return a.print(out, func(w io.Writer) {
-		line(w, "%s@%s %s, generation %d", req.Model, req.Version, what, out.Generation)
+		printLine(w, "%s@%s %s, generation %d", req.Model, req.Version, what, out.Generation)
 	})
 }
 
-type rolloutStatus struct{ leaf }
+type rolloutStatus struct{ noopCommander }
 
 func (c *rolloutStatus) run(a *app) error {
 	var rows []config.Rollout
@@ -96,15 +96,15 @@
 		return err
 	}
 	return a.print(rows, func(w io.Writer) {
-		line(w, "VERSION\tSTATE\tSTAGE\tSHARE\tGOOD\tBAD\tFROM\tREASON")
+		printLine(w, "VERSION\tSTATE\tSTAGE\tSHARE\tGOOD\tBAD\tFROM\tREASON")
 		for _, r := range rows {
-			line(w, "%s\t%s\t%d\t%.2f\t%d\t%d\t%s\t%s", r.VersionRef, r.State, r.Stage, r.Share, r.Good, r.Bad, r.From, r.Reason)
+			printLine(w, "%s\t%s\t%d\t%.2f\t%d\t%d\t%s\t%s", r.VersionRef, r.State, r.Stage, r.Share, r.Good, r.Bad, r.From, r.Reason)
 		}
 	})
 }
 
 type ledgerList struct {
-	leaf
+	noopCommander
 	Organisation string `long:"organisation" value-name:"O" description:"only this organisation"`
 }
 
@@ -114,14 +114,14 @@
 		return err
 	}
 	return a.print(rows, func(w io.Writer) {
-		line(w, "REQUEST\tORGANISATION\tKIND\tSTATE\tAMOUNT\tCLOSED")
+		printLine(w, "REQUEST\tORGANISATION\tKIND\tSTATE\tAMOUNT\tCLOSED")
 		for _, b := range rows {
-			line(w, "%s\t%s\t%s%s\t%s\t%d\t%s", b.RequestID, b.Organisation, b.Kind, b.Service, b.State, b.Amount, b.Closed.Format(time.RFC3339))
+			printLine(w, "%s\t%s\t%s%s\t%s\t%d\t%s", b.RequestID, b.Organisation, b.Kind, b.Service, b.State, b.Amount, b.Closed.Format(time.RFC3339))
 		}
 	})
 }
 
-type entriesCommand struct{ leaf }
+type entriesCommand struct{ noopCommander }
 
 func (c *entriesCommand) run(a *app) error {
 	var rows []caller.Entry
@@ -129,14 +129,14 @@
 		return err
 	}
 	return a.print(rows, func(w io.Writer) {
-		line(w, "URL\tINSTANCE\tFAILURE DOMAIN\tKEY PREFIX")
+		printLine(w, "URL\tINSTANCE\tFAILURE DOMAIN\tKEY PREFIX")
 		for _, e := range rows {
-			line(w, "%s\t%s\t%s\t%s", e.URL, e.Instance, e.FailureDomain, e.KeyPrefix)
+			printLine(w, "%s\t%s\t%s\t%s", e.URL, e.Instance, e.FailureDomain, e.KeyPrefix)
 		}
 	})
 }
 
-type keysRotate struct{ leaf }
+type keysRotate struct{ noopCommander }
 
 func (c *keysRotate) run(a *app) error {
 	var out struct {
@@ -145,5 +145,5 @@
 	if err := a.call(http.MethodPost, "/v1/keys/rotate", nil, &out); err != nil {
 		return err
 	}
-	return a.print(out, func(w io.Writer) { line(w, "%d keys are accepted", out.Keys) })
+	return a.print(out, func(w io.Writer) { printLine(w, "%d keys are accepted", out.Keys) })
 }
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -18,10 +18,10 @@
 
 // leaf makes a command acceptable to go-flags, which calls Execute only
 // through the command handler.
-type leaf struct{}
+type noopCommander struct{}
 
 // Execute implements flags.Commander.
-func (leaf) Execute([]string) error { return nil }
+func (noopCommander) Execute([]string) error { return nil }
 
 // fileArg is the document on the command line.
 type fileArg struct {
@@ -29,7 +29,7 @@
 }
 
 type configCheck struct {
-	leaf
+	noopCommander
 	Overlay string  `long:"overlay" value-name:"SITE" description:"check FILE as the overlay of a site, with the daemon's base"`
 	Base    string  `long:"with-base" value-name:"FILE" description:"check FILE as an overlay with this base, without a daemon"`
 	Args    fileArg `positional-args:"yes"`
@@ -57,11 +57,11 @@
 	if err := config.CheckSite(base, overlay, isBase); err != nil {
 		return err
 	}
-	return a.print(map[string]bool{"valid": true}, func(w io.Writer) { line(w, "%s is valid", c.Args.File) })
+	return a.print(map[string]bool{"valid": true}, func(w io.Writer) { printLine(w, "%s is valid", c.Args.File) })
 }
 
 type configApply struct {
-	leaf
+	noopCommander
 	Base     bool    `long:"base" description:"FILE is the base"`
 	Overlay  string  `long:"overlay" value-name:"SITE" description:"FILE is the overlay of a site"`
 	From     int64   `long:"from-revision" required:"true" value-name:"N" description:"the revision FILE was edited from; 0 for the first"`
@@ -88,7 +88,7 @@
 		return err
 	}
 	return a.print(applied.Change, func(w io.Writer) {
-		line(w, "%s is at revision %d, generation %d (change %s)", applied.Change.Target, applied.Change.Revision, applied.Change.Generation, applied.Change.ID)
+		printLine(w, "%s is at revision %d, generation %d (change %s)", applied.Change.Target, applied.Change.Revision, applied.Change.Generation, applied.Change.ID)
 	})
 }
 
@@ -110,7 +110,7 @@
 }
 
 type configShow struct {
-	leaf
+	noopCommander
 	Site string `long:"site" description:"site whose overlay is shown; default the daemon's"`
 }
 
@@ -120,14 +120,14 @@
 		return err
 	}
 	return a.print(shown, func(w io.Writer) {
-		line(w, "// generation %d (in force here: %d)", shown.Head.Generation, shown.Generation)
-		line(w, "// base, revision %d\n%s", shown.Base.Revision, shown.Base.Text)
-		line(w, "// overlay %s, revision %d\n%s", shown.Site, shown.Overlay.Revision, shown.Overlay.Text)
+		printLine(w, "// generation %d (in force here: %d)", shown.Head.Generation, shown.Generation)
+		printLine(w, "// base, revision %d\n%s", shown.Base.Revision, shown.Base.Text)
+		printLine(w, "// overlay %s, revision %d\n%s", shown.Site, shown.Overlay.Revision, shown.Overlay.Text)
 	})
 }
 
 type configHistory struct {
-	leaf
+	noopCommander
 	Overlay string `long:"overlay" value-name:"SITE" description:"history of a site's overlay; default the base"`
 }
 
@@ -137,9 +137,9 @@
 		return err
 	}
 	return a.print(rows, func(w io.Writer) {
-		line(w, "REVISION\tGENERATION\tAT\tAUTHOR\tCHANGE")
+		printLine(w, "REVISION\tGENERATION\tAT\tAUTHOR\tCHANGE")
 		for _, r := range rows {
-			line(w, "%d\t%d\t%s\t%s\t%s", r.Revision, r.Generation, r.At.Format(time.RFC3339), r.Author, r.ChangeID)
+			printLine(w, "%d\t%d\t%s\t%s\t%s", r.Revision, r.Generation, r.At.Format(time.RFC3339), r.Author, r.ChangeID)
 		}
 	})
 }
--- a/internal/cli/entry.go
+++ b/internal/cli/entry.go
@@ -14,12 +14,12 @@
 )
 
 // entrySettings checks the settings of a daemon for plain HTTP callers.
-type entrySettings struct {
-	leaf
+type entryCheck struct {
+	noopCommander
 	Args fileArg `positional-args:"yes"`
 }
 
-func (c *entrySettings) run(a *app) error {
+func (c *entryCheck) run(a *app) error {
 	f, ok, err := settings.LoadRoutes(c.Args.File)
 	if err == nil && !ok {
 		err = trace.BadParameter("%s: /routes: missing", c.Args.File)
@@ -28,13 +28,13 @@
 		return err
 	}
 	return a.print(f, func(w io.Writer) {
-		line(w, "settings are valid\t%s in %s", f.Routes.Instance, f.Routes.FailureDomain)
+		printLine(w, "settings are valid\t%s in %s", f.Routes.Instance, f.Routes.FailureDomain)
 	})
 }
 
 // entryManifest checks an operator's declaration.
 type entryManifest struct {
-	leaf
+	noopCommander
 	Args fileArg `positional-args:"yes"`
 }
 
@@ -48,17 +48,17 @@
 		return err
 	}
 	return a.print(catalog.Routes(), func(w io.Writer) {
-		line(w, "version\t%d", catalog.Version)
+		printLine(w, "version\t%d", catalog.Version)
 		for _, r := range catalog.Routes() {
-			line(w, "route\t%s\t%s%s\t%s\ttimeout %v\tobjective %v\tattempts %d", r.Name, r.Host, r.Prefix, r.Kind, r.Timeout, r.Objective, r.MaxAttempts)
+			printLine(w, "route\t%s\t%s%s\t%s\ttimeout %v\tobjective %v\tattempts %d", r.Name, r.Host, r.Prefix, r.Kind, r.Timeout, r.Objective, r.MaxAttempts)
 		}
 	})
 }
 
 // entryShow shows what a daemon believes.
 type entryShow struct {
-	leaf
-	metricsArg
+	noopCommander
+	metricsOption
 }
 
 func (c *entryShow) run(a *app) error {
@@ -66,7 +66,7 @@
 	if err := c.get(entry.BeliefsPath, &b); err != nil {
 		return err
 	}
-	return a.print(b, func(w io.Writer) { showBeliefs(w, b) })
+	return a.print(b, func(w io.Writer) { printStatus(w, b) })
 }
 
 // limitText is the limit that an instance names, in requests a second.
@@ -77,25 +77,25 @@
 	return fmt.Sprintf("%g/s", v.Limit)
 }
 
-func showBeliefs(w io.Writer, b entry.Beliefs) {
-	line(w, "daemon\t%s\tready %v\treads the store %v\tstale %v", b.Instance, b.Ready, b.Reader, b.Stale())
-	line(w, "config\tversion %d\t%d ms old\tbody limit %d bytes", b.Config.Version, b.Config.AgeMS, b.Config.Limits.BodyBytes)
+func printStatus(w io.Writer, b entry.Beliefs) {
+	printLine(w, "daemon\t%s\tready %v\treads the store %v\tstale %v", b.Instance, b.Ready, b.Reader, b.Stale())
+	printLine(w, "config\tversion %d\t%d ms old\tbody limit %d bytes", b.Config.Version, b.Config.AgeMS, b.Config.Limits.BodyBytes)
 	for _, r := range b.Config.Routes {
-		line(w, "route\t%s\t%s%s\t%s\t%v", r.Name, r.Host, r.Prefix, r.Kind, r.Backends)
+		printLine(w, "route\t%s\t%s%s\t%s\t%v", r.Name, r.Host, r.Prefix, r.Kind, r.Backends)
 	}
-	line(w, "list\trevision %d\t%d ms old", b.List.Revision, b.List.AgeMS)
+	printLine(w, "list\trevision %d\t%d ms old", b.List.Revision, b.List.AgeMS)
 	for service, views := range b.List.Instances {
 		for _, v := range views {
-			line(w, "upstream\t%s\t%s\t%s\t%s\topen %d\tejected %v\twarming %v\tlimit %s", service, v.Instance.ID, v.Instance.Address, v.Instance.Version, v.Open, v.Ejected, v.Warming, limitText(v))
+			printLine(w, "upstream\t%s\t%s\t%s\t%s\topen %d\tejected %v\twarming %v\tlimit %s", service, v.Instance.ID, v.Instance.Address, v.Instance.Version, v.Open, v.Ejected, v.Warming, limitText(v))
 		}
 	}
 	for _, e := range b.Evacuations {
-		line(w, "evacuated\t%s\tfor %d ms\topen %d", e.FailureDomain, e.SinceMS, e.Open)
+		printLine(w, "evacuated\t%s\tfor %d ms\topen %d", e.FailureDomain, e.SinceMS, e.Open)
 	}
 	for _, s := range b.Rollouts {
-		line(w, "rollout\t%s\tto %s\t%s\tshare %.2f", s.Service, s.To, s.Phase, s.Share)
+		printLine(w, "rollout\t%s\tto %s\t%s\tshare %.2f", s.Service, s.To, s.Phase, s.Share)
 	}
 	for _, d := range b.Daemons {
-		line(w, "daemon\t%s\t%s\t%s\t%s", d.PeerAddress, d.State, d.FailureDomain, d.CallerURL)
+		printLine(w, "daemon\t%s\t%s\t%s\t%s", d.PeerAddress, d.State, d.FailureDomain, d.CallerURL)
 	}
 }
--- a/internal/cli/evacuate.go
+++ b/internal/cli/evacuate.go
@@ -24,32 +24,32 @@
 }
 
 type evacuateCommand struct {
-	leaf
+	noopCommander
 	siteOption
 	Args domainArg `positional-args:"yes"`
 }
 
 func (c *evacuateCommand) run(a *app) error {
-	return c.change(a, "is evacuated", c.Args.FailureDomain, func(overlay []byte) ([]byte, error) {
+	return c.applyEdit(a, "is evacuated", c.Args.FailureDomain, func(overlay []byte) ([]byte, error) {
 		return config.Evacuate(overlay, c.Args.FailureDomain, time.Now())
 	})
 }
 
 type restoreCommand struct {
-	leaf
+	noopCommander
 	siteOption
 	Args domainArg `positional-args:"yes"`
 }
 
 func (c *restoreCommand) run(a *app) error {
-	return c.change(a, "is in use again", c.Args.FailureDomain, func(overlay []byte) ([]byte, error) {
+	return c.applyEdit(a, "is in use again", c.Args.FailureDomain, func(overlay []byte) ([]byte, error) {
 		return config.Restore(overlay, c.Args.FailureDomain)
 	})
 }
 
 // change applies a changed overlay to the revision that it was made from. Somebody else's
 // change in between is a conflict, and nothing is done.
-func (o *siteOption) change(a *app, what, domain string, edit func(overlay []byte) ([]byte, error)) error {
+func (o *siteOption) applyEdit(a *app, what, domain string, edit func(overlay []byte) ([]byte, error)) error {
 	shown, err := a.documents(o.Site)
 	if err != nil {
 		return err
@@ -66,13 +66,13 @@
 		return err
 	}
 	return a.print(applied.Change, func(w io.Writer) {
-		line(w, "%s of %s %s, generation %d", domain, shown.Site, what, applied.Change.Generation)
+		printLine(w, "%s of %s %s, generation %d", domain, shown.Site, what, applied.Change.Generation)
 	})
 }
 
 // evacuatedCommand lists the evacuated failure domains with what still runs there.
 type evacuatedCommand struct {
-	leaf
+	noopCommander
 	siteOption
 }
 
@@ -104,8 +104,8 @@
 
 // entryEvacuated lists the evacuations that a daemon for plain HTTP callers has in force.
 type entryEvacuated struct {
-	leaf
-	metricsArg
+	noopCommander
+	metricsOption
 }
 
 func (c *entryEvacuated) run(a *app) error {
@@ -118,9 +118,9 @@
 
 func (a *app) printEvacuations(rows []entry.Evacuation) error {
 	return a.print(rows, func(w io.Writer) {
-		line(w, "FAILURE DOMAIN\tSINCE\tSTILL RUNNING")
+		printLine(w, "FAILURE DOMAIN\tSINCE\tSTILL RUNNING")
 		for _, e := range rows {
-			line(w, "%s\t%v\t%d", e.FailureDomain, (time.Duration(e.SinceMS) * time.Millisecond).Round(time.Second), e.Open)
+			printLine(w, "%s\t%v\t%d", e.FailureDomain, (time.Duration(e.SinceMS) * time.Millisecond).Round(time.Second), e.Open)
 		}
 	})
 }
--- a/internal/cli/quarantine.go
+++ b/internal/cli/quarantine.go
@@ -14,12 +14,12 @@
 )
 
 // metricsArg names the daemon that a command speaks to.
-type metricsArg struct {
+type metricsOption struct {
 	Metrics string `long:"metrics" required:"true" value-name:"HOST:PORT" description:"metrics listener of the daemon"`
 }
 
 // get fetches what the daemon shows at a path into out.
-func (m metricsArg) get(path string, out any) error {
+func (m metricsOption) get(path string, out any) error {
 	resp, err := http.Get("http://" + m.Metrics + path)
 	if err != nil {
 		return trace.Wrap(err)
@@ -33,8 +33,8 @@
 
 // entryQuarantine lists the requests that are refused because they crash instances.
 type entryQuarantine struct {
-	leaf
-	metricsArg
+	noopCommander
+	metricsOption
 }
 
 func (c *entryQuarantine) run(a *app) error {
@@ -43,9 +43,9 @@
 		return err
 	}
 	return a.print(reply, func(w io.Writer) {
-		line(w, "DIGEST\tORGANISATION\tROUTE\tSTATE\tENDED")
+		printLine(w, "DIGEST\tORGANISATION\tROUTE\tSTATE\tENDED")
 		for _, r := range reply.Requests {
-			line(w, "%s\t%s\t%s\t%s\t%s", r.Digest, r.Organisation, r.Route, quarantineState(r), strings.Join(r.Ended, " "))
+			printLine(w, "%s\t%s\t%s\t%s\t%s", r.Digest, r.Organisation, r.Route, quarantineState(r), strings.Join(r.Ended, " "))
 		}
 	})
 }
@@ -64,8 +64,8 @@
 
 // entryRelease lets a quarantined request run again.
 type entryRelease struct {
-	leaf
-	metricsArg
+	noopCommander
+	metricsOption
 	Args struct {
 		Digest string `positional-arg-name:"DIGEST" required:"true"`
 	} `positional-args:"yes"`
@@ -85,5 +85,5 @@
 		text, _ := io.ReadAll(io.LimitReader(resp.Body, 1<<10))
 		return trace.Errorf("the daemon answered %d: %s", resp.StatusCode, strings.TrimSpace(string(text)))
 	}
-	return a.print(d, func(w io.Writer) { line(w, "released\t%s", d) })
+	return a.print(d, func(w io.Writer) { printLine(w, "released\t%s", d) })
 }
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -66,7 +66,7 @@
 )
 
 // Answer is how a kind is reported over HTTP.
-type Answer struct {
+type Response struct {
 	// Status is the HTTP status code.
 	Status int
 	// RetryAfter is the default time after which coming back helps; zero
@@ -74,7 +74,7 @@
 	RetryAfter time.Duration
 }
 
-var answers = map[Kind]Answer{
+var responses = map[Kind]Response{
 	BadRequest:       {Status: http.StatusBadRequest},
 	MissingKey:       {Status: http.StatusUnauthorized},
 	UnknownKey:       {Status: http.StatusUnauthorized},
@@ -117,8 +117,8 @@
 
 // Kinds returns every kind, in no particular order.
 func Kinds() []Kind {
-	kinds := make([]Kind, 0, len(answers))
-	for k := range answers {
+	kinds := make([]Kind, 0, len(responses))
+	for k := range responses {
 		kinds = append(kinds, k)
 	}
 	return kinds
@@ -126,11 +126,11 @@
 
 // AnswerFor returns the table's row for kind. An unknown kind is answered as
 // Internal.
-func AnswerFor(kind Kind) Answer {
-	if a, ok := answers[kind]; ok {
+func AnswerFor(kind Kind) Response {
+	if a, ok := responses[kind]; ok {
 		return a
 	}
-	return answers[Internal]
+	return responses[Internal]
 }
 
 // Error is the typed failure that reaches a caller or an operator.
--- a/internal/standin/batch.go
+++ b/internal/standin/batch.go
@@ -11,12 +11,12 @@
 )
 
 // steps runs decoding steps while there is work.
-func (e *Engine) steps() {
-	defer e.loop.Done()
+func (e *Engine) runSteps() {
+	defer e.stepLoop.Done()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		pause := e.step()
+		pause := e.beginStep()
 		if pause == 0 {
 			select {
 			case <-e.wake:
@@ -31,13 +31,13 @@
 		case <-e.done:
 			return
 		}
-		e.emit()
+		e.finishStep()
 	}
 }
 
 // step admits waiting attempts and returns how long the next step takes; 0
 // when there is nothing to run.
-func (e *Engine) step() time.Duration {
+func (e *Engine) beginStep() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var prefill time.Duration
@@ -48,12 +48,12 @@
 			continue
 		}
 		e.running = append(e.running, r)
-		cached := e.cache.use(prompt(r.attempt.Chat))
+		cached := e.cache.lookup(promptText(r.attempt.Chat))
 		profile := e.options.Profiles[r.attempt.Chat.Model]
 		prefill += time.Duration(profile.PrefillTime) * time.Duration(r.usage.PromptTokens-cached)
 	}
 	if len(e.running) == 0 {
-		e.tokens = 0
+		e.tokensPerSecond = 0
 		return 0
 	}
 	var slowest time.Duration
@@ -63,23 +63,23 @@
 	slowdown := (1 + e.options.BatchSlowdown*float64(len(e.running)-1)) * cmp.Or(e.faults.Slowdown, 1)
 	pause := time.Duration(float64(slowest)*slowdown) + prefill
 	pause = max(pause, time.Microsecond)
-	e.tokens = float64(len(e.running)) / pause.Seconds()
+	e.tokensPerSecond = float64(len(e.running)) / pause.Seconds()
 	return pause
 }
 
 // emit gives every running attempt its next token.
-func (e *Engine) emit() {
+func (e *Engine) finishStep() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.running = slices.DeleteFunc(e.running, func(r *run) bool {
+	e.running = slices.DeleteFunc(e.running, func(r *attemptRun) bool {
 		if !r.cancelled {
-			e.token(r)
+			e.addToken(r)
 		}
 		return r.ended()
 	})
 }
 
-func (e *Engine) token(r *run) {
+func (e *Engine) addToken(r *attemptRun) {
 	n := len(r.events)
 	event := upstream.Event{Attempt: r.attempt.ID, Offset: n}
 	if n < len(r.words) {
@@ -91,15 +91,15 @@
 		usage := r.usage
 		event.Usage = &usage
 		r.finished = true
-		e.rate(r)
+		e.scheduleRating(r)
 	}
 	r.events = append(r.events, event)
 	r.notify()
 }
 
 // rate has a share of the finished answers rated later.
-func (e *Engine) rate(r *run) {
-	if e.options.Rate == nil || e.random.Float64() >= e.options.RateShare {
+func (e *Engine) scheduleRating(r *attemptRun) {
+	if e.options.OnRating == nil || e.rng.Float64() >= e.options.RateShare {
 		return
 	}
 	model, version, _ := strings.Cut(r.attempt.Chat.Model, "@")
@@ -110,5 +110,5 @@
 		Kind:      r.attempt.Kind,
 		Good:      r.good,
 	}
-	time.AfterFunc(time.Duration(e.options.RateDelay), func() { e.options.Rate(rating) })
+	time.AfterFunc(time.Duration(e.options.RateDelay), func() { e.options.OnRating(rating) })
 }
--- a/internal/standin/dev.go
+++ b/internal/standin/dev.go
@@ -42,15 +42,15 @@
 	}
 	d.PlatformAddress = address
 	for _, options := range devEngines() {
-		options.Rate = d.Platform.Memory.AddRating
+		options.OnRating = d.Platform.Memory.AddRating
 		engine := NewEngine(options)
 		d.Engines = append(d.Engines, engine)
-		if err := d.list(engine, backing.Instance{ID: options.Instance, Role: backing.RoleEngine, FailureDomain: "local"}); err != nil {
+		if err := d.register(engine, backing.Instance{ID: options.Instance, Role: backing.RoleEngine, FailureDomain: "local"}); err != nil {
 			return nil, err
 		}
 	}
 	d.Service = NewService("folders")
-	if err := d.list(d.Service, backing.Instance{ID: "folders-1", Role: backing.RoleService, Service: "folders", FailureDomain: "local"}); err != nil {
+	if err := d.register(d.Service, backing.Instance{ID: "folders-1", Role: backing.RoleService, Service: "folders", FailureDomain: "local"}); err != nil {
 		return nil, err
 	}
 	store := config.NewStore(platform.Table{Store: platform.NewStore(address)}, time.Now)
@@ -58,7 +58,7 @@
 	return d, trace.Wrap(err)
 }
 
-func (d *Dev) serve(h handled) (string, error) {
+func (d *Dev) serve(h handlerProvider) (string, error) {
 	server, err := Serve("127.0.0.1:0", h.Handler())
 	if err != nil {
 		return "", err
@@ -68,7 +68,7 @@
 }
 
 // list serves an upstream and puts it on the platform's list.
-func (d *Dev) list(h handled, i backing.Instance) error {
+func (d *Dev) register(h handlerProvider, i backing.Instance) error {
 	address, err := d.serve(h)
 	if err != nil {
 		return trace.Wrap(err)
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -71,11 +71,11 @@
 	// Platform is the address of the platform stand-in that takes ratings.
 	Platform string `json:"platform"`
 	// Rate takes the ratings when the platform runs in this process.
-	Rate func(backing.Rating) `json:"-"`
+	OnRating func(backing.Rating) `json:"-"`
 }
 
 // run is one attempt inside the engine.
-type run struct {
+type attemptRun struct {
 	attempt   upstream.Attempt
 	events    []upstream.Event
 	good      bool
@@ -87,9 +87,9 @@
 	changed chan struct{}
 }
 
-func (r *run) ended() bool { return r.finished || r.cancelled }
+func (r *attemptRun) ended() bool { return r.finished || r.cancelled }
 
-func (r *run) notify() {
+func (r *attemptRun) notify() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
@@ -99,24 +99,24 @@
 type Engine struct {
 	options EngineOptions
 
-	mu       sync.Mutex
-	random   *rand.Rand
-	serving  map[string]bool // false while loading
-	running  []*run
-	waiting  []*run
-	attempts map[string]*run
-	requests map[string][]*run
-	fence    int64
-	orders   int
-	leaving  bool
-	faults   EngineFaults
-	reports  []upstream.LoadReport
-	reportAt []time.Time
-	cache    prefixCache
-	tokens   float64
-	wake     chan struct{}
-	done     chan struct{}
-	loop     sync.WaitGroup
+	mu              sync.Mutex
+	rng             *rand.Rand
+	serving         map[string]bool // false while loading
+	running         []*attemptRun
+	waiting         []*attemptRun
+	attempts        map[string]*attemptRun
+	requests        map[string][]*attemptRun
+	fence           int64
+	orders          int
+	leaving         bool
+	faults          EngineFaults
+	reports         []upstream.LoadReport
+	reportTimes     []time.Time
+	cache           prefixCache
+	tokensPerSecond float64
+	wake            chan struct{}
+	done            chan struct{}
+	stepLoop        sync.WaitGroup
 }
 
 // NewEngine returns an engine that runs until Close.
@@ -125,30 +125,30 @@
 	options.QueueLimit = cmp.Or(options.QueueLimit, 64)
 	e := &Engine{
 		options:  options,
-		random:   rand.New(rand.NewPCG(options.Seed, 1)),
+		rng:      rand.New(rand.NewPCG(options.Seed, 1)),
 		serving:  map[string]bool{},
-		attempts: map[string]*run{},
-		requests: map[string][]*run{},
-		cache:    prefixCache{limit: cmp.Or(options.CacheTokens, 4096)},
+		attempts: map[string]*attemptRun{},
+		requests: map[string][]*attemptRun{},
+		cache:    prefixCache{maxWords: cmp.Or(options.CacheTokens, 4096)},
 		wake:     make(chan struct{}, 1),
 		done:     make(chan struct{}),
 	}
 	for _, v := range options.Serving {
 		e.serving[v] = true
 	}
-	e.loop.Add(1)
-	go e.steps()
+	e.stepLoop.Add(1)
+	go e.runSteps()
 	return e
 }
 
 // Close stops the engine.
 func (e *Engine) Close() {
 	close(e.done)
-	e.loop.Wait()
+	e.stepLoop.Wait()
 }
 
 // start queues an attempt, or says why it does not.
-func (e *Engine) start(a upstream.Attempt) (*run, upstream.RefusalReason) {
+func (e *Engine) enqueue(a upstream.Attempt) (*attemptRun, upstream.RefusalReason) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	ready := e.serving[a.Chat.Model]
@@ -166,7 +166,7 @@
 	e.attempts[a.ID] = r
 	e.requests[a.RequestID] = append(e.requests[a.RequestID], r)
 	e.waiting = append(e.waiting, r)
-	slices.SortStableFunc(e.waiting, func(x, y *run) int { return y.attempt.Priority - x.attempt.Priority })
+	slices.SortStableFunc(e.waiting, func(x, y *attemptRun) int { return y.attempt.Priority - x.attempt.Priority })
 	select {
 	case e.wake <- struct{}{}:
 	default:
@@ -174,19 +174,19 @@
 	return r, ""
 }
 
-func (e *Engine) newRun(a upstream.Attempt) *run {
+func (e *Engine) newRun(a upstream.Attempt) *attemptRun {
 	profile := e.options.Profiles[a.Chat.Model]
 	quality, ok := profile.Quality[a.Kind]
 	if !ok {
 		quality = profile.Quality[""]
 	}
-	r := &run{attempt: a, changed: make(chan struct{}), good: e.random.Float64() < quality}
+	r := &attemptRun{attempt: a, changed: make(chan struct{}), good: e.rng.Float64() < quality}
 	count := cmp.Or(profile.Tokens, 16)
 	if a.Chat.MaxTokens > 0 {
 		count = min(count, a.Chat.MaxTokens)
 	}
 	r.words = answerWords(a, count, r.good)
-	r.usage.PromptTokens = len(strings.Fields(prompt(a.Chat)))
+	r.usage.PromptTokens = len(strings.Fields(promptText(a.Chat)))
 	return r
 }
 
@@ -204,7 +204,7 @@
 	return words
 }
 
-func prompt(chat upstream.ChatRequest) string {
+func promptText(chat upstream.ChatRequest) string {
 	var b strings.Builder
 	for _, m := range chat.Messages {
 		b.WriteString(m.Content)
@@ -225,7 +225,7 @@
 }
 
 // order obeys or refuses an order.
-func (e *Engine) order(o upstream.Order) upstream.RefusalReason {
+func (e *Engine) applyOrder(o upstream.Order) upstream.RefusalReason {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.options.Fencing != "ignore" {
@@ -247,11 +247,11 @@
 		return ""
 	}
 	e.serving[name] = false
-	time.AfterFunc(time.Duration(e.options.LoadTime), func() { e.loaded(name) })
+	time.AfterFunc(time.Duration(e.options.LoadTime), func() { e.finishLoad(name) })
 	return ""
 }
 
-func (e *Engine) loaded(name string) {
+func (e *Engine) finishLoad(name string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if _, wanted := e.serving[name]; wanted {
@@ -260,29 +260,29 @@
 }
 
 // report returns the load as it was ReportLag ago.
-func (e *Engine) report() upstream.LoadReport {
+func (e *Engine) delayedReport() upstream.LoadReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
-	e.reports = append(e.reports, e.current())
-	e.reportAt = append(e.reportAt, now)
+	e.reports = append(e.reports, e.currentReport())
+	e.reportTimes = append(e.reportTimes, now)
 	lag := time.Duration(e.options.ReportLag)
-	for len(e.reports) > 1 && now.Sub(e.reportAt[1]) >= lag {
+	for len(e.reports) > 1 && now.Sub(e.reportTimes[1]) >= lag {
 		e.reports = e.reports[1:]
-		e.reportAt = e.reportAt[1:]
+		e.reportTimes = e.reportTimes[1:]
 	}
 	report := e.reports[0]
-	report.AgeMS = now.Sub(e.reportAt[0]).Milliseconds()
+	report.AgeMS = now.Sub(e.reportTimes[0]).Milliseconds()
 	return report
 }
 
-func (e *Engine) current() upstream.LoadReport {
+func (e *Engine) currentReport() upstream.LoadReport {
 	report := upstream.LoadReport{
 		Instance:        e.options.Instance,
 		Running:         len(e.running),
 		Queued:          len(e.waiting),
 		Slots:           e.options.Slots,
-		TokensPerSecond: e.tokens,
+		TokensPerSecond: e.tokensPerSecond,
 		Leaving:         e.leaving && !e.faults.HideLeaving,
 		Fence:           e.fence,
 	}
@@ -347,7 +347,7 @@
 	return out
 }
 
-func (c *EngineCounts) add(r *run) {
+func (c *EngineCounts) add(r *attemptRun) {
 	text := ""
 	if len(r.attempt.Chat.Messages) > 0 {
 		text = r.attempt.Chat.Messages[0].Content
--- a/internal/standin/engine_http.go
+++ b/internal/standin/engine_http.go
@@ -45,7 +45,7 @@
 }
 
 // takeCut reports after how many events this connection is cut; 0 never.
-func (e *Engine) takeCut() int {
+func (e *Engine) nextCut() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.CutAfter == 0 {
@@ -71,7 +71,7 @@
 		c.JSON(http.StatusOK, gin.H{})
 	})
 	r.GET("/v1/usage", func(c *gin.Context) { c.JSON(http.StatusOK, e.usage(c.Query("request"))) })
-	r.GET("/v1/load", func(c *gin.Context) { c.JSON(http.StatusOK, e.report()) })
+	r.GET("/v1/load", func(c *gin.Context) { c.JSON(http.StatusOK, e.delayedReport()) })
 	r.POST("/v1/orders", e.postOrder)
 	r.GET("/standin/counts", func(c *gin.Context) { c.JSON(http.StatusOK, e.Counts()) })
 	r.POST("/standin/faults", func(c *gin.Context) {
@@ -95,7 +95,7 @@
 	if !bind(c, &a.Chat) {
 		return
 	}
-	r, refused := e.start(a)
+	r, refused := e.enqueue(a)
 	if refused != "" {
 		c.JSON(http.StatusConflict, upstream.Refusal{Refused: refused})
 		return
@@ -106,7 +106,7 @@
 	if noAnswer {
 		panic(http.ErrAbortHandler)
 	}
-	e.serve(c, r, 0)
+	e.streamEvents(c, r, 0)
 }
 
 func (e *Engine) getStream(c *gin.Context) {
@@ -122,15 +122,15 @@
 		c.AbortWithStatus(http.StatusNotFound)
 		return
 	}
-	e.serve(c, r, after+1)
+	e.streamEvents(c, r, after+1)
 }
 
 // serve writes the events of r from offset next on, as they come.
-func (e *Engine) serve(c *gin.Context, r *run, next int) {
+func (e *Engine) streamEvents(c *gin.Context, r *attemptRun, next int) {
 	c.Header("Content-Type", "text/event-stream")
 	c.Writer.WriteHeaderNow()
 	c.Writer.Flush()
-	w := &eventWriter{c: c, cut: e.takeCut()}
+	w := &eventWriter{c: c, cutAfter: e.nextCut()}
 	for {
 		e.mu.Lock()
 		events := r.events[next:]
@@ -153,38 +153,38 @@
 
 // eventWriter writes events with the faults asked for.
 type eventWriter struct {
-	c      *gin.Context
-	faults EngineFaults
-	cut    int
-	sent   int
-	held   *upstream.Event
+	c        *gin.Context
+	faults   EngineFaults
+	cutAfter int
+	sent     int
+	held     *upstream.Event
 }
 
 func (w *eventWriter) write(events []upstream.Event) {
 	for _, event := range events {
-		if w.cut > 0 && w.sent == w.cut {
+		if w.cutAfter > 0 && w.sent == w.cutAfter {
 			w.c.Writer.Flush()
 			panic(http.ErrAbortHandler)
 		}
 		w.sent++
-		w.one(event)
+		w.writeEvent(event)
 	}
 	w.c.Writer.Flush()
 }
 
-func (w *eventWriter) one(event upstream.Event) {
+func (w *eventWriter) writeEvent(event upstream.Event) {
 	if w.faults.Reorder && w.held == nil && !event.Last() {
 		w.held = &event
 		return
 	}
-	w.put(event)
+	w.send(event)
 	if w.held != nil {
-		w.put(*w.held)
+		w.send(*w.held)
 		w.held = nil
 	}
 }
 
-func (w *eventWriter) put(event upstream.Event) {
+func (w *eventWriter) send(event upstream.Event) {
 	data, _ := json.Marshal(event)
 	fmt.Fprintf(w.c.Writer, "id: %s/%d\ndata: %s\n\n", event.Attempt, event.Offset, data)
 	if w.faults.Duplicate {
@@ -207,7 +207,7 @@
 		c.JSON(http.StatusTooManyRequests, upstream.Refusal{Refused: upstream.RefusedBusy})
 		return
 	}
-	if refused := e.order(o); refused != "" {
+	if refused := e.applyOrder(o); refused != "" {
 		c.JSON(http.StatusConflict, upstream.Refusal{Refused: refused})
 		return
 	}
@@ -231,7 +231,7 @@
 }
 
 // PostRating returns a function that sends ratings to a platform stand-in.
-func PostRating(address string) func(backing.Rating) {
+func RatingPoster(address string) func(backing.Rating) {
 	return func(r backing.Rating) {
 		data, _ := json.Marshal(r)
 		resp, err := http.Post("http://"+address+"/standin/ratings", "application/json", bytes.NewReader(data))
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -42,21 +42,21 @@
 // Platform serves the platform's store, and the list, the ratings and the judge
 // of a backing.Memory, over HTTP.
 type Platform struct {
-	Memory  *backing.Memory
-	Store   *platformtest.Store
-	options PlatformOptions
-	weights *rate.Limiter
+	Memory        *backing.Memory
+	Store         *platformtest.Store
+	options       PlatformOptions
+	weightLimiter *rate.Limiter
 
-	mu       sync.Mutex
-	fault    PlatformFault
-	lost     bool // the answer to a write was lost
-	previous []listing
-	commits  int
-	reads    int
+	mu         sync.Mutex
+	fault      PlatformFault
+	answerLost bool // the answer to a write was lost
+	listings   []instanceListing
+	writes     int
+	reads      int
 }
 
 // listing is the instance list as it was at a moment.
-type listing struct {
+type instanceListing struct {
 	at        time.Time
 	instances []backing.Instance
 }
@@ -68,11 +68,11 @@
 		limit = rate.Limit(options.WeightsPerSecond)
 	}
 	return &Platform{
-		Memory:  memory,
-		Store:   platformtest.NewStore(),
-		options: options,
-		weights: rate.NewLimiter(limit, 1),
-		fault:   FaultNone,
+		Memory:        memory,
+		Store:         platformtest.NewStore(),
+		options:       options,
+		weightLimiter: rate.NewLimiter(limit, 1),
+		fault:         FaultNone,
 	}
 }
 
@@ -98,11 +98,11 @@
 func (p *Platform) injectFault(c *gin.Context) {
 	p.mu.Lock()
 	fault := p.fault
-	refuseReads := p.lost
+	refuseReads := p.answerLost
 	if c.Request.Method == http.MethodGet {
 		p.reads++
 	} else {
-		p.commits++
+		p.writes++
 	}
 	p.mu.Unlock()
 	switch fault {
@@ -116,7 +116,7 @@
 			return
 		}
 		p.mu.Lock()
-		p.lost = true
+		p.answerLost = true
 		p.mu.Unlock()
 		c.Writer = &discardWriter{ResponseWriter: c.Writer}
 		c.Next()
@@ -143,11 +143,11 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	p.previous = append(p.previous, listing{at: now, instances: current})
-	for len(p.previous) > 1 && now.Sub(p.previous[1].at) >= p.options.ListLag {
-		p.previous = p.previous[1:]
+	p.listings = append(p.listings, instanceListing{at: now, instances: current})
+	for len(p.listings) > 1 && now.Sub(p.listings[1].at) >= p.options.ListLag {
+		p.listings = p.listings[1:]
 	}
-	c.JSON(http.StatusOK, p.previous[0].instances)
+	c.JSON(http.StatusOK, p.listings[0].instances)
 }
 
 func (p *Platform) getRatings(c *gin.Context) {
@@ -170,7 +170,7 @@
 }
 
 func (p *Platform) getWeights(c *gin.Context) {
-	if !p.weights.Allow() {
+	if !p.weightLimiter.Allow() {
 		c.AbortWithStatus(http.StatusTooManyRequests)
 		return
 	}
@@ -187,7 +187,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.fault = in.Fault
-	p.lost = false
+	p.answerLost = false
 	c.JSON(http.StatusOK, gin.H{})
 }
 
@@ -217,7 +217,7 @@
 func (p *Platform) counts(c *gin.Context) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c.JSON(http.StatusOK, gin.H{"writes": p.commits, "reads": p.reads})
+	c.JSON(http.StatusOK, gin.H{"writes": p.writes, "reads": p.reads})
 }
 
 // bind decodes the JSON body into out and answers 400 when it cannot.
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -31,4 +31,4 @@
 func (s *Server) Close() { _ = s.http.Close() }
 
 // handled is a stand-in with an HTTP interface.
-type handled interface{ Handler() http.Handler }
+type handlerProvider interface{ Handler() http.Handler }
--- a/internal/telemetry/bounded.go
+++ b/internal/telemetry/bounded.go
@@ -11,35 +11,35 @@
 const (
 	// queuedLines is how many lines wait for a writer that is slow: some
 	// seconds of a busy daemon.
-	queuedLines = 4096
+	queueLength = 4096
 	// linesPerSecond bounds the lines about requests that are kept: ten times what a
 	// daemon at its usual load writes, and under a hundredth of a core.
-	linesPerSecond = 400
+	requestLinesPerSecond = 400
 	// othersPerSecond bounds all other lines. They tell of what a daemon believes and
 	// decides, are few, and explain what became of the requests beside them.
-	othersPerSecond = 100
+	otherLinesPerSecond = 100
 )
 
 // aboutRequest is in each line about one request.
-var aboutRequest = []byte(" request=")
+var requestAttribute = []byte(" request=")
 
 // Bounded writes lines in the background. A line that finds no room is dropped
 // and counted, so that a slow reader of the logs never holds up a request.
-type Bounded struct {
+type LineWriter struct {
 	lines   chan []byte
 	done    chan struct{}
 	dropped atomic.Int64
 }
 
 // NewBounded returns a writer in front of w.
-func NewBounded(w io.Writer) *Bounded {
-	b := &Bounded{lines: make(chan []byte, queuedLines), done: make(chan struct{})}
+func NewLineWriter(w io.Writer) *LineWriter {
+	b := &LineWriter{lines: make(chan []byte, queueLength), done: make(chan struct{})}
 	go b.run(w)
 	return b
 }
 
 // Write implements io.Writer; it never blocks and never fails.
-func (b *Bounded) Write(line []byte) (int, error) {
+func (b *LineWriter) Write(line []byte) (int, error) {
 	select {
 	case b.lines <- append([]byte(nil), line...):
 	default:
@@ -49,15 +49,15 @@
 }
 
 // Dropped is the number of lines that were not written.
-func (b *Bounded) Dropped() int64 { return b.dropped.Load() }
+func (b *LineWriter) Dropped() int64 { return b.dropped.Load() }
 
 // Close writes what waits and ends. Nothing may be written after it.
-func (b *Bounded) Close() {
+func (b *LineWriter) Close() {
 	close(b.lines)
 	<-b.done
 }
 
-func (b *Bounded) run(w io.Writer) {
+func (b *LineWriter) run(w io.Writer) {
 	defer close(b.done)
 	second, reported := time.Now(), int64(0)
 	requests, others := 0, 0
@@ -71,9 +71,9 @@
 		}
 		// Counted together, a burst of refusals drops the one line that tells which
 		// configuration came into force, or what was lost, in that second.
-		written, most := &others, othersPerSecond
-		if bytes.Contains(line, aboutRequest) {
-			written, most = &requests, linesPerSecond
+		written, most := &others, otherLinesPerSecond
+		if bytes.Contains(line, requestAttribute) {
+			written, most = &requests, requestLinesPerSecond
 		}
 		if *written++; *written > most {
 			b.dropped.Add(1)
--- a/internal/telemetry/bounded_test.go
+++ b/internal/telemetry/bounded_test.go
@@ -11,10 +11,10 @@
 // Callers are refused by the thousand, and a configuration comes into force in the same
 // second. Operators look for the line that says so, and do not find it: it was one line too
 // many, after those of the requests.
-func TestLinesOfRequestsLeaveRoomForOthers(t *testing.T) {
+func TestRequestLinesDoNotCrowdOutOtherLines(t *testing.T) {
 	var out bytes.Buffer
-	b := NewBounded(&out)
-	for i := range 3 * linesPerSecond {
+	b := NewLineWriter(&out)
+	for i := range 3 * requestLinesPerSecond {
 		fmt.Fprintf(b, "msg=request.done request=%d status=503\n", i)
 	}
 	fmt.Fprintln(b, "msg=config.in_force version=13")
--- a/test/capacity/bytes.go
+++ b/test/capacity/bytes.go
@@ -23,17 +23,17 @@
 )
 
 // counter forwards TCP connections and counts their bytes, both ways.
-type counter struct {
+type countingProxy struct {
 	listener net.Listener
 	bytes    atomic.Int64
 }
 
-func newCounter(target string) (*counter, error) {
+func newCountingProxy(target string) (*countingProxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	c := &counter{listener: l}
+	c := &countingProxy{listener: l}
 	go func() {
 		for {
 			in, err := l.Accept()
@@ -52,7 +52,7 @@
 	return c, nil
 }
 
-func (c *counter) pipe(to io.WriteCloser, from io.Reader) {
+func (c *countingProxy) pipe(to io.WriteCloser, from io.Reader) {
 	defer to.Close()
 	buffer := make([]byte, 64<<10)
 	for {
@@ -65,7 +65,7 @@
 }
 
 // per returns the bytes of one of n calls, after one to warm up.
-func (c *counter) per(n int, call func() error) (float64, error) {
+func (c *countingProxy) bytesPerCall(n int, call func() error) (float64, error) {
 	if err := call(); err != nil {
 		return 0, err
 	}
@@ -79,38 +79,38 @@
 }
 
 // peerPair is a daemon that serves its peers and a counted way to it.
-type peerPair struct {
-	node    *daemon.Node
-	client  *peer.Client
-	counter *counter
+type countedPeer struct {
+	node   *daemon.Node
+	client *peer.Client
+	proxy  *countingProxy
 }
 
-func newPeerPair() (*peerPair, error) {
+func newCountedPeer() (*countedPeer, error) {
 	s := settings.Defaults()
 	node := daemon.NewNode(s, backing.NewMemory(), clock)
 	server, err := peer.Listen("127.0.0.1:0", nil, node)
 	if err != nil {
 		return nil, err
 	}
-	c, err := newCounter(server.Address())
+	c, err := newCountingProxy(server.Address())
 	if err != nil {
 		return nil, err
 	}
-	return &peerPair{node: node, client: peer.NewClient(nil), counter: c}, nil
+	return &countedPeer{node: node, client: peer.NewClient(nil), proxy: c}, nil
 }
 
-func (p *peerPair) address() string { return p.counter.listener.Addr().String() }
+func (p *countedPeer) address() string { return p.proxy.listener.Addr().String() }
 
 // sized measures the bytes of a call for each size.
-func sized(name, per string, sizes []int, prepare func(p *peerPair, n int) func() error) (slope, error) {
+func bytesBySize(name, per string, sizes []int, prepare func(p *countedPeer, n int) func() error) (slope, error) {
 	var failed error
 	s := measure(name, "B", per, sizes, func(n int) float64 {
-		p, err := newPeerPair()
+		p, err := newCountedPeer()
 		if err != nil {
 			failed = err
 			return 0
 		}
-		b, err := p.counter.per(20, prepare(p, n))
+		b, err := p.proxy.bytesPerCall(20, prepare(p, n))
 		if err != nil {
 			failed = err
 		}
@@ -125,9 +125,9 @@
 	kinds := []struct {
 		name, per string
 		sizes     []int
-		prepare   func(p *peerPair, n int) func() error
+		prepare   func(p *countedPeer, n int) func() error
 	}{
-		{"heartbeat, both ways, with n pieces of news each way", "piece of news", []int{0, 4, 16}, func(p *peerPair, n int) func() error {
+		{"heartbeat, both ways, with n pieces of news each way", "piece of news", []int{0, 4, 16}, func(p *countedPeer, n int) func() error {
 			h := p.node.Heartbeat()
 			h.News = nil
 			for i := range n {
@@ -139,13 +139,13 @@
 				return err
 			}
 		}},
-		{"whole table of daemons", "daemon", []int{100, 400, 1300}, func(p *peerPair, n int) func() error {
+		{"whole table of daemons", "daemon", []int{100, 400, 1300}, func(p *countedPeer, n int) func() error {
 			for i := range n {
 				p.node.Registry().Merge([]member.Daemon{daemonEntry(i)})
 			}
 			return func() error { _, err := p.client.Members(ctx, p.address()); return err }
 		}},
-		{"copies of bills to one holder", "bill", []int{1, 16, 128}, func(p *peerPair, n int) func() error {
+		{"copies of bills to one holder", "bill", []int{1, 16, 128}, func(p *countedPeer, n int) func() error {
 			var bills []ledger.Bill
 			for i := range n {
 				bills = append(bills, billOf(incarnation, i, ledger.Open))
@@ -154,7 +154,7 @@
 				return p.client.HoldBills(ctx, p.address(), peer.HoldRequest{Owner: incarnation, Bills: bills})
 			}
 		}},
-		{"demand of organisations", "organisation", []int{1, 10, 100}, func(p *peerPair, n int) func() error {
+		{"demand of organisations", "organisation", []int{1, 10, 100}, func(p *countedPeer, n int) func() error {
 			var d []limit.Demand
 			for i := range n {
 				d = append(d, limit.Demand{Organisation: fmt.Sprintf("org-%d", i), Used: 0.123456789})
@@ -164,7 +164,7 @@
 				return err
 			}
 		}},
-		{"rating summary", "version and kind", []int{10, 40, 120}, func(p *peerPair, n int) func() error {
+		{"rating summary", "version and kind", []int{10, 40, 120}, func(p *countedPeer, n int) func() error {
 			var ratings []backing.Rating
 			for i := range n {
 				ratings = append(ratings, backing.Rating{Seq: int64(i + 1), Model: fmt.Sprintf("model-%d", i%19), Version: "1", Kind: fmt.Sprintf("kind-%d", i/19), Good: true})
@@ -175,7 +175,7 @@
 	}
 	var out []slope
 	for _, k := range kinds {
-		s, err := sized(k.name, k.per, k.sizes, k.prepare)
+		s, err := bytesBySize(k.name, k.per, k.sizes, k.prepare)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", k.name, err)
 		}
@@ -226,13 +226,13 @@
 			return 0
 		}
 		defer server.Close()
-		c, err := newCounter(server.Address())
+		c, err := newCountingProxy(server.Address())
 		if err != nil {
 			failed = err
 			return 0
 		}
 		client := upstream.NewClient(time.Second)
-		b, err := c.per(20, func() error {
+		b, err := c.bytesPerCall(20, func() error {
 			_, err := client.Load(context.Background(), c.listener.Addr().String())
 			return err
 		})
--- a/test/capacity/main.go
+++ b/test/capacity/main.go
@@ -42,9 +42,9 @@
 }
 
 // at is the fitted cost at a size.
-func (s slope) at(n float64) float64 { return s.Fixed + s.Each*n }
+func (s slope) costAt(n float64) float64 { return s.Fixed + s.Each*n }
 
-func points(s slope) string {
+func formatPoints(s slope) string {
 	var out []string
 	for i := range s.Sizes {
 		out = append(out, fmt.Sprintf("%g: %.3g", s.Sizes[i], s.Costs[i]))
@@ -80,11 +80,11 @@
 	fmt.Fprintln(w, "| slope\t| points\t| each\t| fixed\t|")
 	fmt.Fprintln(w, "| ---\t| ---\t| ---\t| ---\t|")
 	for _, s := range all {
-		fmt.Fprintf(w, "| %s\t| %s\t| %.3g %s per %s\t| %.3g\t|\n", s.Name, points(s), s.Each, s.Unit, s.Per, s.Fixed)
+		fmt.Fprintf(w, "| %s\t| %s\t| %.3g %s per %s\t| %.3g\t|\n", s.Name, formatPoints(s), s.Each, s.Unit, s.Per, s.Fixed)
 	}
 	w.Flush()
 	fmt.Println()
-	project(all)
+	printProjection(all)
 	if file == "" {
 		return nil
 	}
--- a/test/capacity/memory.go
+++ b/test/capacity/memory.go
@@ -21,7 +21,7 @@
 )
 
 // heap returns the live bytes that build leaves behind.
-func heap(build func() any) float64 {
+func heapGrowth(build func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.GC()
@@ -35,7 +35,7 @@
 }
 
 // took returns the microseconds that one of n calls of f takes.
-func took(n int, f func()) float64 {
+func microsecondsPerCall(n int, f func()) float64 {
 	began := time.Now()
 	for range n {
 		f()
@@ -144,23 +144,23 @@
 	incarnation := ident.NewIncarnation()
 	return []slope{
 		measure("daemons known: memory", "B", "daemon", []int{100, 400, 1300}, func(n int) float64 {
-			return heap(func() any { return registryOf(n) })
+			return heapGrowth(func() any { return registryOf(n) })
 		}),
 		measure("daemons known: choosing heartbeat targets", "us", "daemon", []int{100, 400, 1300}, func(n int) float64 {
 			r := registryOf(n)
-			return took(200, func() { r.HeartbeatTargets() })
+			return microsecondsPerCall(200, func() { r.HeartbeatTargets() })
 		}),
 		measure("daemons known: duty check", "us", "daemon", []int{100, 400, 1300}, func(n int) float64 {
 			r := registryOf(n)
-			return took(200, func() { r.RanksFirst("x") })
+			return microsecondsPerCall(200, func() { r.RanksFirst("x") })
 		}),
 		measure("upstreams seen: memory", "B", "upstream", []int{16, 64, 256}, func(n int) float64 {
-			return heap(func() any { return upstreamsOf(n) })
+			return heapGrowth(func() any { return upstreamsOf(n) })
 		}),
 		measure("upstreams seen: choosing one", "us", "upstream", []int{16, 64, 256}, func(n int) float64 {
 			u := upstreamsOf(n)
 			random := rand.New(rand.NewPCG(1, 1))
-			return took(500, func() {
+			return microsecondsPerCall(500, func() {
 				var loads []route.UpstreamLoad
 				for _, x := range u.Usable(backing.RoleEngine) {
 					loads = append(loads, route.UpstreamLoad{ID: x.Instance.ID, Slots: 16})
@@ -170,23 +170,23 @@
 		}),
 		measure("organisations: memory of the configuration", "B", "organisation", []int{10, 100, 1000}, func(n int) float64 {
 			text := documentOf(n)
-			return heap(func() any { return snapshotOf(text) })
+			return heapGrowth(func() any { return snapshotOf(text) })
 		}),
 		measure("organisations: bringing a base into force", "us", "organisation", []int{10, 100, 1000}, func(n int) float64 {
 			text := documentOf(n)
-			return took(20, func() { snapshotOf(text) })
+			return microsecondsPerCall(20, func() { snapshotOf(text) })
 		}),
 		measure("organisations: size of the base", "B", "organisation", []int{10, 100, 1000}, func(n int) float64 {
 			return float64(len(documentOf(n)))
 		}),
 		measure("open answers: memory (218 tokens)", "B", "answer", []int{100, 1000, 4000}, func(n int) float64 {
-			return heap(func() any { return answersOf(n, false) })
+			return heapGrowth(func() any { return answersOf(n, false) })
 		}),
 		measure("kept answers: memory (218 tokens)", "B", "answer", []int{100, 1000, 4000}, func(n int) float64 {
-			return heap(func() any { return answersOf(n, true) })
+			return heapGrowth(func() any { return answersOf(n, true) })
 		}),
 		measure("bills held for peers: memory", "B", "bill", []int{1000, 4000, 16000}, func(n int) float64 {
-			return heap(func() any {
+			return heapGrowth(func() any {
 				h := ledger.NewReplicaStore("h", nil, nil, clock)
 				for i := range n {
 					h.Add(incarnation, 0, []ledger.Bill{billOf(incarnation, i, ledger.Open)})
@@ -195,7 +195,7 @@
 			})
 		}),
 		measure("idempotency keys: memory", "B", "key", []int{1000, 10000, 50000}, func(n int) float64 {
-			return heap(func() any {
+			return heapGrowth(func() any {
 				t := claim.NewTable(incarnation, clock)
 				home := claim.Home{Incarnation: incarnation, Issued: time.Now()}
 				for i := range n {
--- a/test/capacity/process.go
+++ b/test/capacity/process.go
@@ -15,31 +15,31 @@
 )
 
 // watch is how long processes are watched.
-const watch = 6 * time.Second
+const observationTime = 6 * time.Second
 
 // ticksPerSecond is the unit of processor time in /proc.
 const ticksPerSecond = 100
 
 // idle is what an idle cluster costs.
-type idle struct {
+type idleCost struct {
 	// core is the processor time of one daemon, in percent of a core.
-	core float64
+	cpuPercent float64
 	// resident is the memory of one daemon, in MB.
-	resident float64
+	residentMB float64
 	// reads and writes are the calls of all daemons to the platform a second.
-	reads, writes float64
+	readsPerSecond, writesPerSecond float64
 }
 
 // watchIdle runs daemons with their usual settings and no callers.
-func watchIdle(bin cluster.Binaries, daemons, upstreams int) (idle, error) {
+func measureIdle(bin cluster.Binaries, daemons, upstreams int) (idleCost, error) {
 	dir, err := os.MkdirTemp("", "capacity")
 	if err != nil {
-		return idle{}, err
+		return idleCost{}, err
 	}
 	defer os.RemoveAll(dir)
 	c, err := cluster.New(bin, dir)
 	if err != nil {
-		return idle{}, err
+		return idleCost{}, err
 	}
 	defer c.Close()
 	c.Settings.Timing = settings.Defaults().Timing
@@ -49,29 +49,29 @@
 			Profiles: map[string]standin.VersionProfile{"notes-large@1": {}}, Serving: []string{"notes-large@1"},
 		}
 		if _, err := c.Engine(o, "a", nil); err != nil {
-			return idle{}, err
+			return idleCost{}, err
 		}
 	}
 	for i := range daemons {
 		if _, err := c.StartDaemon(fmt.Sprintf("domain-%d", i), nil); err != nil {
-			return idle{}, err
+			return idleCost{}, err
 		}
 	}
 	text, err := os.ReadFile(filepath.Join("examples", "base.jsonc"))
 	if err != nil {
-		return idle{}, err
+		return idleCost{}, err
 	}
 	err = cluster.Post(c.Daemons[0].OperatorURL+"/v1/config/apply", config.ApplyRequest{ChangeID: "base", Text: string(text)}, nil)
 	if err != nil {
-		return idle{}, err
+		return idleCost{}, err
 	}
 	if err := c.Settle(c.Daemons, upstreams); err != nil {
-		return idle{}, err
+		return idleCost{}, err
 	}
-	return observe(c)
+	return observeIdle(c)
 }
 
-func observe(c *cluster.Cluster) (idle, error) {
+func observeIdle(c *cluster.Cluster) (idleCost, error) {
 	type counts struct {
 		Reads  float64 `json:"reads"`
 		Writes float64 `json:"writes"`
@@ -79,28 +79,28 @@
 	var before, after counts
 	cpu := 0.0
 	if err := cluster.Get("http://"+c.Platform+"/standin/counts", &before); err != nil {
-		return idle{}, err
+		return idleCost{}, err
 	}
 	for _, d := range c.Daemons {
-		cpu -= processorTime(d.Pid())
+		cpu -= cpuSeconds(d.Pid())
 	}
-	time.Sleep(watch)
-	out := idle{}
+	time.Sleep(observationTime)
+	out := idleCost{}
 	for _, d := range c.Daemons {
-		cpu += processorTime(d.Pid())
-		out.resident += residentMB(d.Pid()) / float64(len(c.Daemons))
+		cpu += cpuSeconds(d.Pid())
+		out.residentMB += residentMB(d.Pid()) / float64(len(c.Daemons))
 	}
 	if err := cluster.Get("http://"+c.Platform+"/standin/counts", &after); err != nil {
-		return idle{}, err
+		return idleCost{}, err
 	}
-	out.core = 100 * cpu / watch.Seconds() / float64(len(c.Daemons))
-	out.reads = (after.Reads - before.Reads) / watch.Seconds()
-	out.writes = (after.Writes - before.Writes) / watch.Seconds()
+	out.cpuPercent = 100 * cpu / observationTime.Seconds() / float64(len(c.Daemons))
+	out.readsPerSecond = (after.Reads - before.Reads) / observationTime.Seconds()
+	out.writesPerSecond = (after.Writes - before.Writes) / observationTime.Seconds()
 	return out, nil
 }
 
 // processorTime returns the seconds a process has used.
-func processorTime(pid int) float64 {
+func cpuSeconds(pid int) float64 {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
@@ -132,11 +132,11 @@
 		return nil, err
 	}
 	var failed error
-	runs := map[string]idle{}
-	point := func(daemons, upstreams int) idle {
+	runs := map[string]idleCost{}
+	point := func(daemons, upstreams int) idleCost {
 		key := fmt.Sprint(daemons, "/", upstreams)
 		if _, done := runs[key]; !done {
-			r, err := watchIdle(bin, daemons, upstreams)
+			r, err := measureIdle(bin, daemons, upstreams)
 			if err != nil {
 				failed = err
 			}
@@ -144,19 +144,19 @@
 		}
 		return runs[key]
 	}
-	byDaemons := func(name, unit string, f func(idle) float64) slope {
+	byDaemons := func(name, unit string, f func(idleCost) float64) slope {
 		return measure(name, unit, "daemon", []int{2, 4, 8}, func(n int) float64 { return f(point(n, 4)) })
 	}
-	byUpstreams := func(name, unit string, f func(idle) float64) slope {
+	byUpstreams := func(name, unit string, f func(idleCost) float64) slope {
 		return measure(name, unit, "upstream", []int{4, 16, 32}, func(n int) float64 { return f(point(2, n)) })
 	}
 	out := []slope{
-		byDaemons("idle daemon: processor, by daemons", "% of a core", func(i idle) float64 { return i.core }),
-		byDaemons("idle daemon: resident memory, by daemons", "MB", func(i idle) float64 { return i.resident }),
-		byDaemons("platform reads a second, by daemons", "reads/s", func(i idle) float64 { return i.reads }),
-		byDaemons("platform writes a second, by daemons", "writes/s", func(i idle) float64 { return i.writes }),
-		byUpstreams("idle daemon: processor, by upstreams", "% of a core", func(i idle) float64 { return i.core }),
-		byUpstreams("idle daemon: resident memory, by upstreams", "MB", func(i idle) float64 { return i.resident }),
+		byDaemons("idle daemon: processor, by daemons", "% of a core", func(i idleCost) float64 { return i.cpuPercent }),
+		byDaemons("idle daemon: resident memory, by daemons", "MB", func(i idleCost) float64 { return i.residentMB }),
+		byDaemons("platform reads a second, by daemons", "reads/s", func(i idleCost) float64 { return i.readsPerSecond }),
+		byDaemons("platform writes a second, by daemons", "writes/s", func(i idleCost) float64 { return i.writesPerSecond }),
+		byUpstreams("idle daemon: processor, by upstreams", "% of a core", func(i idleCost) float64 { return i.cpuPercent }),
+		byUpstreams("idle daemon: resident memory, by upstreams", "MB", func(i idleCost) float64 { return i.residentMB }),
 	}
 	return out, failed
 }
--- a/test/faults/faults.go
+++ b/test/faults/faults.go
@@ -7,22 +7,22 @@
 )
 
 // injected is a fault and how it ends.
-type injected struct {
+type faultCase struct {
 	name   string
-	inject func(*world) error
-	heal   func(*world) error
+	inject func(*testSystem) error
+	heal   func(*testSystem) error
 }
 
-func nothing(*world) error { return nil }
+func noop(*testSystem) error { return nil }
 
-func platformFault(f standin.PlatformFault) func(*world) error {
-	return func(w *world) error {
+func platformFault(f standin.PlatformFault) func(*testSystem) error {
+	return func(w *testSystem) error {
 		return cluster.Post("http://"+w.Platform+"/standin/fault", map[string]any{"fault": f}, nil)
 	}
 }
 
-func engineFault(f standin.EngineFaults) func(*world) error {
-	return func(w *world) error {
+func engineFault(f standin.EngineFaults) func(*testSystem) error {
+	return func(w *testSystem) error {
 		for _, e := range w.engines {
 			if err := cluster.Post("http://"+e.Address+"/standin/faults", f, nil); err != nil {
 				return err
@@ -33,8 +33,8 @@
 }
 
 // all does several things one after the other.
-func all(fs ...func(*world) error) func(*world) error {
-	return func(w *world) error {
+func inOrder(fs ...func(*testSystem) error) func(*testSystem) error {
+	return func(w *testSystem) error {
 		for _, f := range fs {
 			if err := f(w); err != nil {
 				return err
@@ -44,49 +44,49 @@
 	}
 }
 
-func freeze(w *world) error { return w.Daemons[0].Freeze() }
-func wake(w *world) error   { w.Daemons[0].Wake(); return nil }
-func kill(w *world) error   { w.Daemons[0].Kill(); return nil }
+func freeze(w *testSystem) error { return w.Daemons[0].Freeze() }
+func wake(w *testSystem) error   { w.Daemons[0].Wake(); return nil }
+func kill(w *testSystem) error   { w.Daemons[0].Kill(); return nil }
 
 // replace starts a daemon in place of a dead one.
-func replace(w *world) error {
+func startReplacement(w *testSystem) error {
 	_, err := w.StartDaemon("gbg-a", func(*settings.Settings) {})
 	return err
 }
 
-func cutPlatform(w *world) error     { w.platform.Cut(); return nil }
-func restorePlatform(w *world) error { return w.platform.Restore() }
-func cutPeers(w *world) error        { w.peers[0].Cut(); return nil }
-func restorePeers(w *world) error    { return w.peers[0].Restore() }
-func cutEngine(w *world) error       { w.links[0].Cut(); return nil }
-func restoreEngine(w *world) error   { return w.links[0].Restore() }
-func healLinks(w *world) error {
-	w.platform.Heal()
-	w.peers[0].Heal()
-	w.links[0].Heal()
+func cutPlatform(w *testSystem) error     { w.platformLink.Cut(); return nil }
+func restorePlatform(w *testSystem) error { return w.platformLink.Restore() }
+func cutPeers(w *testSystem) error        { w.peerLinks[0].Cut(); return nil }
+func restorePeers(w *testSystem) error    { return w.peerLinks[0].Restore() }
+func cutEngine(w *testSystem) error       { w.engineLinks[0].Cut(); return nil }
+func restoreEngine(w *testSystem) error   { return w.engineLinks[0].Restore() }
+func clearLinkFaults(w *testSystem) error {
+	w.platformLink.Heal()
+	w.peerLinks[0].Heal()
+	w.engineLinks[0].Heal()
 	return nil
 }
 
-var faults = []injected{
-	{"none", nothing, nothing},
-	{"daemon killed", kill, replace},
+var faults = []faultCase{
+	{"none", noop, noop},
+	{"daemon killed", kill, startReplacement},
 	{"daemon paused and woken", freeze, wake},
 	{"daemon cut off from the platform", cutPlatform, restorePlatform},
 	{"daemon cut off from its peers", cutPeers, restorePeers},
-	{"daemon cut off from platform and peers", all(cutPlatform, cutPeers), all(restorePlatform, restorePeers)},
-	{"platform answers lost one way", func(w *world) error { return w.platform.Hold("downstream") }, healLinks},
-	{"platform requests lost one way", func(w *world) error { return w.platform.Hold("upstream") }, healLinks},
-	{"platform 200 ms slower", func(w *world) error { return w.platform.Slow("200") }, healLinks},
+	{"daemon cut off from platform and peers", inOrder(cutPlatform, cutPeers), inOrder(restorePlatform, restorePeers)},
+	{"platform answers lost one way", func(w *testSystem) error { return w.platformLink.Hold("downstream") }, clearLinkFaults},
+	{"platform requests lost one way", func(w *testSystem) error { return w.platformLink.Hold("upstream") }, clearLinkFaults},
+	{"platform 200 ms slower", func(w *testSystem) error { return w.platformLink.Slow("200") }, clearLinkFaults},
 	{"platform out", platformFault(standin.FaultRefuse), platformFault(standin.FaultNone)},
-	{"platform out, daemon killed", all(platformFault(standin.FaultRefuse), kill), all(platformFault(standin.FaultNone), replace)},
-	{"platform out, daemon paused", all(platformFault(standin.FaultRefuse), freeze), all(platformFault(standin.FaultNone), wake)},
+	{"platform out, daemon killed", inOrder(platformFault(standin.FaultRefuse), kill), inOrder(platformFault(standin.FaultNone), startReplacement)},
+	{"platform out, daemon paused", inOrder(platformFault(standin.FaultRefuse), freeze), inOrder(platformFault(standin.FaultNone), wake)},
 	{"platform writes take effect, answers lost", platformFault(standin.FaultLoseAnswer), platformFault(standin.FaultNone)},
 	{"engine link cut", cutEngine, restoreEngine},
-	{"engine answers lost one way", func(w *world) error { return w.links[0].Hold("downstream") }, healLinks},
-	{"engine link 100 ms slower", func(w *world) error { return w.links[0].Slow("100") }, healLinks},
+	{"engine answers lost one way", func(w *testSystem) error { return w.engineLinks[0].Hold("downstream") }, clearLinkFaults},
+	{"engine link 100 ms slower", func(w *testSystem) error { return w.engineLinks[0].Slow("100") }, clearLinkFaults},
 	{"engine streams cut every 5 events", engineFault(standin.EngineFaults{CutAfter: 5}), engineFault(standin.EngineFaults{})},
 	{"engine events swapped, doubled, foreign", engineFault(standin.EngineFaults{Reorder: true, Duplicate: true, Foreign: true}), engineFault(standin.EngineFaults{})},
 	{"engine never answers an attempt", engineFault(standin.EngineFaults{NoAnswer: true}), engineFault(standin.EngineFaults{})},
 	{"engines refuse everything", engineFault(standin.EngineFaults{Refuse: "full"}), engineFault(standin.EngineFaults{})},
-	{"peer link 100 ms slower", func(w *world) error { return w.peers[0].Slow("100") }, healLinks},
+	{"peer link 100 ms slower", func(w *testSystem) error { return w.peerLinks[0].Slow("100") }, clearLinkFaults},
 }
--- a/test/faults/main.go
+++ b/test/faults/main.go
@@ -47,19 +47,19 @@
 	if err != nil {
 		return err
 	}
-	var rows []row
+	var rows []result
 	for _, f := range faults {
 		if !strings.Contains(f.name, o.Only) {
 			continue
 		}
-		r, err := trial(bin, f, time.Duration(o.Seconds*float64(time.Second)))
+		r, err := runTrial(bin, f, time.Duration(o.Seconds*float64(time.Second)))
 		if err != nil {
 			return fmt.Errorf("%s: %w", f.name, err)
 		}
 		rows = append(rows, r)
 		fmt.Fprintf(os.Stderr, "%s: done\n", f.name)
 	}
-	print(rows)
+	printTable(rows)
 	if o.JSON != "" {
 		data, err := json.MarshalIndent(rows, "", "  ")
 		if err != nil {
@@ -70,14 +70,14 @@
 		}
 	}
 	for _, r := range rows {
-		if r.broken() {
+		if r.violated() {
 			return fmt.Errorf("promises were broken under %q", r.Fault)
 		}
 	}
 	return nil
 }
 
-func print(rows []row) {
+func printTable(rows []result) {
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "FAULT\tASKED\tWHOLE\tNOT RUN\tUNKNOWN\tLOST\tDOUBLED\tCUT\tMISREPORTED\tBILLS MISSING\tBILLS DOUBLED")
 	for _, r := range rows {
--- a/test/faults/trial.go
+++ b/test/faults/trial.go
@@ -19,13 +19,13 @@
 )
 
 // words is the length of a whole answer of the engines.
-const words = 24
+const answerWords = 24
 
 // callers is how many callers ask at once.
-const callers = 12
+const callerCount = 12
 
 // row is what was counted under one fault.
-type row struct {
+type result struct {
 	Fault string `json:"fault"`
 	// Asked counts requests; Whole those with a whole answer in the end;
 	// NotRun and Unknown those whose last answer was an error with ran: no, or
@@ -46,42 +46,42 @@
 	BillsDoubled int `json:"bills_doubled"`
 }
 
-func (r row) broken() bool {
+func (r result) violated() bool {
 	return r.Lost+r.Doubled+r.Cut+r.Misreported+r.BillsMissing+r.BillsDoubled > 0
 }
 
 // world is the system under one fault.
-type world struct {
+type testSystem struct {
 	*cluster.Cluster
-	platform *cluster.Proxy
-	peers    []*cluster.Proxy
-	engines  []*cluster.Upstream
-	links    []*cluster.Proxy
+	platformLink *cluster.Proxy
+	peerLinks    []*cluster.Proxy
+	engines      []*cluster.Upstream
+	engineLinks  []*cluster.Proxy
 }
 
 // trial runs the load for a time, with the fault in the middle half.
-func trial(bin cluster.Binaries, f injected, length time.Duration) (row, error) {
+func runTrial(bin cluster.Binaries, f faultCase, length time.Duration) (result, error) {
 	dir, err := os.MkdirTemp("", "trial")
 	if err != nil {
-		return row{}, err
+		return result{}, err
 	}
 	defer os.RemoveAll(dir)
-	w, err := build(bin, dir)
+	w, err := newTestSystem(bin, dir)
 	if w != nil {
 		defer w.Close()
 	}
 	if err != nil {
-		return row{}, err
+		return result{}, err
 	}
-	l := &load{world: w}
+	l := &loadGenerator{testSystem: w}
 	l.start()
 	time.Sleep(length / 4)
 	if err := f.inject(w); err != nil {
-		return row{}, err
+		return result{}, err
 	}
 	time.Sleep(length / 2)
 	if err := f.heal(w); err != nil {
-		return row{}, err
+		return result{}, err
 	}
 	time.Sleep(length / 4)
 	l.stop()
@@ -90,13 +90,13 @@
 
 // build starts a platform, two engines and three daemons, with proxies on all
 // links of the first daemon.
-func build(bin cluster.Binaries, dir string) (*world, error) {
+func newTestSystem(bin cluster.Binaries, dir string) (*testSystem, error) {
 	c, err := cluster.New(bin, dir)
 	if err != nil {
 		return nil, err
 	}
-	w := &world{Cluster: c}
-	if w.platform, err = c.Proxy(c.Platform); err != nil {
+	w := &testSystem{Cluster: c}
+	if w.platformLink, err = c.Proxy(c.Platform); err != nil {
 		return w, err
 	}
 	for i := range 2 {
@@ -112,9 +112,9 @@
 	return w, w.configure()
 }
 
-func (w *world) addEngine(i int) error {
+func (w *testSystem) addEngine(i int) error {
 	profile := standin.VersionProfile{
-		Quality: map[string]float64{"": 1}, TokenTime: standin.Duration(8 * time.Millisecond), Tokens: words,
+		Quality: map[string]float64{"": 1}, TokenTime: standin.Duration(8 * time.Millisecond), Tokens: answerWords,
 	}
 	o := standin.EngineOptions{Instance: fmt.Sprintf("engine-%d", i), Slots: 16, Profiles: map[string]standin.VersionProfile{}}
 	for _, v := range []string{"notes-large@1", "clauses@1"} {
@@ -127,7 +127,7 @@
 		if link, failed = w.Proxy(address); failed != nil {
 			return address
 		}
-		w.links = append(w.links, link)
+		w.engineLinks = append(w.engineLinks, link)
 		return link.Address()
 	})
 	w.engines = append(w.engines, e)
@@ -137,7 +137,7 @@
 	return err
 }
 
-func (w *world) addDaemon(i int) error {
+func (w *testSystem) addDaemon(i int) error {
 	address, err := cluster.FreeAddress()
 	if err != nil {
 		return err
@@ -146,11 +146,11 @@
 	if err != nil {
 		return err
 	}
-	w.peers = append(w.peers, link)
+	w.peerLinks = append(w.peerLinks, link)
 	d, err := w.StartDaemon(fmt.Sprintf("gbg-%c", 'a'+i), func(s *settings.Settings) {
 		s.PeerListen, s.PeerAddress = address, link.Address()
 		if i == 0 {
-			s.Platform = w.platform.Address()
+			s.Platform = w.platformLink.Address()
 		}
 	})
 	if err == nil {
@@ -159,7 +159,7 @@
 	return err
 }
 
-func (w *world) configure() error {
+func (w *testSystem) configure() error {
 	text, err := os.ReadFile(filepath.Join("examples", "base.jsonc"))
 	if err != nil {
 		return err
@@ -178,26 +178,26 @@
 	reply  cluster.Reply
 	err    error
 	// toldNotRun is set when the last answer said ran: no.
-	toldNotRun bool
+	reportedNotRun bool
 }
 
 // load is callers that ask without pause.
-type load struct {
-	*world
-	ctx    context.Context
-	cancel context.CancelFunc
-	group  sync.WaitGroup
+type loadGenerator struct {
+	*testSystem
+	ctx     context.Context
+	cancel  context.CancelFunc
+	running sync.WaitGroup
 
 	mu       sync.Mutex
 	outcomes []outcome
 }
 
-func (l *load) start() {
+func (l *loadGenerator) start() {
 	l.ctx, l.cancel = context.WithCancel(context.Background())
-	for i := range callers {
-		l.group.Go(func() {
+	for i := range callerCount {
+		l.running.Go(func() {
 			for n := 0; l.ctx.Err() == nil; n++ {
-				o := l.ask(i, n)
+				o := l.request(i, n)
 				l.mu.Lock()
 				l.outcomes = append(l.outcomes, o)
 				l.mu.Unlock()
@@ -206,34 +206,34 @@
 	}
 }
 
-func (l *load) stop() {
+func (l *loadGenerator) stop() {
 	l.cancel()
-	l.group.Wait()
+	l.running.Wait()
 }
 
 // tries is how often a caller repeats a request, at one daemon after the other
 // and with the same key.
-const tries = 4
+const maxTries = 4
 
-func (l *load) ask(i, n int) outcome {
+func (l *loadGenerator) request(i, n int) outcome {
 	o := outcome{prompt: fmt.Sprintf("request %d %d", i, n), keyed: n%2 == 0}
 	a := cluster.Ask{
 		APIKey: "example-key-visrad", Model: "clauses", Prompt: o.prompt, Stream: n%3 != 0, DeadlineMS: "8000",
 	}
 	if o.keyed {
-		a.Model, a.Kind, a.Key = "notes-large", "clearance", l.key(i, n)
+		a.Model, a.Kind, a.Key = "notes-large", "clearance", l.idempotencyKey(i, n)
 	}
-	for try := range tries {
+	for try := range maxTries {
 		daemons := l.Started()
 		d := daemons[(i+n+try)%len(daemons)]
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		o.reply, o.err = a.Send(ctx, d.CallerURL, nil)
 		cancel()
-		o.toldNotRun = o.err == nil && o.reply.Err != nil && o.reply.Err.Ran == fault.RanNo
+		o.reportedNotRun = o.err == nil && o.reply.Err != nil && o.reply.Err.Ran == fault.RanNo
 		if o.err == nil && o.reply.Whole() {
 			return o
 		}
-		if !o.keyed && !o.toldNotRun {
+		if !o.keyed && !o.reportedNotRun {
 			return o
 		}
 		pause := 50 * time.Millisecond
@@ -246,7 +246,7 @@
 }
 
 // key makes a key with the prefix of a daemon; some callers use none.
-func (l *load) key(i, n int) string {
+func (l *loadGenerator) idempotencyKey(i, n int) string {
 	own := fmt.Sprintf("key-%d-%d", i, n)
 	if i%4 == 3 {
 		return own
@@ -262,29 +262,29 @@
 
 // count compares what callers were told with what engines and ledger say, once
 // nothing runs any more.
-func (l *load) count(name string) (row, error) {
+func (l *loadGenerator) count(name string) (result, error) {
 	started, finishedIDs, finished, err := l.engineCounts()
 	if err != nil {
-		return row{}, err
+		return result{}, err
 	}
-	r := row{Fault: name, Asked: len(l.outcomes)}
+	r := result{Fault: name, Asked: len(l.outcomes)}
 	for _, o := range l.outcomes {
 		r.add(o, started, finished)
 	}
 	return r, l.countBills(&r, finishedIDs)
 }
 
-func (r *row) add(o outcome, started, finished map[string]int) {
+func (r *result) add(o outcome, started, finished map[string]int) {
 	switch {
 	case o.err == nil && o.reply.Whole():
 		r.Whole++
 		if finished[o.prompt] == 0 {
 			r.Lost++
 		}
-		if len(strings.Fields(o.reply.Text)) != words {
+		if len(strings.Fields(o.reply.Text)) != answerWords {
 			r.Cut++
 		}
-	case o.toldNotRun:
+	case o.reportedNotRun:
 		r.NotRun++
 		if started[o.prompt] > 0 && o.keyed {
 			r.Misreported++
@@ -299,7 +299,7 @@
 
 // engineCounts adds up what the engines did, once they are idle. finished
 // counts by prompt: an engine that was killed has taken its counts with it.
-func (l *load) engineCounts() (started, finishedIDs, finished map[string]int, err error) {
+func (l *loadGenerator) engineCounts() (started, finishedIDs, finished map[string]int, err error) {
 	err = cluster.Eventually(func() error {
 		started, finishedIDs, finished = map[string]int{}, map[string]int{}, map[string]int{}
 		for _, e := range l.engines {
@@ -326,7 +326,7 @@
 }
 
 // countBills waits until the ledger does not change any more.
-func (l *load) countBills(r *row, finishedIDs map[string]int) error {
+func (l *loadGenerator) countBills(r *result, finishedIDs map[string]int) error {
 	deadline := time.Now().Add(20 * time.Second)
 	for {
 		bills := map[string]int{}
--- a/test/measure/cost.go
+++ b/test/measure/cost.go
@@ -15,8 +15,8 @@
 	costRequests = 40_000
 	// costRated is the share of answers that get rated, and costDelay how many
 	// requests later.
-	costRated = 0.2
-	costDelay = 500
+	costRatedShare  = 0.2
+	costRatingDelay = 500
 	// exploreShare is the router's own setting.
 	exploreShare = 0.02
 	costSeeds    = 5
@@ -37,7 +37,7 @@
 	cascade bool
 }
 
-func costWorld() ([]costModel, []costKind) {
+func costModels() ([]costModel, []costKind) {
 	model := func(name string, cost, prior float64, tag, summary, clause, clearance float64) costModel {
 		return costModel{
 			ref: config.VersionRef{Model: name, Version: "1"}, cost: cost,
@@ -58,14 +58,14 @@
 var costJudge = route.Judge{TrueAccept: 0.95, FalseAccept: 0.1, Cost: 0.5}
 
 // chooser picks a plan for a kind.
-type chooser func(k costKind, candidates []route.Candidate, random *rand.Rand) route.Plan
+type planPolicy func(k costKind, candidates []route.Candidate, random *rand.Rand) route.Plan
 
 func costPlans(k costKind, candidates []route.Candidate) ([]route.Plan, route.Request) {
 	req := route.Request{Target: k.target, Cascade: k.cascade, Remaining: time.Hour}
 	return route.Plans(candidates, costJudge, req), req
 }
 
-func routed(explore float64) chooser {
+func routerPolicy(explore float64) planPolicy {
 	return func(k costKind, candidates []route.Candidate, random *rand.Rand) route.Plan {
 		plans, req := costPlans(k, candidates)
 		pick, _ := route.PickPlan(plans, req.Target)
@@ -74,7 +74,7 @@
 }
 
 // certain gives the candidates their true quality, as an oracle knows it.
-func certain(models []costModel, kind string) []route.Candidate {
+func trueCandidates(models []costModel, kind string) []route.Candidate {
 	const sure = 1e6
 	var out []route.Candidate
 	for _, m := range models {
@@ -84,7 +84,7 @@
 	return out
 }
 
-func fixedModel(at int) chooser {
+func fixedModelPolicy(at int) planPolicy {
 	return func(k costKind, candidates []route.Candidate, _ *rand.Rand) route.Plan {
 		plans, _ := costPlans(costKind{target: k.target}, candidates)
 		return plans[at]
@@ -100,8 +100,8 @@
 }
 
 // runCost plays one seed with a policy.
-func runCost(choose chooser, oracle bool, seed uint64) costResult {
-	models, kinds := costWorld()
+func simulateCost(choose planPolicy, oracle bool, seed uint64) costResult {
+	models, kinds := costModels()
 	random := rand.New(rand.NewPCG(seed, 1))
 	ratings := rating.NewCounter()
 	var due []backing.Rating
@@ -116,7 +116,7 @@
 		k := kinds[random.IntN(len(kinds))]
 		var candidates []route.Candidate
 		if oracle {
-			candidates = certain(models, k.name)
+			candidates = trueCandidates(models, k.name)
 		} else {
 			for _, m := range models {
 				candidates = append(candidates, route.Candidate{
@@ -125,21 +125,21 @@
 			}
 		}
 		plan := choose(k, candidates, random)
-		ok, cost, by := play(plan, byRef, k.name, random)
+		ok, cost, by := execute(plan, byRef, k.name, random)
 		total += cost
 		asked[k.name]++
 		if ok {
 			good[k.name]++
 		}
 		for _, run := range by {
-			if random.Float64() < costRated {
+			if random.Float64() < costRatedShare {
 				seq++
 				due = append(due, backing.Rating{Seq: seq, Model: run.ref.Model, Version: "1", Kind: k.name, Good: run.good})
 			}
 		}
-		if len(due) > costDelay {
-			ratings.Add(due[:len(due)-costDelay])
-			due = due[len(due)-costDelay:]
+		if len(due) > costRatingDelay {
+			ratings.Add(due[:len(due)-costRatingDelay])
+			due = due[len(due)-costRatingDelay:]
 		}
 	}
 	result := costResult{cost: total / costRequests}
@@ -161,7 +161,7 @@
 }
 
 // play answers a request by a plan.
-func play(plan route.Plan, models map[config.VersionRef]costModel, kind string, random *rand.Rand) (bool, float64, []modelRun) {
+func execute(plan route.Plan, models map[config.VersionRef]costModel, kind string, random *rand.Rand) (bool, float64, []modelRun) {
 	first := models[plan.Steps[0]]
 	ok := random.Float64() < first.quality[kind]
 	runs := []modelRun{{first.ref, ok}}
@@ -184,38 +184,38 @@
 // staticTable is what operators would set from the priors: the cheapest model
 // whose prior mean meets the target.
 func staticTable(k costKind, candidates []route.Candidate, _ *rand.Rand) route.Plan {
-	models, _ := costWorld()
+	models, _ := costModels()
 	for i, m := range models {
 		if m.version.Prior["default"].Mean >= k.target {
-			return fixedModel(i)(k, candidates, nil)
+			return fixedModelPolicy(i)(k, candidates, nil)
 		}
 	}
-	return fixedModel(len(models)-1)(k, candidates, nil)
+	return fixedModelPolicy(len(models)-1)(k, candidates, nil)
 }
 
 func measureCost() []table {
-	models, _ := costWorld()
+	models, _ := costModels()
 	policies := []struct {
 		name   string
-		choose chooser
+		choose planPolicy
 		oracle bool
 	}{
-		{"oracle (true qualities)", routed(0), true},
-		{"router: lower bound, cascades, 2% exploration", routed(exploreShare), false},
-		{"router without exploration", routed(0), false},
+		{"oracle (true qualities)", routerPolicy(0), true},
+		{"router: lower bound, cascades, 2% exploration", routerPolicy(exploreShare), false},
+		{"router without exploration", routerPolicy(0), false},
 		{"router without cascades", func(k costKind, c []route.Candidate, r *rand.Rand) route.Plan {
 			k.cascade = false
-			return routed(exploreShare)(k, c, r)
+			return routerPolicy(exploreShare)(k, c, r)
 		}, false},
 		{"static table from priors", staticTable, false},
-		{"always the dearest", fixedModel(len(models) - 1), false},
-		{"always the cheapest", fixedModel(0), false},
+		{"always the dearest", fixedModelPolicy(len(models) - 1), false},
+		{"always the cheapest", fixedModelPolicy(0), false},
 	}
 	t := table{Name: "Cost at the quality target", Columns: []string{"policy", "cost per request", "requests of kinds that met their target", "good answers", "cost over oracle"}}
 	results := make([]costResult, len(policies))
 	for i, p := range policies {
 		for seed := range uint64(costSeeds) {
-			r := runCost(p.choose, p.oracle, seed)
+			r := simulateCost(p.choose, p.oracle, seed)
 			results[i].cost += r.cost / costSeeds
 			results[i].met += r.met / costSeeds
 			results[i].good += r.good / costSeeds
--- a/test/measure/exposure.go
+++ b/test/measure/exposure.go
@@ -16,17 +16,17 @@
 	exposureRuns    = 300
 	exposureDaemons = 6
 	// exposureRate is sessions per second over all daemons.
-	exposureRate  = 50
-	exposureRated = 0.3
-	exposureStep  = 200 * time.Millisecond
-	exposureLimit = 2 * time.Hour
-	target        = 0.9
+	exposureRate       = 50
+	exposureRatedShare = 0.3
+	exposureStep       = 200 * time.Millisecond
+	exposureLimit      = 2 * time.Hour
+	exposureTarget     = 0.9
 )
 
 var exposureVersion = config.VersionRef{Model: "m", Version: "2"}
 
 // scene is a roll-out under one circumstance.
-type scene struct {
+type scenario struct {
 	name    string
 	quality float64
 	delay   time.Duration
@@ -36,19 +36,19 @@
 }
 
 // scenePause is how long a lost holder or store is gone.
-const scenePause = 30 * time.Second
+const outageLength = 30 * time.Second
 
-func (s scene) gone(now time.Duration) bool {
-	within := func(from time.Duration) bool { return from > 0 && now >= from && now < from+scenePause }
+func (s scenario) outage(now time.Duration) bool {
+	within := func(from time.Duration) bool { return from > 0 && now >= from && now < from+outageLength }
 	return within(s.holderGone) || within(s.storeOut)
 }
 
 // exposed is what one run led to.
-type exposed struct {
+type exposureResult struct {
 	answers, bad int
 	withdrawn    bool
 	full         bool
-	took         time.Duration
+	duration     time.Duration
 }
 
 // pendingRating is an answer that will be rated.
@@ -58,7 +58,7 @@
 }
 
 // ratingsOf moves the ratings that are due into the evidence.
-func ratingsOf(pending []pendingRating, now time.Duration, e *rollout.Evidence) []pendingRating {
+func applyDueRatings(pending []pendingRating, now time.Duration, e *rollout.Evidence) []pendingRating {
 	return slices.DeleteFunc(pending, func(p pendingRating) bool {
 		if p.at > now {
 			return false
@@ -73,13 +73,13 @@
 }
 
 // answer is one answer by the new version.
-func (x *exposed) answer(s scene, now time.Duration, pending []pendingRating, random *rand.Rand) []pendingRating {
+func (x *exposureResult) recordAnswer(s scenario, now time.Duration, pending []pendingRating, random *rand.Rand) []pendingRating {
 	good := random.Float64() < s.quality
 	x.answers++
 	if !good {
 		x.bad++
 	}
-	if random.Float64() < exposureRated {
+	if random.Float64() < exposureRatedShare {
 		pending = append(pending, pendingRating{at: now + s.delay, good: good})
 	}
 	return pending
@@ -87,7 +87,7 @@
 
 // runCredits is the router: sequential test, stages by evidence, credits that
 // lapse.
-func runCredits(s scene, seed uint64) exposed {
+func runRouterRollout(s scenario, seed uint64) exposureResult {
 	random := rand.New(rand.NewPCG(seed, 2))
 	clock := clockwork.NewFakeClock()
 	began := clock.Now()
@@ -98,25 +98,25 @@
 	for i := range wallets {
 		wallets[i] = rollout.NewDaemonCredits(clock)
 	}
-	evidence := rollout.Evidence{Target: target}
+	evidence := rollout.Evidence{Target: exposureTarget}
 	var pending []pendingRating
-	var x exposed
+	var x exposureResult
 	stage := 0
 	for {
 		now := clock.Since(began)
-		pending = ratingsOf(pending, now, &evidence)
+		pending = applyDueRatings(pending, now, &evidence)
 		ev := []rollout.Evidence{evidence}
-		held := !s.gone(now)
+		held := !s.outage(now)
 		switch verdict := test.Verdict(ev); {
 		case verdict == rollout.Bad:
 			// Any daemon stops by itself; the row follows when it can.
-			x.withdrawn, x.took = true, now
+			x.withdrawn, x.duration = true, now
 			return x
 		case verdict == rollout.Good && held:
-			x.full, x.took = true, now
+			x.full, x.duration = true, now
 			return x
 		case now > exposureLimit:
-			x.took = now
+			x.duration = now
 			return x
 		case held:
 			stage = max(stage, min(test.Stage(ev), len(policy.Stages)-2))
@@ -131,7 +131,7 @@
 			}
 			for range poisson(exposureRate/exposureDaemons*exposureStep.Seconds(), random) {
 				if random.Float64() < policy.Stages[stage] && w.Take(exposureVersion) {
-					pending = x.answer(s, now, pending, random)
+					pending = x.recordAnswer(s, now, pending, random)
 				}
 			}
 		}
@@ -141,24 +141,24 @@
 
 // runCanary is the baseline: a fixed share until a fixed number of ratings,
 // then a decision; without a holder the share stays as it is.
-func runCanary(share float64, sample int64) func(scene, uint64) exposed {
-	return func(s scene, seed uint64) exposed {
+func runCanary(share float64, sample int64) func(scenario, uint64) exposureResult {
+	return func(s scenario, seed uint64) exposureResult {
 		random := rand.New(rand.NewPCG(seed, 3))
-		evidence := rollout.Evidence{Target: target}
+		evidence := rollout.Evidence{Target: exposureTarget}
 		var pending []pendingRating
-		var x exposed
+		var x exposureResult
 		for now := time.Duration(0); ; now += exposureStep {
-			pending = ratingsOf(pending, now, &evidence)
+			pending = applyDueRatings(pending, now, &evidence)
 			n := evidence.Good + evidence.Bad
-			if n >= sample && !s.gone(now) || now > exposureLimit {
+			if n >= sample && !s.outage(now) || now > exposureLimit {
 				// Halfway between target and target less tolerance.
-				x.withdrawn = float64(evidence.Good)/float64(n) < target-0.05
-				x.full, x.took = !x.withdrawn, now
+				x.withdrawn = float64(evidence.Good)/float64(n) < exposureTarget-0.05
+				x.full, x.duration = !x.withdrawn, now
 				return x
 			}
 			for range poisson(exposureRate*exposureStep.Seconds(), random) {
 				if random.Float64() < share {
-					pending = x.answer(s, now, pending, random)
+					pending = x.recordAnswer(s, now, pending, random)
 				}
 			}
 		}
@@ -186,14 +186,14 @@
 	}
 	policies := []struct {
 		name string
-		run  func(scene, uint64) exposed
+		run  func(scenario, uint64) exposureResult
 	}{
-		{"router: credits and sequential test", runCredits},
+		{"router: credits and sequential test", runRouterRollout},
 		{"canary 5%, 100 ratings", runCanary(0.05, 100)},
 		{"canary 1%, 100 ratings", runCanary(0.01, 100)},
 		{"canary 5%, 25 ratings", runCanary(0.05, 25)},
 	}
-	scenes := []scene{
+	scenes := []scenario{
 		{name: "ratings after 30 s", delay: 30 * time.Second},
 		{name: "ratings after 5 min", delay: 5 * time.Minute},
 		{name: "duty holder killed at 20 s", delay: 30 * time.Second, holderGone: 20 * time.Second},
@@ -210,7 +210,7 @@
 	return []table{bad, good}
 }
 
-func addBad(t *table, s scene, policy string, run func(scene, uint64) exposed) {
+func addBad(t *table, s scenario, policy string, run func(scenario, uint64) exposureResult) {
 	var bad []int
 	sum, answers, withdrawn, minutes := 0.0, 0.0, 0.0, 0.0
 	for seed := range uint64(exposureRuns) {
@@ -218,7 +218,7 @@
 		bad = append(bad, x.bad)
 		sum += float64(x.bad) / exposureRuns
 		answers += float64(x.answers) / exposureRuns
-		minutes += x.took.Minutes() / exposureRuns
+		minutes += x.duration.Minutes() / exposureRuns
 		if x.withdrawn {
 			withdrawn += 1.0 / exposureRuns
 		}
@@ -227,11 +227,11 @@
 	t.add(s.name, policy, sum, bad[len(bad)*95/100], answers, withdrawn, minutes)
 }
 
-func addGood(t *table, s scene, policy string, run func(scene, uint64) exposed) {
+func addGood(t *table, s scenario, policy string, run func(scenario, uint64) exposureResult) {
 	wrong, full, minutes := 0.0, 0.0, 0.0
 	for seed := range uint64(exposureRuns) {
 		x := run(s, seed)
-		minutes += x.took.Minutes() / exposureRuns
+		minutes += x.duration.Minutes() / exposureRuns
 		if x.withdrawn {
 			wrong += 1.0 / exposureRuns
 		}
--- a/test/measure/latency.go
+++ b/test/measure/latency.go
@@ -157,7 +157,7 @@
 }
 
 // latCase is one circumstance.
-type latCase struct {
+type latScenario struct {
 	name string
 	load float64
 	lag  float64
@@ -176,7 +176,7 @@
 	return latEngines * latSlots / perJob
 }
 
-func runLatency(c latCase, pick latPolicy, seed uint64) latResult {
+func runLatency(c latScenario, pick latPolicy, seed uint64) latResult {
 	random := rand.New(rand.NewPCG(seed, 4))
 	engines := make([]*latEngine, latEngines)
 	for i := range engines {
@@ -270,7 +270,7 @@
 		{"round robin", latRoundRobin},
 		{"random", latRandom},
 	}
-	for _, c := range []latCase{
+	for _, c := range []latScenario{
 		{name: "50% load", load: 0.5, lag: 200},
 		{name: "80% load", load: 0.8, lag: 200},
 		{name: "95% load", load: 0.95, lag: 200},
--- a/test/measure/limits.go
+++ b/test/measure/limits.go
@@ -86,7 +86,7 @@
 }
 
 // class is a part of the load.
-type class struct {
+type trafficClass struct {
 	organisation string
 	priority     int
 	// rate is requests per second.
@@ -94,18 +94,18 @@
 }
 
 // runLimits offers the classes to a gate and counts answers in time.
-func runLimits(g gate, classes []class) []*limCount {
+func runLimits(g gate, classes []trafficClass) []*limCount {
 	counts := make([]*limCount, len(classes))
 	var all sync.WaitGroup
 	for i, c := range classes {
 		counts[i] = &limCount{}
-		all.Go(func() { offer(g, c, counts[i], uint64(i), &all) })
+		all.Go(func() { generateLoad(g, c, counts[i], uint64(i), &all) })
 	}
 	all.Wait()
 	return counts
 }
 
-func offer(g gate, c class, count *limCount, seed uint64, all *sync.WaitGroup) {
+func generateLoad(g gate, c trafficClass, count *limCount, seed uint64, all *sync.WaitGroup) {
 	random := rand.New(rand.NewPCG(seed, 5))
 	next := time.Now()
 	end := next.Add(limLength)
@@ -113,11 +113,11 @@
 		next = next.Add(time.Duration(random.ExpFloat64() / c.rate * float64(time.Second)))
 		time.Sleep(time.Until(next))
 		count.offered.Add(1)
-		all.Go(func() { one(g, c, count) })
+		all.Go(func() { sendRequest(g, c, count) })
 	}
 }
 
-func one(g gate, c class, count *limCount) {
+func sendRequest(g gate, c trafficClass, count *limCount) {
 	began := time.Now()
 	deadline := began.Add(limDeadline)
 	err := g.enter(limit.Work{Priority: c.priority, Organisation: c.organisation, Cost: 1, Deadline: deadline, ServiceTime: limService})
@@ -134,10 +134,10 @@
 }
 
 func measureLimits() []table {
-	return []table{goodput(), fairness(), brownout()}
+	return []table{goodputByLoad(), fairness(), retryAmplification()}
 }
 
-func goodput() table {
+func goodputByLoad() table {
 	t := table{
 		Name:    "Answers in time per second over capacity, by offered load",
 		Columns: []string{"offered over capacity", "policy", "all", "interactive", "normal", "batch", "refused after, ms"},
@@ -147,9 +147,9 @@
 			name string
 			make func() gate
 		}{{"router's queue", newQueueGate}, {"first come, first served", newFIFOGate}} {
-			var classes []class
+			var classes []trafficClass
 			for priority := range 3 {
-				classes = append(classes, class{organisation: "o", priority: priority, rate: load * limCapacity / 3})
+				classes = append(classes, trafficClass{organisation: "o", priority: priority, rate: load * limCapacity / 3})
 			}
 			counts := runLimits(p.make(), classes)
 			per := func(c *limCount) float64 { return float64(c.good.Load()) / limLength.Seconds() / limCapacity }
@@ -174,9 +174,9 @@
 		name string
 		make func() gate
 	}{{"router's queue", newQueueGate}, {"first come, first served", newFIFOGate}} {
-		classes := []class{{organisation: "greedy", rate: 2 * limCapacity}}
+		classes := []trafficClass{{organisation: "greedy", rate: 2 * limCapacity}}
 		for i := range 9 {
-			classes = append(classes, class{organisation: string(rune('a' + i)), rate: 0.01 * limCapacity})
+			classes = append(classes, trafficClass{organisation: string(rune('a' + i)), rate: 0.01 * limCapacity})
 		}
 		counts := runLimits(p.make(), classes)
 		good, offered := 0.0, 0.0
@@ -190,18 +190,18 @@
 }
 
 // brownout fails a share of attempts and counts what is sent.
-func brownout() table {
+func retryAmplification() table {
 	t := table{
 		Name:    "Attempts per request while upstreams fail",
 		Columns: []string{"share of attempts that fail", "budget 0.1 per success", "three retries always"},
 	}
 	for _, fail := range []float64{0.01, 0.1, 0.5, 1} {
-		t.add(fail, attempts(fail, limit.NewRetryBudget(10), 8), attempts(fail, nil, 4))
+		t.add(fail, attemptsPerRequest(fail, limit.NewRetryBudget(10), 8), attemptsPerRequest(fail, nil, 4))
 	}
 	return t
 }
 
-func attempts(fail float64, budget *limit.RetryBudget, most int) float64 {
+func attemptsPerRequest(fail float64, budget *limit.RetryBudget, most int) float64 {
 	const requests = 20_000
 	random := rand.New(rand.NewPCG(6, 6))
 	sent := 0
