--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the operators' command-line tool.
+// Package cli implements hornbeamsill, the operators' command-line tool.
 package cli
 
 import (
@@ -15,36 +15,36 @@
 
 // Exit codes.
 const (
-	// ExitOK: done.
+	// ExitOK means success.
 	ExitOK = 0
-	// ExitError: the daemon or the platform could not do it; trying again may
-	// help.
+	// ExitError means that the daemon or the platform failed; a retry may succeed.
 	ExitError = 1
-	// ExitUsage: the command line is wrong.
+	// ExitUsage means that the command line is wrong.
 	ExitUsage = 2
-	// ExitInvalid: the document or request is invalid.
+	// ExitInvalid means that the document or request is invalid.
 	ExitInvalid = 3
-	// ExitConflict: somebody else changed it first.
+	// ExitConflict means that the document was changed after the revision that this change
+	// is based on.
 	ExitConflict = 4
-	// ExitUnknown: whether the change was accepted is not known; ask again
-	// with the same change id.
+	// ExitUnknown means that it is unknown whether the change was accepted. Repeating the
+	// command with the same change ID returns the outcome.
 	ExitUnknown = 5
 )
 
-// globals are the options of every command.
+// globalOptions are the options of every command.
 type globalOptions struct {
 	Daemon string `long:"daemon" default:"127.0.0.1:8481" env:"HORNBEAMSILL_DAEMON" description:"operator listener of any daemon"`
 	Output string `long:"output" choice:"text" choice:"json" default:"text" description:"form of the output"`
 	Token  string `long:"token" env:"HORNBEAMSILL_TOKEN" description:"operator token"`
 }
 
-// app runs one command.
+// app holds the global options and the output of the command that runs.
 type app struct {
 	globalOptions
 	stdout io.Writer
 }
 
-// commands is the tree of commands. go-flags reads it by reflection.
+// commands defines all commands and their options. go-flags reads it by reflection.
 type commands struct {
 	globalOptions
 	Config struct {
@@ -81,12 +81,12 @@
 	} `command:"keys" description:"keys that sign session tokens"`
 }
 
-// command is one command with its options.
+// command is implemented by every command; its fields hold the command's options.
 type command interface {
 	run(a *app) error
 }
 
-// Main runs the tool and returns its exit code.
+// Main runs the command that args name and returns the exit code.
 func Main(args []string, stdout, stderr io.Writer) int {
 	var c commands
 	parser := flags.NewNamedParser("hornbeamsill", flags.HelpFlag|flags.PassDoubleDash)
@@ -108,7 +108,8 @@
 	return reportError(err, stdout, stderr)
 }
 
-// report prints an error and turns it into an exit code.
+// reportError prints err and returns the exit code for it. Help, which go-flags returns as an
+// error, goes to stdout with ExitOK.
 func reportError(err error, stdout, stderr io.Writer) int {
 	var usage *flags.Error
 	var invalid *config.InvalidError
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -18,7 +18,9 @@
 // callTimeout bounds one call to the daemon.
 const callTimeout = 30 * time.Second
 
-// call sends a request to the daemon and decodes its answer into out.
+// call sends a request to the daemon's operator listener, with in as the JSON body unless it
+// is nil, and decodes the JSON response into out. It returns a *fault.Error if the daemon
+// responded with one.
 func (a *app) call(method, path string, in, out any) error {
 	var body io.Reader
 	if in != nil {
@@ -54,7 +56,7 @@
 	return trace.Wrap(json.Unmarshal(data, out))
 }
 
-// url returns the daemon's URL; an address without a scheme is HTTP.
+// url returns the daemon's base URL. An address without a scheme gets http://.
 func (a *app) url() string {
 	if strings.Contains(a.Daemon, "://") {
 		return strings.TrimSuffix(a.Daemon, "/")
@@ -62,7 +64,8 @@
 	return "http://" + a.Daemon
 }
 
-// print writes v as JSON, or as the text that table writes.
+// print writes v as JSON with --output json; otherwise it writes the text of table, whose
+// tab-separated columns are aligned.
 func (a *app) print(v any, table func(w io.Writer)) error {
 	if a.Output == "json" {
 		encoder := json.NewEncoder(a.stdout)
--- a/internal/cli/commands.go
+++ b/internal/cli/commands.go
@@ -52,7 +52,7 @@
 	})
 }
 
-// versionArg is a version on the command line.
+// versionArg holds the positional arguments that name a version of a model.
 type versionArg struct {
 	Model   string `positional-arg-name:"MODEL" required:"true"`
 	Version string `positional-arg-name:"VERSION" required:"true"`
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -16,14 +16,14 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/operator"
 )
 
-// leaf makes a command acceptable to go-flags, which calls Execute only
-// through the command handler.
+// noopCommander implements flags.Commander, which go-flags requires of a command. Execute does
+// nothing, because the handler in Main calls run instead.
 type noopCommander struct{}
 
 // Execute implements flags.Commander.
 func (noopCommander) Execute([]string) error { return nil }
 
-// fileArg is the document on the command line.
+// fileArg holds the positional argument that names a file.
 type fileArg struct {
 	File string `positional-arg-name:"FILE" required:"true"`
 }
@@ -99,7 +99,7 @@
 	return ""
 }
 
-// documents returns the documents in force for a site; an empty one is the daemon's.
+// documents returns the documents in force for a site; an empty site means the daemon's site.
 func (a *app) documents(site string) (shown operator.Shown, err error) {
 	path := "/v1/config"
 	if site != "" {
--- a/internal/cli/entry.go
+++ b/internal/cli/entry.go
@@ -13,7 +13,7 @@
 	"github.com/hornbeamsill/hornbeamsill/platform"
 )
 
-// entrySettings checks the settings of a daemon for plain HTTP callers.
+// entryCheck checks the settings of a daemon for plain HTTP callers.
 type entryCheck struct {
 	noopCommander
 	Args fileArg `positional-args:"yes"`
@@ -32,7 +32,8 @@
 	})
 }
 
-// entryManifest checks an operator's declaration.
+// entryManifest checks a manifest, which is an operator's declaration of the routes, and
+// prints its routes.
 type entryManifest struct {
 	noopCommander
 	Args fileArg `positional-args:"yes"`
@@ -55,7 +56,8 @@
 	})
 }
 
-// entryShow shows what a daemon believes.
+// entryShow prints the status of a daemon for plain HTTP callers: its configuration, instances,
+// evacuations, roll-outs and peers.
 type entryShow struct {
 	noopCommander
 	metricsOption
@@ -69,7 +71,8 @@
 	return a.print(b, func(w io.Writer) { printStatus(w, b) })
 }
 
-// limitText is the limit that an instance names, in requests a second.
+// limitText formats the request rate limit that an instance has reported, in requests per
+// second.
 func limitText(v inventory.View) string {
 	if !v.Limited {
 		return "none"
--- a/internal/cli/evacuate.go
+++ b/internal/cli/evacuate.go
@@ -13,12 +13,12 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/operator"
 )
 
-// siteOption is the site whose overlay is changed.
+// siteOption is the option that names the site whose overlay is read or changed.
 type siteOption struct {
 	Site string `long:"site" description:"site of the failure domain; default the daemon's"`
 }
 
-// domainArg is a failure domain on the command line.
+// domainArg holds the positional argument that names a failure domain.
 type domainArg struct {
 	FailureDomain string `positional-arg-name:"FAILURE-DOMAIN" required:"true"`
 }
@@ -47,8 +47,8 @@
 	})
 }
 
-// change applies a changed overlay to the revision that it was made from. Somebody else's
-// change in between is a conflict, and nothing is done.
+// applyEdit reads the site's overlay, edits it and applies the result. If the overlay changed
+// after it was read, the daemon rejects the edit with a conflict and keeps the other change.
 func (o *siteOption) applyEdit(a *app, what, domain string, edit func(overlay []byte) ([]byte, error)) error {
 	shown, err := a.documents(o.Site)
 	if err != nil {
@@ -70,7 +70,8 @@
 	})
 }
 
-// evacuatedCommand lists the evacuated failure domains with what still runs there.
+// evacuatedCommand lists the evacuated failure domains, each with the number of requests that
+// still run on its upstreams.
 type evacuatedCommand struct {
 	noopCommander
 	siteOption
@@ -102,7 +103,7 @@
 	return a.printEvacuations(rows)
 }
 
-// entryEvacuated lists the evacuations that a daemon for plain HTTP callers has in force.
+// entryEvacuated lists the evacuations in force in a daemon for plain HTTP callers.
 type entryEvacuated struct {
 	noopCommander
 	metricsOption
--- a/internal/cli/quarantine.go
+++ b/internal/cli/quarantine.go
@@ -13,12 +13,12 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/quarantine"
 )
 
-// metricsArg names the daemon that a command speaks to.
+// metricsOption is the option that names a daemon by the address of its metrics listener.
 type metricsOption struct {
 	Metrics string `long:"metrics" required:"true" value-name:"HOST:PORT" description:"metrics listener of the daemon"`
 }
 
-// get fetches what the daemon shows at a path into out.
+// get fetches path from the daemon's metrics listener and decodes the JSON into out.
 func (m metricsOption) get(path string, out any) error {
 	resp, err := http.Get("http://" + m.Metrics + path)
 	if err != nil {
@@ -31,7 +31,8 @@
 	return trace.Wrap(json.NewDecoder(resp.Body).Decode(out))
 }
 
-// entryQuarantine lists the requests that are refused because they crash instances.
+// entryQuarantine lists the requests that the daemon refuses because they crash upstream
+// instances.
 type entryQuarantine struct {
 	noopCommander
 	metricsOption
@@ -62,7 +63,7 @@
 	}
 }
 
-// entryRelease lets a quarantined request run again.
+// entryRelease ends the quarantine of a request, so that the daemon forwards it again.
 type entryRelease struct {
 	noopCommander
 	metricsOption
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -1,5 +1,5 @@
-// Package fault holds the closed list of error kinds that callers and
-// operators can meet, and the table from kind to answer.
+// Package fault defines the kinds of errors that callers and operators can receive and the
+// HTTP response for each kind.
 package fault
 
 import (
@@ -9,14 +9,15 @@
 	"time"
 )
 
-// Kind names one class of failure. The set is closed: every Kind has a row in
-// the answers table.
+// Kind names one class of failure. The set is closed: every Kind has a row in the table
+// responses.
 type Kind string
 
-// Ran says whether the work of a failed request was executed upstream.
+// Ran says whether an upstream executed the work of a failed request.
 type Ran string
 
-// Values of Ran. RanNo is a promise: no upstream started the work.
+// Values of Ran. RanNo guarantees that no upstream started the work, so that the request can
+// be repeated safely.
 const (
 	RanNo      Ran = "no"
 	RanYes     Ran = "yes"
@@ -65,12 +66,11 @@
 	Internal         Kind = "internal"
 )
 
-// Answer is how a kind is reported over HTTP.
+// Response is the HTTP response for a kind.
 type Response struct {
 	// Status is the HTTP status code.
 	Status int
-	// RetryAfter is the default time after which coming back helps; zero
-	// where repeating the request cannot help.
+	// RetryAfter is the default delay before a retry; zero if a retry cannot succeed.
 	RetryAfter time.Duration
 }
 
@@ -124,8 +124,7 @@
 	return kinds
 }
 
-// AnswerFor returns the table's row for kind. An unknown kind is answered as
-// Internal.
+// ResponseFor returns the response for kind. An unknown kind gets the response of Internal.
 func AnswerFor(kind Kind) Response {
 	if a, ok := responses[kind]; ok {
 		return a
@@ -133,15 +132,16 @@
 	return responses[Internal]
 }
 
-// Error is the typed failure that reaches a caller or an operator.
+// Error is a failure that is reported to a caller or an operator.
 type Error struct {
-	Kind       Kind
-	Message    string
-	Ran        Ran
+	Kind    Kind
+	Message string
+	Ran     Ran
+	// RetryAfter is the delay before a retry; zero if a retry cannot succeed.
 	RetryAfter time.Duration
-	// Entries are base URLs of other daemons the caller may use instead.
+	// Entries are base URLs of other daemons that the caller may use instead.
 	Entries []string
-	// RequestID is set once a request has one.
+	// RequestID is empty if the request failed before it got an ID.
 	RequestID string
 }
 
@@ -150,7 +150,7 @@
 	return fmt.Sprintf("%s: %s (ran: %s)", e.Kind, e.Message, e.Ran)
 }
 
-// New returns an error for work that no upstream started.
+// New returns an error with RanNo: no upstream started the work.
 func New(kind Kind, format string, args ...any) *Error {
 	return &Error{
 		Kind:       kind,
@@ -174,8 +174,8 @@
 	return &c
 }
 
-// From finds the typed error inside err. Anything else becomes Internal with
-// an unknown outcome, since nothing is known about what ran.
+// From returns the Error that err wraps. Any other error becomes Internal with RanUnknown,
+// because it does not say whether an upstream executed the work.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
@@ -184,7 +184,7 @@
 	return New(Internal, "%v", err).WithRan(RanUnknown)
 }
 
-// Is reports whether err carries kind.
+// Is reports whether err wraps an Error of the given kind.
 func Is(err error, kind Kind) bool {
 	var e *Error
 	return errors.As(err, &e) && e.Kind == kind
--- a/internal/fault/wire.go
+++ b/internal/fault/wire.go
@@ -13,7 +13,7 @@
 	Error BodyError `json:"error"`
 }
 
-// BodyError is the object inside Body.
+// BodyError is the error object in Body.
 type BodyError struct {
 	Kind         Kind     `json:"kind"`
 	Message      string   `json:"message"`
@@ -44,7 +44,7 @@
 	}}
 }
 
-// FromBody converts the JSON form back.
+// FromBody converts the JSON form to an Error.
 func FromBody(b Body) *Error {
 	return &Error{
 		Kind:       b.Error.Kind,
@@ -56,8 +56,8 @@
 	}
 }
 
-// Write answers an HTTP request with err. Retry-After is in whole seconds,
-// rounded up, and is set wherever coming back helps.
+// Write writes err as an HTTP response. Retry-After is in whole seconds, rounded up, and is
+// set if a retry can succeed.
 func Write(w http.ResponseWriter, err error) {
 	e := From(err)
 	w.Header().Set("Content-Type", "application/json")
@@ -66,6 +66,6 @@
 		w.Header().Set("Retry-After", strconv.FormatInt(seconds, 10))
 	}
 	w.WriteHeader(AnswerFor(e.Kind).Status)
-	// The caller may be gone; there is nobody left to tell.
+	// A write fails only if the caller has disconnected, so the error is ignored.
 	_ = json.NewEncoder(w).Encode(e.ToBody())
 }
--- a/internal/standin/batch.go
+++ b/internal/standin/batch.go
@@ -10,7 +10,7 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/upstream"
 )
 
-// steps runs decoding steps while there is work.
+// runSteps runs decoding steps while there is work.
 func (e *Engine) runSteps() {
 	defer e.stepLoop.Done()
 	timer := time.NewTimer(0)
@@ -35,7 +35,7 @@
 	}
 }
 
-// step admits waiting attempts and returns how long the next step takes; 0
+// beginStep admits waiting attempts and returns how long the next step takes; 0
 // when there is nothing to run.
 func (e *Engine) beginStep() time.Duration {
 	e.mu.Lock()
@@ -67,7 +67,7 @@
 	return pause
 }
 
-// emit gives every running attempt its next token.
+// finishStep gives every running attempt its next token.
 func (e *Engine) finishStep() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -97,7 +97,7 @@
 	r.notify()
 }
 
-// rate has a share of the finished answers rated later.
+// scheduleRating has a share of the finished answers rated later.
 func (e *Engine) scheduleRating(r *attemptRun) {
 	if e.options.OnRating == nil || e.rng.Float64() >= e.options.RateShare {
 		return
--- a/internal/standin/dev.go
+++ b/internal/standin/dev.go
@@ -67,7 +67,7 @@
 	return server.Address(), nil
 }
 
-// list serves an upstream and puts it on the platform's list.
+// register serves an upstream and puts it on the platform's list.
 func (d *Dev) register(h handlerProvider, i backing.Instance) error {
 	address, err := d.serve(h)
 	if err != nil {
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -70,11 +70,11 @@
 	RateDelay Duration `json:"rate_delay"`
 	// Platform is the address of the platform stand-in that takes ratings.
 	Platform string `json:"platform"`
-	// Rate takes the ratings when the platform runs in this process.
+	// OnRating takes the ratings when the platform runs in this process.
 	OnRating func(backing.Rating) `json:"-"`
 }
 
-// run is one attempt inside the engine.
+// attemptRun is one attempt inside the engine.
 type attemptRun struct {
 	attempt   upstream.Attempt
 	events    []upstream.Event
@@ -147,7 +147,7 @@
 	e.stepLoop.Wait()
 }
 
-// start queues an attempt, or says why it does not.
+// enqueue queues an attempt, or says why it does not.
 func (e *Engine) enqueue(a upstream.Attempt) (*attemptRun, upstream.RefusalReason) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -224,7 +224,7 @@
 	r.notify()
 }
 
-// order obeys or refuses an order.
+// applyOrder obeys or refuses an order.
 func (e *Engine) applyOrder(o upstream.Order) upstream.RefusalReason {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -259,7 +259,7 @@
 	}
 }
 
-// report returns the load as it was ReportLag ago.
+// delayedReport returns the load as it was ReportLag ago.
 func (e *Engine) delayedReport() upstream.LoadReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/engine_http.go
+++ b/internal/standin/engine_http.go
@@ -44,7 +44,7 @@
 	e.leaving = f.Leaving
 }
 
-// takeCut reports after how many events this connection is cut; 0 never.
+// nextCut reports after how many events this connection is cut; 0 never.
 func (e *Engine) nextCut() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -125,7 +125,7 @@
 	e.streamEvents(c, r, after+1)
 }
 
-// serve writes the events of r from offset next on, as they come.
+// streamEvents writes the events of r from offset next on, as they come.
 func (e *Engine) streamEvents(c *gin.Context, r *attemptRun, next int) {
 	c.Header("Content-Type", "text/event-stream")
 	c.Writer.WriteHeaderNow()
@@ -230,7 +230,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// PostRating returns a function that sends ratings to a platform stand-in.
+// RatingPoster returns a function that sends ratings to a platform stand-in.
 func RatingPoster(address string) func(backing.Rating) {
 	return func(r backing.Rating) {
 		data, _ := json.Marshal(r)
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -1,6 +1,6 @@
 // Package standin holds stand-ins for the outside systems: the platform, model
 // engines and plain services. They speak the published protocols over HTTP,
-// run inside the daemon for --dev and as processes of their own in tests, and
+// attemptRun inside the daemon for --dev and as processes of their own in tests, and
 // take faults over paths below /standin/.
 package standin
 
@@ -55,7 +55,7 @@
 	reads      int
 }
 
-// listing is the instance list as it was at a moment.
+// instanceListing is the instance list as it was at a moment.
 type instanceListing struct {
 	at        time.Time
 	instances []backing.Instance
--- a/internal/standin/prefix_cache.go
+++ b/internal/standin/prefix_cache.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// prefixBlock is the number of words in a block of the prefix cache.
+// prefixBlockWords is the number of words in a block of the prefix cache.
 const prefixBlockWords = 16
 
 // prefixCache is a least-recently-used cache of prompt prefixes in whole
@@ -17,7 +17,7 @@
 	blocks   []uint64 // least recently used first
 }
 
-// use returns how many words of the prompt were cached and caches the prompt.
+// lookup returns how many words of the prompt were cached and caches the prompt.
 func (c *prefixCache) lookup(prompt string) int {
 	words := strings.Fields(prompt)
 	cached, hit := 0, true
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -30,5 +30,5 @@
 // Close ends the server and its connections.
 func (s *Server) Close() { _ = s.http.Close() }
 
-// handled is a stand-in with an HTTP interface.
+// handlerProvider is a stand-in with an HTTP interface.
 type handlerProvider interface{ Handler() http.Handler }
--- a/internal/telemetry/bounded.go
+++ b/internal/telemetry/bounded.go
@@ -9,36 +9,36 @@
 )
 
 const (
-	// queuedLines is how many lines wait for a writer that is slow: some
-	// seconds of a busy daemon.
+	// queueLength is the number of lines that can wait for a slow writer. It holds the
+	// lines that a busy daemon logs in some seconds.
 	queueLength = 4096
-	// linesPerSecond bounds the lines about requests that are kept: ten times what a
-	// daemon at its usual load writes, and under a hundredth of a core.
+	// requestLinesPerSecond limits the lines about requests. It is ten times the rate at a
+	// daemon's usual load, and writing at this rate uses under a hundredth of a core.
 	requestLinesPerSecond = 400
-	// othersPerSecond bounds all other lines. They tell of what a daemon believes and
-	// decides, are few, and explain what became of the requests beside them.
+	// otherLinesPerSecond limits all other lines. These are few; they record the daemon's
+	// state and decisions, which explain the outcome of the requests logged near them.
 	otherLinesPerSecond = 100
 )
 
-// aboutRequest is in each line about one request.
+// requestAttribute is the log attribute that marks a line about one request.
 var requestAttribute = []byte(" request=")
 
-// Bounded writes lines in the background. A line that finds no room is dropped
-// and counted, so that a slow reader of the logs never holds up a request.
+// LineWriter writes log lines in the background. A line that exceeds the queue or a rate
+// limit is dropped and counted, so that a slow reader of the logs never delays a request.
 type LineWriter struct {
 	lines   chan []byte
 	done    chan struct{}
 	dropped atomic.Int64
 }
 
-// NewBounded returns a writer in front of w.
+// NewLineWriter returns a LineWriter that writes to w until Close.
 func NewLineWriter(w io.Writer) *LineWriter {
 	b := &LineWriter{lines: make(chan []byte, queueLength), done: make(chan struct{})}
 	go b.run(w)
 	return b
 }
 
-// Write implements io.Writer; it never blocks and never fails.
+// Write implements io.Writer. It queues line and never blocks or fails.
 func (b *LineWriter) Write(line []byte) (int, error) {
 	select {
 	case b.lines <- append([]byte(nil), line...):
@@ -48,10 +48,10 @@
 	return len(line), nil
 }
 
-// Dropped is the number of lines that were not written.
+// Dropped returns the number of lines that were not written.
 func (b *LineWriter) Dropped() int64 { return b.dropped.Load() }
 
-// Close writes what waits and ends. Nothing may be written after it.
+// Close writes the queued lines and stops the writer. Write must not be called after Close.
 func (b *LineWriter) Close() {
 	close(b.lines)
 	<-b.done
@@ -69,17 +69,18 @@
 				reported = dropped
 			}
 		}
-		// Counted together, a burst of refusals drops the one line that tells which
-		// configuration came into force, or what was lost, in that second.
-		written, most := &others, otherLinesPerSecond
+		// Separate counts: with a common limit, a burst of refused requests would drop
+		// the only line in that second that says which configuration came into force or
+		// that the store was lost.
+		written, limit := &others, otherLinesPerSecond
 		if bytes.Contains(line, requestAttribute) {
-			written, most = &requests, requestLinesPerSecond
+			written, limit = &requests, requestLinesPerSecond
 		}
-		if *written++; *written > most {
+		if *written++; *written > limit {
 			b.dropped.Add(1)
 			continue
 		}
-		// Nobody can be told that the log cannot be written; the count says so.
+		// A failure to write the log cannot be logged; it only shows in the count.
 		if _, err := w.Write(line); err != nil {
 			b.dropped.Add(1)
 		}
--- a/internal/telemetry/bounded_test.go
+++ b/internal/telemetry/bounded_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Callers are refused by the thousand, and a configuration comes into force in the same
-// second. Operators look for the line that says so, and do not find it: it was one line too
-// many, after those of the requests.
+// Guards against the loss of a rare, important line in a burst of request lines: if thousands
+// of requests are refused in the second in which a configuration comes into force, a common
+// rate limit drops the config.in_force line.
 func TestRequestLinesDoNotCrowdOutOtherLines(t *testing.T) {
 	var out bytes.Buffer
 	b := NewLineWriter(&out)
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -30,8 +30,8 @@
 	return nil
 }
 
-// SetupTraces installs the exporter asked for and returns what flushes it.
-// Trace context is passed on in W3C headers even without an exporter.
+// SetupTraces installs the exporter that the settings name and returns a function that
+// flushes and closes it. Trace context is propagated in W3C headers even without an exporter.
 func SetupTraces(s settings.Trace, instance string) (func(context.Context) error, error) {
 	otel.SetTextMapPropagator(propagation.TraceContext{})
 	exporter, closer, err := newExporter(s)
@@ -75,9 +75,8 @@
 	}
 }
 
-// Publish shows the value of f under name in /debug/vars. A second call with
-// the same name has no effect, so that tests can start several daemons in one
-// process.
+// Publish publishes the value of f under name in /debug/vars. A second call with the same name
+// has no effect, so that tests can start several daemons in one process.
 func Publish(name string, f func() any) {
 	if expvar.Get(name) == nil {
 		expvar.Publish(name, expvar.Func(f))
--- a/test/capacity/bytes.go
+++ b/test/capacity/bytes.go
@@ -22,7 +22,7 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/upstream"
 )
 
-// counter forwards TCP connections and counts their bytes, both ways.
+// countingProxy forwards TCP connections and counts their bytes, both ways.
 type countingProxy struct {
 	listener net.Listener
 	bytes    atomic.Int64
@@ -64,7 +64,7 @@
 	}
 }
 
-// per returns the bytes of one of n calls, after one to warm up.
+// bytesPerCall returns the bytes of one of n calls, after one to warm up.
 func (c *countingProxy) bytesPerCall(n int, call func() error) (float64, error) {
 	if err := call(); err != nil {
 		return 0, err
@@ -78,7 +78,7 @@
 	return float64(c.bytes.Load()-before) / float64(n), nil
 }
 
-// peerPair is a daemon that serves its peers and a counted way to it.
+// countedPeer is a daemon that serves its peers and a counted way to it.
 type countedPeer struct {
 	node   *daemon.Node
 	client *peer.Client
@@ -101,7 +101,7 @@
 
 func (p *countedPeer) address() string { return p.proxy.listener.Addr().String() }
 
-// sized measures the bytes of a call for each size.
+// bytesBySize measures the bytes of a call for each size.
 func bytesBySize(name, per string, sizes []int, prepare func(p *countedPeer, n int) func() error) (slope, error) {
 	var failed error
 	s := measure(name, "B", per, sizes, func(n int) float64 {
--- a/test/capacity/main.go
+++ b/test/capacity/main.go
@@ -41,7 +41,7 @@
 	return s
 }
 
-// at is the fitted cost at a size.
+// costAt is the fitted cost at a size.
 func (s slope) costAt(n float64) float64 { return s.Fixed + s.Each*n }
 
 func formatPoints(s slope) string {
--- a/test/capacity/memory.go
+++ b/test/capacity/memory.go
@@ -20,7 +20,7 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/upstream"
 )
 
-// heap returns the live bytes that build leaves behind.
+// heapGrowth returns the live bytes that build leaves behind.
 func heapGrowth(build func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -34,7 +34,7 @@
 	return float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
-// took returns the microseconds that one of n calls of f takes.
+// microsecondsPerCall returns the microseconds that one of n calls of f takes.
 func microsecondsPerCall(n int, f func()) float64 {
 	began := time.Now()
 	for range n {
--- a/test/capacity/process.go
+++ b/test/capacity/process.go
@@ -14,23 +14,23 @@
 	"github.com/hornbeamsill/hornbeamsill/test/cluster"
 )
 
-// watch is how long processes are watched.
+// observationTime is how long processes are watched.
 const observationTime = 6 * time.Second
 
 // ticksPerSecond is the unit of processor time in /proc.
 const ticksPerSecond = 100
 
-// idle is what an idle cluster costs.
+// idleCost is what an idle cluster costs.
 type idleCost struct {
-	// core is the processor time of one daemon, in percent of a core.
+	// cpuPercent is the processor time of one daemon, in percent of a core.
 	cpuPercent float64
-	// resident is the memory of one daemon, in MB.
+	// residentMB is the memory of one daemon, in MB.
 	residentMB float64
-	// reads and writes are the calls of all daemons to the platform a second.
+	// readsPerSecond and writes are the calls of all daemons to the platform a second.
 	readsPerSecond, writesPerSecond float64
 }
 
-// watchIdle runs daemons with their usual settings and no callers.
+// measureIdle runs daemons with their usual settings and no callers.
 func measureIdle(bin cluster.Binaries, daemons, upstreams int) (idleCost, error) {
 	dir, err := os.MkdirTemp("", "capacity")
 	if err != nil {
@@ -99,7 +99,7 @@
 	return out, nil
 }
 
-// processorTime returns the seconds a process has used.
+// cpuSeconds returns the seconds a process has used.
 func cpuSeconds(pid int) float64 {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
--- a/test/capacity/project.go
+++ b/test/capacity/project.go
@@ -22,7 +22,7 @@
 	ratedKinds             = 19 * 6.0
 )
 
-// project prints what the slopes come to at that size, per daemon.
+// printProjection prints what the slopes come to at that size, per daemon.
 func printProjection(all []slope) {
 	by := map[string]slope{}
 	for _, s := range all {
--- a/test/faults/faults.go
+++ b/test/faults/faults.go
@@ -6,7 +6,7 @@
 	"github.com/hornbeamsill/hornbeamsill/test/cluster"
 )
 
-// injected is a fault and how it ends.
+// faultCase is a fault and how it ends.
 type faultCase struct {
 	name   string
 	inject func(*testSystem) error
@@ -32,7 +32,7 @@
 	}
 }
 
-// all does several things one after the other.
+// inOrder does several things one after the other.
 func inOrder(fs ...func(*testSystem) error) func(*testSystem) error {
 	return func(w *testSystem) error {
 		for _, f := range fs {
@@ -48,7 +48,7 @@
 func wake(w *testSystem) error   { w.Daemons[0].Wake(); return nil }
 func kill(w *testSystem) error   { w.Daemons[0].Kill(); return nil }
 
-// replace starts a daemon in place of a dead one.
+// startReplacement starts a daemon in place of a dead one.
 func startReplacement(w *testSystem) error {
 	_, err := w.StartDaemon("gbg-a", func(*settings.Settings) {})
 	return err
--- a/test/faults/trial.go
+++ b/test/faults/trial.go
@@ -18,13 +18,13 @@
 	"github.com/hornbeamsill/hornbeamsill/test/cluster"
 )
 
-// words is the length of a whole answer of the engines.
+// answerWords is the length of a whole answer of the engines.
 const answerWords = 24
 
-// callers is how many callers ask at once.
+// callerCount is how many callers ask at once.
 const callerCount = 12
 
-// row is what was counted under one fault.
+// result is what was counted under one fault.
 type result struct {
 	Fault string `json:"fault"`
 	// Asked counts requests; Whole those with a whole answer in the end;
@@ -50,7 +50,7 @@
 	return r.Lost+r.Doubled+r.Cut+r.Misreported+r.BillsMissing+r.BillsDoubled > 0
 }
 
-// world is the system under one fault.
+// testSystem is the system under one fault.
 type testSystem struct {
 	*cluster.Cluster
 	platformLink *cluster.Proxy
@@ -59,7 +59,7 @@
 	engineLinks  []*cluster.Proxy
 }
 
-// trial runs the load for a time, with the fault in the middle half.
+// runTrial runs the load for a time, with the fault in the middle half.
 func runTrial(bin cluster.Binaries, f faultCase, length time.Duration) (result, error) {
 	dir, err := os.MkdirTemp("", "trial")
 	if err != nil {
@@ -88,8 +88,8 @@
 	return l.count(f.name)
 }
 
-// build starts a platform, two engines and three daemons, with proxies on all
-// links of the first daemon.
+// newTestSystem starts a platform, two engines and three daemons, with proxies on all
+// engineLinks of the first daemon.
 func newTestSystem(bin cluster.Binaries, dir string) (*testSystem, error) {
 	c, err := cluster.New(bin, dir)
 	if err != nil {
@@ -177,11 +177,11 @@
 	keyed  bool
 	reply  cluster.Reply
 	err    error
-	// toldNotRun is set when the last answer said ran: no.
+	// reportedNotRun is set when the last answer said ran: no.
 	reportedNotRun bool
 }
 
-// load is callers that ask without pause.
+// loadGenerator is callers that ask without pause.
 type loadGenerator struct {
 	*testSystem
 	ctx     context.Context
@@ -211,7 +211,7 @@
 	l.running.Wait()
 }
 
-// tries is how often a caller repeats a request, at one daemon after the other
+// maxTries is how often a caller repeats a request, at one daemon after the other
 // and with the same key.
 const maxTries = 4
 
@@ -245,7 +245,7 @@
 	return o
 }
 
-// key makes a key with the prefix of a daemon; some callers use none.
+// idempotencyKey makes a key with the prefix of a daemon; some callers use none.
 func (l *loadGenerator) idempotencyKey(i, n int) string {
 	own := fmt.Sprintf("key-%d-%d", i, n)
 	if i%4 == 3 {
@@ -261,7 +261,7 @@
 }
 
 // count compares what callers were told with what engines and ledger say, once
-// nothing runs any more.
+// noop runs any more.
 func (l *loadGenerator) count(name string) (result, error) {
 	started, finishedIDs, finished, err := l.engineCounts()
 	if err != nil {
--- a/test/measure/cost.go
+++ b/test/measure/cost.go
@@ -13,7 +13,7 @@
 // Model of the cost measurement.
 const (
 	costRequests = 40_000
-	// costRated is the share of answers that get rated, and costDelay how many
+	// costRatedShare is the share of answers that get rated, and costDelay how many
 	// requests later.
 	costRatedShare  = 0.2
 	costRatingDelay = 500
@@ -57,7 +57,7 @@
 
 var costJudge = route.Judge{TrueAccept: 0.95, FalseAccept: 0.1, Cost: 0.5}
 
-// chooser picks a plan for a kind.
+// planPolicy picks a plan for a kind.
 type planPolicy func(k costKind, candidates []route.Candidate, random *rand.Rand) route.Plan
 
 func costPlans(k costKind, candidates []route.Candidate) ([]route.Plan, route.Request) {
@@ -73,7 +73,7 @@
 	}
 }
 
-// certain gives the candidates their true quality, as an oracle knows it.
+// trueCandidates gives the candidates their true quality, as an oracle knows it.
 func trueCandidates(models []costModel, kind string) []route.Candidate {
 	const sure = 1e6
 	var out []route.Candidate
@@ -99,7 +99,7 @@
 	good float64
 }
 
-// runCost plays one seed with a policy.
+// simulateCost plays one seed with a policy.
 func simulateCost(choose planPolicy, oracle bool, seed uint64) costResult {
 	models, kinds := costModels()
 	random := rand.New(rand.NewPCG(seed, 1))
@@ -160,7 +160,7 @@
 	good bool
 }
 
-// play answers a request by a plan.
+// execute answers a request by a plan.
 func execute(plan route.Plan, models map[config.VersionRef]costModel, kind string, random *rand.Rand) (bool, float64, []modelRun) {
 	first := models[plan.Steps[0]]
 	ok := random.Float64() < first.quality[kind]
--- a/test/measure/exposure.go
+++ b/test/measure/exposure.go
@@ -25,7 +25,7 @@
 
 var exposureVersion = config.VersionRef{Model: "m", Version: "2"}
 
-// scene is a roll-out under one circumstance.
+// scenario is a roll-out under one circumstance.
 type scenario struct {
 	name    string
 	quality float64
@@ -35,7 +35,7 @@
 	holderGone, storeOut time.Duration
 }
 
-// scenePause is how long a lost holder or store is gone.
+// outageLength is how long a lost holder or store is gone.
 const outageLength = 30 * time.Second
 
 func (s scenario) outage(now time.Duration) bool {
@@ -43,7 +43,7 @@
 	return within(s.holderGone) || within(s.storeOut)
 }
 
-// exposed is what one run led to.
+// exposureResult is what one run led to.
 type exposureResult struct {
 	answers, bad int
 	withdrawn    bool
@@ -57,7 +57,7 @@
 	good bool
 }
 
-// ratingsOf moves the ratings that are due into the evidence.
+// applyDueRatings moves the ratings that are due into the evidence.
 func applyDueRatings(pending []pendingRating, now time.Duration, e *rollout.Evidence) []pendingRating {
 	return slices.DeleteFunc(pending, func(p pendingRating) bool {
 		if p.at > now {
@@ -72,7 +72,7 @@
 	})
 }
 
-// answer is one answer by the new version.
+// recordAnswer is one answer by the new version.
 func (x *exposureResult) recordAnswer(s scenario, now time.Duration, pending []pendingRating, random *rand.Rand) []pendingRating {
 	good := random.Float64() < s.quality
 	x.answers++
@@ -85,7 +85,7 @@
 	return pending
 }
 
-// runCredits is the router: sequential test, stages by evidence, credits that
+// runRouterRollout is the router: sequential test, stages by evidence, credits that
 // lapse.
 func runRouterRollout(s scenario, seed uint64) exposureResult {
 	random := rand.New(rand.NewPCG(seed, 2))
--- a/test/measure/latency.go
+++ b/test/measure/latency.go
@@ -156,7 +156,7 @@
 	return best
 }
 
-// latCase is one circumstance.
+// latScenario is one circumstance.
 type latScenario struct {
 	name string
 	load float64
--- a/test/measure/limits.go
+++ b/test/measure/limits.go
@@ -85,7 +85,7 @@
 	waited atomic.Int64
 }
 
-// class is a part of the load.
+// trafficClass is a part of the load.
 type trafficClass struct {
 	organisation string
 	priority     int
@@ -189,7 +189,7 @@
 	return t
 }
 
-// brownout fails a share of attempts and counts what is sent.
+// retryAmplification fails a share of attempts and counts what is sent.
 func retryAmplification() table {
 	t := table{
 		Name:    "Attempts per request while upstreams fail",
