--- a/cmd/hornbeamsill-standin/main.go
+++ b/cmd/hornbeamsill-standin/main.go
@@ -1,6 +1,6 @@
-// Command hornbeamsill-standin runs one stand-in of an outside system as a
-// process of its own, for tests: the platform, a model engine or a plain
-// service. It prints "address=HOST:PORT" once it listens.
+// Command hornbeamsill-standin runs a stand-in for one external system as a separate process
+// for tests: the platform, a model engine or a plain service. It prints "address=HOST:PORT"
+// once it listens, and stops on SIGTERM or SIGINT.
 package main
 
 import (
--- a/cmd/hornbeamsilld/main.go
+++ b/cmd/hornbeamsilld/main.go
@@ -1,5 +1,6 @@
-// Command hornbeamsilld is the entry daemon: it serves callers, routes their
-// requests to model servers and plain services, and does its share of control.
+// Command hornbeamsilld is the routing daemon. It serves callers, routes their requests to
+// model servers and plain services, and takes part in the control of roll-outs, configuration
+// and billing. Settings with a /routes section start the daemon for plain HTTP callers.
 package main
 
 import (
@@ -17,7 +18,7 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/telemetry"
 )
 
-// Exit codes.
+// Exit codes. exitCut means that the shutdown cut off running requests.
 const (
 	exitOK    = 0
 	exitError = 1
--- a/internal/standin/batch.go
+++ b/internal/standin/batch.go
@@ -10,14 +10,14 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/upstream"
 )
 
-// runSteps runs decoding steps while there is work.
+// runSteps runs decoding steps until Close. Without work it waits for wake.
 func (e *Engine) runSteps() {
 	defer e.stepLoop.Done()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		pause := e.beginStep()
-		if pause == 0 {
+		duration := e.beginStep()
+		if duration == 0 {
 			select {
 			case <-e.wake:
 				continue
@@ -25,7 +25,7 @@
 				return
 			}
 		}
-		timer.Reset(pause)
+		timer.Reset(duration)
 		select {
 		case <-timer.C:
 		case <-e.done:
@@ -35,8 +35,8 @@
 	}
 }
 
-// beginStep admits waiting attempts and returns how long the next step takes; 0
-// when there is nothing to run.
+// beginStep moves waiting attempts into free slots and returns the duration of the next step,
+// or 0 if no attempt is running. The prompts of the attempts that it admits lengthen the step.
 func (e *Engine) beginStep() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -61,13 +61,13 @@
 		slowest = max(slowest, time.Duration(e.options.Profiles[r.attempt.Chat.Model].TokenTime))
 	}
 	slowdown := (1 + e.options.BatchSlowdown*float64(len(e.running)-1)) * cmp.Or(e.faults.Slowdown, 1)
-	pause := time.Duration(float64(slowest)*slowdown) + prefill
-	pause = max(pause, time.Microsecond)
-	e.tokensPerSecond = float64(len(e.running)) / pause.Seconds()
-	return pause
+	duration := time.Duration(float64(slowest)*slowdown) + prefill
+	duration = max(duration, time.Microsecond)
+	e.tokensPerSecond = float64(len(e.running)) / duration.Seconds()
+	return duration
 }
 
-// finishStep gives every running attempt its next token.
+// finishStep adds the next event to every running attempt and removes the ended ones.
 func (e *Engine) finishStep() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -97,7 +97,8 @@
 	r.notify()
 }
 
-// scheduleRating has a share of the finished answers rated later.
+// scheduleRating passes a rating of a finished answer to OnRating after RatingDelay, for a
+// random share of the answers.
 func (e *Engine) scheduleRating(r *attemptRun) {
 	if e.options.OnRating == nil || e.rng.Float64() >= e.options.RateShare {
 		return
--- a/internal/standin/dev.go
+++ b/internal/standin/dev.go
@@ -12,7 +12,7 @@
 	"github.com/hornbeamsill/hornbeamsill/platform"
 )
 
-// DevConfig is the base document of --dev.
+// DevConfig is the base document that --dev applies.
 //
 //go:embed dev.jsonc
 var DevConfig string
@@ -23,17 +23,18 @@
 	DevKeyMail   = "dev-key-mail"
 )
 
-// Dev is a platform, two engines and a plain service in this process.
+// Dev holds the stand-ins of --dev, which run in this process: a platform, two engines and a
+// plain service.
 type Dev struct {
 	Platform *Platform
 	Engines  []*Engine
 	Service  *Service
-	// PlatformAddress is host:port of the platform.
+	// PlatformAddress is the host:port of the platform.
 	PlatformAddress string
 	servers         []*Server
 }
 
-// StartDev starts the stand-ins and brings DevConfig into force.
+// StartDev starts the stand-ins and applies DevConfig.
 func StartDev() (*Dev, error) {
 	d := &Dev{Platform: NewPlatform(backing.NewMemory(), PlatformOptions{})}
 	address, err := d.serve(d.Platform)
@@ -67,7 +68,7 @@
 	return server.Address(), nil
 }
 
-// register serves an upstream and puts it on the platform's list.
+// register serves an upstream and adds it to the platform's instance list.
 func (d *Dev) register(h handlerProvider, i backing.Instance) error {
 	address, err := d.serve(h)
 	if err != nil {
@@ -78,7 +79,7 @@
 	return nil
 }
 
-// Close ends the stand-ins.
+// Close stops the stand-ins.
 func (d *Dev) Close() {
 	for _, s := range d.servers {
 		s.Close()
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -13,23 +13,23 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/upstream"
 )
 
-// PoorMarker stands in the text of an answer that does not meet its quality.
+// PoorMarker is the last word of a bad answer.
 const PoorMarker = "uncertain"
 
-// VersionProfile is how an engine behaves when it runs a version.
+// VersionProfile says how an engine behaves when it runs a version.
 type VersionProfile struct {
-	// Quality is the true chance that an answer is good, by kind; "" is the
+	// Quality is the probability that an answer is good, by kind of request; "" is the
 	// default.
 	Quality map[string]float64 `json:"quality"`
-	// TokenTime is the time of a decoding step with an empty batch.
+	// TokenTime is the duration of a decoding step with one running attempt.
 	TokenTime Duration `json:"token_time"`
 	// PrefillTime is the time per uncached prompt token.
 	PrefillTime Duration `json:"prefill_time"`
-	// Tokens is the length of an answer.
+	// Tokens is the length of an answer in tokens; 0 means 16.
 	Tokens int `json:"tokens"`
 }
 
-// Duration is a time.Duration that JSON writes as "30ms".
+// Duration is a time.Duration whose JSON form is a string such as "30ms".
 type Duration time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -45,36 +45,41 @@
 // EngineOptions are the settings of an engine stand-in.
 type EngineOptions struct {
 	Instance string `json:"instance"`
-	// Profiles has every version that the engine can load, as "model@version".
+	// Profiles has every version that the engine can load, by "model@version".
 	Profiles map[string]VersionProfile `json:"profiles"`
 	// Serving lists the versions loaded at start.
 	Serving []string `json:"serving"`
-	// Slots is the largest batch.
+	// Slots is the maximum batch size; 0 means 8.
 	Slots int `json:"slots"`
-	// QueueLimit is how many attempts wait before new ones are refused.
+	// QueueLimit is the number of waiting attempts at which new ones are refused; 0 means
+	// 64.
 	QueueLimit int `json:"queue_limit"`
-	// BatchSlowdown is the relative growth of a step per running attempt.
+	// BatchSlowdown is the relative growth of a step's duration for each running attempt
+	// beyond the first.
 	BatchSlowdown float64 `json:"batch_slowdown"`
-	// ReportLag is how old load reports are.
+	// ReportLag is the age of the load reports that the engine returns.
 	ReportLag Duration `json:"report_lag"`
-	// LoadTime is how long loading a version takes.
+	// LoadTime is the time to load a version.
 	LoadTime Duration `json:"load_time"`
-	// Fencing is "refuse" or "ignore".
+	// Fencing is "ignore" if the engine executes orders with an outdated fence; with any
+	// other value it refuses them.
 	Fencing string `json:"fencing"`
-	// CacheTokens is the size of the prompt prefix cache.
+	// CacheTokens is the size of the prompt prefix cache in tokens; 0 means 4096. A word
+	// counts as a token.
 	CacheTokens int    `json:"cache_tokens"`
 	Seed        uint64 `json:"seed"`
-	// RateShare is the share of finished answers that get rated.
+	// RatedShare is the share of finished answers that get a rating.
 	RateShare float64 `json:"rate_share"`
-	// RateDelay is how long after its end an answer is rated.
+	// RatingDelay is the time from the end of an answer to its rating.
 	RateDelay Duration `json:"rate_delay"`
-	// Platform is the address of the platform stand-in that takes ratings.
+	// Platform is the address of the platform stand-in that provides weights and takes
+	// ratings. If it is empty, the engine loads versions without fetching weights.
 	Platform string `json:"platform"`
-	// OnRating takes the ratings when the platform runs in this process.
+	// OnRating receives the ratings; if it is nil, answers are not rated.
 	OnRating func(backing.Rating) `json:"-"`
 }
 
-// attemptRun is one attempt inside the engine.
+// attemptRun is the state of one attempt that the engine has accepted.
 type attemptRun struct {
 	attempt   upstream.Attempt
 	events    []upstream.Event
@@ -83,7 +88,7 @@
 	usage     upstream.Usage
 	finished  bool
 	cancelled bool
-	// changed is closed and replaced whenever events or state change.
+	// changed is closed and replaced whenever the events or the state change.
 	changed chan struct{}
 }
 
@@ -94,8 +99,8 @@
 	r.changed = make(chan struct{})
 }
 
-// Engine is a model engine with continuous batching: each step gives every
-// running attempt one token, and waiting attempts join between steps.
+// Engine simulates a model engine with continuous batching: each step generates one token
+// for every running attempt, and waiting attempts join the batch between steps.
 type Engine struct {
 	options EngineOptions
 
@@ -147,7 +152,7 @@
 	e.stepLoop.Wait()
 }
 
-// enqueue queues an attempt, or says why it does not.
+// enqueue queues an attempt by priority, or returns the reason for refusing it.
 func (e *Engine) enqueue(a upstream.Attempt) (*attemptRun, upstream.RefusalReason) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -190,8 +195,8 @@
 	return r
 }
 
-// answerWords makes a text that depends on the request and carries
-// PoorMarker when the answer is poor.
+// answerWords returns the words of an answer. The first names the model; the last is
+// PoorMarker if the answer is bad.
 func answerWords(a upstream.Attempt, count int, good bool) []string {
 	words := make([]string, count)
 	for i := range words {
@@ -224,7 +229,8 @@
 	r.notify()
 }
 
-// applyOrder obeys or refuses an order.
+// applyOrder executes an order to load or unload a version, or returns the reason for
+// refusing it. A load finishes after LoadTime.
 func (e *Engine) applyOrder(o upstream.Order) upstream.RefusalReason {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -259,7 +265,8 @@
 	}
 }
 
-// delayedReport returns the load as it was ReportLag ago.
+// delayedReport returns the load as it was ReportLag ago. Reports are recorded only when this
+// is called, so the returned one is the newest that is old enough, or else the oldest.
 func (e *Engine) delayedReport() upstream.LoadReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -313,9 +320,10 @@
 	return out
 }
 
-// EngineCounts is what an engine really did, for tests.
+// EngineCounts counts what an engine has done. Tests compare it with what callers were told
+// and with the bills.
 type EngineCounts struct {
-	// Started and Finished count attempts by request id.
+	// Started and Finished count attempts by request ID.
 	Started  map[string]int `json:"started"`
 	Finished map[string]int `json:"finished"`
 	// Versions counts attempts started by "model@version", and Prompts by the
@@ -326,10 +334,11 @@
 	FinishedPrompts map[string]int `json:"finished_prompts"`
 	// Running counts attempts that have not ended.
 	Running int `json:"running"`
-	Orders  int `json:"orders"`
+	// Orders counts the orders that passed the fence check.
+	Orders int `json:"orders"`
 }
 
-// Counts returns what the engine did so far.
+// Counts returns what the engine has done so far.
 func (e *Engine) Counts() EngineCounts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/engine_http.go
+++ b/internal/standin/engine_http.go
@@ -13,30 +13,32 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/upstream"
 )
 
-// EngineFaults are the faults an engine injects into itself.
+// EngineFaults are the faults that an engine injects into its own behaviour.
 type EngineFaults struct {
-	// CutAfter ends each connection after that many events; 0 never.
+	// CutAfter is the number of events after which each stream's connection is closed; 0
+	// means never.
 	CutAfter int `json:"cut_after"`
-	// Cuts limits how many connections are cut; 0 is no limit.
+	// Cuts is the number of connections to close that way; 0 means no limit.
 	Cuts int `json:"cuts"`
-	// Reorder swaps neighbouring events, Duplicate sends each twice, and
-	// Foreign mixes in events of another attempt.
+	// Reorder swaps adjacent events, Duplicate sends each event twice, and Foreign inserts
+	// events of another attempt.
 	Reorder   bool `json:"reorder"`
 	Duplicate bool `json:"duplicate"`
 	Foreign   bool `json:"foreign"`
-	// NoAnswer closes the connection of an attempt after starting it.
+	// NoAnswer closes the connection of an attempt after queueing the attempt, without a
+	// response.
 	NoAnswer bool `json:"no_answer"`
-	// Refuse refuses every attempt with this reason.
+	// Refuse is the reason with which every attempt is refused; empty refuses none.
 	Refuse upstream.RefusalReason `json:"refuse"`
-	// HideLeaving keeps load reports from saying that the engine leaves.
+	// HideLeaving omits from load reports that the engine is leaving.
 	HideLeaving bool `json:"hide_leaving"`
-	// Slowdown multiplies the time of a step; 0 is 1.
+	// Slowdown multiplies the duration of a step; 0 means 1.
 	Slowdown float64 `json:"slowdown"`
-	// Leaving makes the engine refuse new attempts.
+	// Leaving makes the engine refuse new attempts and report that it is leaving.
 	Leaving bool `json:"leaving"`
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces all faults.
 func (e *Engine) SetFaults(f EngineFaults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -44,7 +46,8 @@
 	e.leaving = f.Leaving
 }
 
-// nextCut reports after how many events this connection is cut; 0 never.
+// nextCut returns the number of events after which a new stream's connection is closed, or 0
+// for never, and counts it towards Cuts.
 func (e *Engine) nextCut() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -125,7 +128,8 @@
 	e.streamEvents(c, r, after+1)
 }
 
-// streamEvents writes the events of r from offset next on, as they come.
+// streamEvents streams the events of r from offset next until r ends or the client
+// disconnects.
 func (e *Engine) streamEvents(c *gin.Context, r *attemptRun, next int) {
 	c.Header("Content-Type", "text/event-stream")
 	c.Writer.WriteHeaderNow()
@@ -151,7 +155,8 @@
 	}
 }
 
-// eventWriter writes events with the faults asked for.
+// eventWriter writes events to a stream and injects the faults. held is the event that
+// Reorder sends after its successor.
 type eventWriter struct {
 	c        *gin.Context
 	faults   EngineFaults
@@ -214,7 +219,8 @@
 	c.JSON(http.StatusOK, gin.H{})
 }
 
-// fetchWeights asks the weight store; false when it is over its rate.
+// fetchWeights fetches the weights of a version from the platform stand-in and reports whether
+// that succeeded. It fails while the weight store is over its rate limit.
 func (e *Engine) fetchWeights(o upstream.Order) bool {
 	e.mu.Lock()
 	_, have := e.serving[o.Model+"@"+o.Version]
@@ -230,7 +236,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// RatingPoster returns a function that sends ratings to a platform stand-in.
+// RatingPoster returns a function that posts a rating to the platform stand-in at address. Use
+// it as OnRating if the platform runs in another process.
 func RatingPoster(address string) func(backing.Rating) {
 	return func(r backing.Rating) {
 		data, _ := json.Marshal(r)
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -1,7 +1,7 @@
-// Package standin holds stand-ins for the outside systems: the platform, model
-// engines and plain services. They speak the published protocols over HTTP,
-// attemptRun inside the daemon for --dev and as processes of their own in tests, and
-// take faults over paths below /standin/.
+// Package standin implements stand-ins for the external systems: the platform, model engines
+// and plain services. They speak the real protocols over HTTP. They run in the daemon's
+// process with --dev and as separate processes in tests, which inject faults through the
+// paths below /standin/.
 package standin
 
 import (
@@ -19,28 +19,29 @@
 	"github.com/hornbeamsill/hornbeamsill/platform/platformtest"
 )
 
-// PlatformFault is what the stand-in does to calls.
+// PlatformFault is a fault that the platform stand-in injects into all calls.
 type PlatformFault string
 
-// Faults of the platform.
+// Values of PlatformFault. FaultRefuse refuses every call with status 503.
 const (
 	FaultNone   PlatformFault = "none"
 	FaultRefuse PlatformFault = "refuse"
-	// FaultLoseAnswer lets writes take effect and loses their answers. After
-	// the first one, reads are refused, so that nobody can look.
+	// FaultLoseAnswer executes writes and closes the connection without a response. After
+	// the first such write, reads are refused, so that the client cannot find out by
+	// reading whether the write took effect.
 	FaultLoseAnswer PlatformFault = "lose_answer"
 )
 
 // PlatformOptions are the settings of a platform stand-in.
 type PlatformOptions struct {
-	// ListLag is how old the instance list is when it is served.
+	// ListLag is the age of the instance list that is served.
 	ListLag time.Duration
-	// WeightsPerSecond is the rate limit of the weight store; 0 is none.
+	// WeightsPerSecond is the rate limit of the weight store; 0 means no limit.
 	WeightsPerSecond float64
 }
 
-// Platform serves the platform's store, and the list, the ratings and the judge
-// of a backing.Memory, over HTTP.
+// Platform serves over HTTP the platform's store, and the instance list, the ratings and the
+// judge of a backing.Memory.
 type Platform struct {
 	Memory        *backing.Memory
 	Store         *platformtest.Store
@@ -49,13 +50,13 @@
 
 	mu         sync.Mutex
 	fault      PlatformFault
-	answerLost bool // the answer to a write was lost
+	answerLost bool // FaultLoseAnswer has dropped the response to a write
 	listings   []instanceListing
 	writes     int
 	reads      int
 }
 
-// instanceListing is the instance list as it was at a moment.
+// instanceListing is the instance list at a point in time.
 type instanceListing struct {
 	at        time.Time
 	instances []backing.Instance
@@ -93,8 +94,8 @@
 	return r
 }
 
-// injectFault refuses the call or drops its answer. A lost answer closes the
-// connection after the call took effect.
+// injectFault counts the call and applies the current fault: it refuses the call, or executes
+// it and closes the connection without a response.
 func (p *Platform) injectFault(c *gin.Context) {
 	p.mu.Lock()
 	fault := p.fault
@@ -124,7 +125,7 @@
 	}
 }
 
-// discardWriter drops the answer of a call.
+// discardWriter discards the response to a call.
 type discardWriter struct{ gin.ResponseWriter }
 
 // Write implements http.ResponseWriter.
@@ -133,7 +134,8 @@
 // WriteHeader implements http.ResponseWriter.
 func (d *discardWriter) WriteHeader(int) {}
 
-// getInstances serves the list as it was ListLag ago.
+// getInstances serves the instance list as it was ListLag ago. Lists are recorded only when
+// this is called, so the returned one is the newest that is old enough, or else the oldest.
 func (p *Platform) getInstances(c *gin.Context) {
 	current, err := p.Memory.ListInstances(c)
 	if err != nil {
@@ -220,7 +222,8 @@
 	c.JSON(http.StatusOK, gin.H{"writes": p.writes, "reads": p.reads})
 }
 
-// bind decodes the JSON body into out and answers 400 when it cannot.
+// bind decodes the JSON body into out. If that fails, it responds with status 400 and returns
+// false.
 func bind(c *gin.Context, out any) bool {
 	if err := json.NewDecoder(c.Request.Body).Decode(out); err != nil {
 		c.AbortWithStatusJSON(http.StatusBadRequest, gin.H{"message": err.Error()})
@@ -229,7 +232,7 @@
 	return true
 }
 
-// reply answers with out or with the status that stands for err.
+// reply responds with out, or with the status code for err.
 func reply(c *gin.Context, out any, err error) {
 	switch {
 	case err == nil:
@@ -243,7 +246,7 @@
 	}
 }
 
-// newRouter returns a router that prints nothing.
+// newRouter returns a gin router without request logs and debug output.
 func newRouter() *gin.Engine {
 	gin.SetMode(gin.ReleaseMode)
 	return gin.New()
--- a/internal/standin/prefix_cache.go
+++ b/internal/standin/prefix_cache.go
@@ -10,14 +10,14 @@
 // prefixBlockWords is the number of words in a block of the prefix cache.
 const prefixBlockWords = 16
 
-// prefixCache is a least-recently-used cache of prompt prefixes in whole
-// blocks, of at most limit words.
+// prefixCache is an LRU cache of prompt prefixes in whole blocks, with at most maxWords words.
 type prefixCache struct {
 	maxWords int
 	blocks   []uint64 // least recently used first
 }
 
-// lookup returns how many words of the prompt were cached and caches the prompt.
+// lookup returns the number of leading words of the prompt that are cached, and caches the
+// whole blocks of the prompt. The key of a block is a hash of the prompt up to its end.
 func (c *prefixCache) lookup(prompt string) int {
 	words := strings.Fields(prompt)
 	cached, hit := 0, true
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -13,7 +13,7 @@
 	http     *http.Server
 }
 
-// Serve listens on address (port 0 picks one) and serves handler.
+// Serve listens on address and serves handler in the background. Port 0 picks a free port.
 func Serve(address string, handler http.Handler) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -24,10 +24,10 @@
 	return s, nil
 }
 
-// Address returns host:port.
+// Address returns the host:port on which the server listens.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Close ends the server and its connections.
+// Close stops the server and closes its connections.
 func (s *Server) Close() { _ = s.http.Close() }
 
 // handlerProvider is a stand-in with an HTTP interface.
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -8,11 +8,11 @@
 	"github.com/gin-gonic/gin"
 )
 
-// HeaderCall carries the caller's mark of a call, counted by Service.
+// HeaderCall is the header with a caller's ID of a call, by which Service counts calls.
 const HeaderCall = "X-Call"
 
-// Service is a plain application server. It echoes the call and counts how
-// often each marked call was run.
+// Service is a plain application server. It echoes each call and counts how often it executed
+// a call with the same HeaderCall.
 type Service struct {
 	Name string
 
@@ -21,13 +21,14 @@
 	faults ServiceFaults
 }
 
-// ServiceFaults are the faults a service injects into itself.
+// ServiceFaults are the faults that a service injects into its own behaviour.
 type ServiceFaults struct {
-	// NoAnswer closes that many connections after running the call.
+	// NoAnswer is the number of calls to execute without a response: the connection is
+	// closed instead.
 	NoAnswer int `json:"no_answer"`
 }
 
-// NewService returns a service named name.
+// NewService returns a service with the given name.
 func NewService(name string) *Service {
 	return &Service{Name: name, calls: map[string]int{}}
 }
