--- a/test/faults/faults.go
+++ b/test/faults/faults.go
@@ -6,7 +6,7 @@
 	"github.com/hornbeamsill/hornbeamsill/test/cluster"
 )
 
-// faultCase is a fault and how it ends.
+// faultCase is a fault with the functions that start and end it.
 type faultCase struct {
 	name   string
 	inject func(*testSystem) error
@@ -32,7 +32,7 @@
 	}
 }
 
-// inOrder does several things one after the other.
+// inOrder returns a function that calls fs in order until one fails.
 func inOrder(fs ...func(*testSystem) error) func(*testSystem) error {
 	return func(w *testSystem) error {
 		for _, f := range fs {
@@ -48,7 +48,7 @@
 func wake(w *testSystem) error   { w.Daemons[0].Wake(); return nil }
 func kill(w *testSystem) error   { w.Daemons[0].Kill(); return nil }
 
-// startReplacement starts a daemon in place of a dead one.
+// startReplacement starts a new daemon in the failure domain of the killed one.
 func startReplacement(w *testSystem) error {
 	_, err := w.StartDaemon("gbg-a", func(*settings.Settings) {})
 	return err
--- a/test/faults/main.go
+++ b/test/faults/main.go
@@ -1,10 +1,11 @@
-// Command faults runs a load of requests through real daemons while one fault
-// after the other is injected, and counts what callers, engines and the ledger
-// say afterwards:
+// Command faults sends requests through real daemons while a fault is injected, for one fault
+// after the other, and compares afterwards what the callers, the engines and the ledger have
+// recorded:
 //
 //	go run ./test/faults [--json FILE] [--seconds N] [--only NAME]
 //
-// It exits with 1 when a request was lost, doubled, cut or wrongly reported.
+// It exits with 1 if a request was lost, executed twice, cut or wrongly reported, or if a bill
+// is missing or duplicated.
 package main
 
 import (
@@ -71,7 +72,7 @@
 	}
 	for _, r := range rows {
 		if r.violated() {
-			return fmt.Errorf("promises were broken under %q", r.Fault)
+			return fmt.Errorf("guarantees were violated under the fault %q", r.Fault)
 		}
 	}
 	return nil
--- a/test/faults/trial.go
+++ b/test/faults/trial.go
@@ -18,30 +18,33 @@
 	"github.com/hornbeamsill/hornbeamsill/test/cluster"
 )
 
-// answerWords is the length of a whole answer of the engines.
+// answerWords is the number of words in a complete answer of the engines.
 const answerWords = 24
 
-// callerCount is how many callers ask at once.
+// callerCount is the number of concurrent callers.
 const callerCount = 12
 
-// result is what was counted under one fault.
+// result holds the counts of the trial of one fault.
 type result struct {
 	Fault string `json:"fault"`
-	// Asked counts requests; Whole those with a whole answer in the end;
-	// NotRun and Unknown those whose last answer was an error with ran: no, or
-	// with any other outcome.
+	// Asked counts all requests. Whole counts those that got a complete answer, after
+	// repetitions if necessary. NotRun counts those whose last response was an error with
+	// "ran": "no", and Unknown those with any other outcome.
 	Asked   int `json:"asked"`
 	Whole   int `json:"whole"`
 	NotRun  int `json:"not_run"`
 	Unknown int `json:"unknown"`
-	// Lost counts whole answers that no engine finished.
+	// Lost counts complete answers of which no engine has finished the request.
 	Lost int `json:"lost"`
-	// Doubled counts keyed requests that engines started more than once.
+	// Doubled counts requests with an idempotency key that engines started more than once.
 	Doubled int `json:"doubled"`
-	// Cut counts answers that ended like whole ones and were not.
+	// Cut counts answers that ended as complete and have the wrong number of words.
 	Cut int `json:"cut"`
-	// Misreported counts requests reported as not run that an engine started.
-	Misreported  int `json:"misreported"`
+	// Misreported counts requests with an idempotency key that were reported as not run
+	// although an engine started them.
+	Misreported int `json:"misreported"`
+	// BillsMissing counts finished requests without a bill, and BillsDoubled requests with
+	// more than one.
 	BillsMissing int `json:"bills_missing"`
 	BillsDoubled int `json:"bills_doubled"`
 }
@@ -50,7 +53,8 @@
 	return r.Lost+r.Doubled+r.Cut+r.Misreported+r.BillsMissing+r.BillsDoubled > 0
 }
 
-// testSystem is the system under one fault.
+// testSystem is the cluster of one trial, with the proxies that inject faults into the links
+// of its first daemon to the platform, of all daemons to their peers and of the engines.
 type testSystem struct {
 	*cluster.Cluster
 	platformLink *cluster.Proxy
@@ -59,7 +63,7 @@
 	engineLinks  []*cluster.Proxy
 }
 
-// runTrial runs the load for a time, with the fault in the middle half.
+// runTrial generates load for the given time and injects the fault during the middle half.
 func runTrial(bin cluster.Binaries, f faultCase, length time.Duration) (result, error) {
 	dir, err := os.MkdirTemp("", "trial")
 	if err != nil {
@@ -88,8 +92,9 @@
 	return l.count(f.name)
 }
 
-// newTestSystem starts a platform, two engines and three daemons, with proxies on all
-// engineLinks of the first daemon.
+// newTestSystem starts a platform, two engines and three daemons. Every engine and every
+// daemon's peer listener is behind a proxy; only the first daemon reaches the platform
+// through one.
 func newTestSystem(bin cluster.Binaries, dir string) (*testSystem, error) {
 	c, err := cluster.New(bin, dir)
 	if err != nil {
@@ -171,17 +176,17 @@
 	return w.Settle(w.Daemons, 2)
 }
 
-// outcome is the last word that a caller had on a request.
+// outcome is the final result of a request at its caller.
 type outcome struct {
 	prompt string
 	keyed  bool
 	reply  cluster.Reply
 	err    error
-	// reportedNotRun is set when the last answer said ran: no.
+	// reportedNotRun is set if the last response was an error with "ran": "no".
 	reportedNotRun bool
 }
 
-// loadGenerator is callers that ask without pause.
+// loadGenerator runs callers that each send one request after the other without a pause.
 type loadGenerator struct {
 	*testSystem
 	ctx     context.Context
@@ -211,8 +216,9 @@
 	l.running.Wait()
 }
 
-// maxTries is how often a caller repeats a request, at one daemon after the other
-// and with the same key.
+// maxTries is the number of times that a caller sends a request, to one daemon after the other
+// and with the same idempotency key. A request without a key is repeated only if it was
+// reported as not run.
 const maxTries = 4
 
 func (l *loadGenerator) request(i, n int) outcome {
@@ -245,7 +251,8 @@
 	return o
 }
 
-// idempotencyKey makes a key with the prefix of a daemon; some callers use none.
+// idempotencyKey returns a key with the prefix of a daemon, or without a prefix for every fourth
+// caller and if the prefixes cannot be read.
 func (l *loadGenerator) idempotencyKey(i, n int) string {
 	own := fmt.Sprintf("key-%d-%d", i, n)
 	if i%4 == 3 {
@@ -260,8 +267,8 @@
 	return found.Entries[(i+n)%len(found.Entries)].KeyPrefix + "." + own
 }
 
-// count compares what callers were told with what engines and ledger say, once
-// noop runs any more.
+// count compares the callers' outcomes with the counts of the engines and with the ledger, once
+// no attempt is running.
 func (l *loadGenerator) count(name string) (result, error) {
 	started, finishedIDs, finished, err := l.engineCounts()
 	if err != nil {
@@ -297,8 +304,8 @@
 	}
 }
 
-// engineCounts adds up what the engines did, once they are idle. finished
-// counts by prompt: an engine that was killed has taken its counts with it.
+// engineCounts adds up the counts of the engines once they are idle. started and finished
+// count by prompt, finishedIDs by request ID. The counts of a killed engine are lost with it.
 func (l *loadGenerator) engineCounts() (started, finishedIDs, finished map[string]int, err error) {
 	err = cluster.Eventually(func() error {
 		started, finishedIDs, finished = map[string]int{}, map[string]int{}, map[string]int{}
@@ -325,7 +332,8 @@
 	return started, finishedIDs, finished, err
 }
 
-// countBills waits until the ledger does not change any more.
+// countBills counts the missing and duplicate bills. It reads the ledger until no bill is
+// missing, for at most 20 s.
 func (l *loadGenerator) countBills(r *result, finishedIDs map[string]int) error {
 	deadline := time.Now().Add(20 * time.Second)
 	for {
--- a/test/measure/cost.go
+++ b/test/measure/cost.go
@@ -10,19 +10,19 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/route"
 )
 
-// Model of the cost measurement.
+// Parameters of the cost simulation.
 const (
 	costRequests = 40_000
-	// costRatedShare is the share of answers that get rated, and costDelay how many
-	// requests later.
-	costRatedShare  = 0.2
-	costRatingDelay = 500
-	// exploreShare is the router's own setting.
+	// costRatedShare is the share of answers that get a rating. costPendingRatings is the
+	// number of newer ratings after which the router receives a rating.
+	costRatedShare     = 0.2
+	costPendingRatings = 500
+	// exploreShare is the share of requests that explore other plans, as in the router.
 	exploreShare = 0.02
 	costSeeds    = 5
 )
 
-// costModel is a version with its true qualities by kind.
+// costModel is a version with its cost per answer and its true quality by kind of request.
 type costModel struct {
 	ref     config.VersionRef
 	cost    float64
@@ -30,7 +30,7 @@
 	quality map[string]float64
 }
 
-// costKind is a kind of request with its target.
+// costKind is a kind of request with its quality target.
 type costKind struct {
 	name    string
 	target  float64
@@ -57,7 +57,7 @@
 
 var costJudge = route.Judge{TrueAccept: 0.95, FalseAccept: 0.1, Cost: 0.5}
 
-// planPolicy picks a plan for a kind.
+// planPolicy picks a plan for a request.
 type planPolicy func(k costKind, candidates []route.Candidate, random *rand.Rand) route.Plan
 
 func costPlans(k costKind, candidates []route.Candidate) ([]route.Plan, route.Request) {
@@ -73,7 +73,7 @@
 	}
 }
 
-// trueCandidates gives the candidates their true quality, as an oracle knows it.
+// trueCandidates returns the candidates with their true qualities, for the oracle policy.
 func trueCandidates(models []costModel, kind string) []route.Candidate {
 	const sure = 1e6
 	var out []route.Candidate
@@ -91,15 +91,18 @@
 	}
 }
 
-// costResult is what a policy achieved.
+// costResult is the result of a policy.
 type costResult struct {
+	// cost is the mean cost per request.
 	cost float64
-	// met is the share of requests whose kind met its target over the run.
-	met  float64
+	// met is the share of requests whose kind met its quality target over the run.
+	met float64
+	// good is the share of good answers.
 	good float64
 }
 
-// simulateCost plays one seed with a policy.
+// simulateCost simulates costRequests requests with a policy. With oracle set, the policy sees
+// the true qualities instead of the ratings.
 func simulateCost(choose planPolicy, oracle bool, seed uint64) costResult {
 	models, kinds := costModels()
 	random := rand.New(rand.NewPCG(seed, 1))
@@ -137,16 +140,16 @@
 				due = append(due, backing.Rating{Seq: seq, Model: run.ref.Model, Version: "1", Kind: k.name, Good: run.good})
 			}
 		}
-		if len(due) > costRatingDelay {
-			ratings.Add(due[:len(due)-costRatingDelay])
-			due = due[len(due)-costRatingDelay:]
+		if len(due) > costPendingRatings {
+			ratings.Add(due[:len(due)-costPendingRatings])
+			due = due[len(due)-costPendingRatings:]
 		}
 	}
 	result := costResult{cost: total / costRequests}
 	for _, k := range kinds {
 		share := float64(good[k.name]) / float64(asked[k.name])
 		result.good += float64(good[k.name]) / costRequests
-		// Half a point is the noise of 10,000 answers.
+		// 0.005 allows for the sampling noise of the 10,000 answers per kind.
 		if share >= k.target-0.005 {
 			result.met += float64(asked[k.name]) / costRequests
 		}
@@ -154,13 +157,14 @@
 	return result
 }
 
-// modelRun is one model's answer.
+// modelRun is the answer of one model within a plan.
 type modelRun struct {
 	ref  config.VersionRef
 	good bool
 }
 
-// execute answers a request by a plan.
+// execute simulates a request with a plan. It returns whether the final answer is good, the
+// cost and the answers of all models that ran.
 func execute(plan route.Plan, models map[config.VersionRef]costModel, kind string, random *rand.Rand) (bool, float64, []modelRun) {
 	first := models[plan.Steps[0]]
 	ok := random.Float64() < first.quality[kind]
@@ -181,8 +185,8 @@
 	return ok, cost + second.cost, append(runs, modelRun{second.ref, ok})
 }
 
-// staticTable is what operators would set from the priors: the cheapest model
-// whose prior mean meets the target.
+// staticTable is a baseline: the fixed choice that operators would make from the priors, which
+// is the cheapest model whose prior mean meets the target.
 func staticTable(k costKind, candidates []route.Candidate, _ *rand.Rand) route.Plan {
 	models, _ := costModels()
 	for i, m := range models {
--- a/test/measure/exposure.go
+++ b/test/measure/exposure.go
@@ -11,11 +11,11 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/rollout"
 )
 
-// Model of the exposure measurement.
+// Parameters of the exposure simulation.
 const (
 	exposureRuns    = 300
 	exposureDaemons = 6
-	// exposureRate is sessions per second over all daemons.
+	// exposureRate is the number of sessions per second at all daemons together.
 	exposureRate       = 50
 	exposureRatedShare = 0.3
 	exposureStep       = 200 * time.Millisecond
@@ -25,17 +25,19 @@
 
 var exposureVersion = config.VersionRef{Model: "m", Version: "2"}
 
-// scenario is a roll-out under one circumstance.
+// scenario describes the conditions of a roll-out: the quality of the new version, the delay of
+// ratings and an outage.
 type scenario struct {
 	name    string
 	quality float64
 	delay   time.Duration
-	// holderGone is a time without a duty holder, from that moment on for as
-	// long as a lease takes to move; storeOut the same for the store.
+	// holderGone is the time from which no daemon holds the roll-out's lease, and storeOut
+	// the time from which the store is unreachable, each for outageLength; 0 means never.
 	holderGone, storeOut time.Duration
 }
 
-// outageLength is how long a lost holder or store is gone.
+// outageLength is the length of an outage, which is the time that a lease takes to move to
+// another daemon.
 const outageLength = 30 * time.Second
 
 func (s scenario) outage(now time.Duration) bool {
@@ -43,7 +45,8 @@
 	return within(s.holderGone) || within(s.storeOut)
 }
 
-// exposureResult is what one run led to.
+// exposureResult is the result of one run: the answers of the new version, how the roll-out
+// ended, and after what time.
 type exposureResult struct {
 	answers, bad int
 	withdrawn    bool
@@ -51,13 +54,13 @@
 	duration     time.Duration
 }
 
-// pendingRating is an answer that will be rated.
+// pendingRating is a rating that arrives at a later time.
 type pendingRating struct {
 	at   time.Duration
 	good bool
 }
 
-// applyDueRatings moves the ratings that are due into the evidence.
+// applyDueRatings adds the ratings that are due to the evidence and returns the others.
 func applyDueRatings(pending []pendingRating, now time.Duration, e *rollout.Evidence) []pendingRating {
 	return slices.DeleteFunc(pending, func(p pendingRating) bool {
 		if p.at > now {
@@ -72,7 +75,8 @@
 	})
 }
 
-// recordAnswer is one answer by the new version.
+// recordAnswer simulates one answer of the new version and returns pending, extended by the
+// answer's rating if it gets one.
 func (x *exposureResult) recordAnswer(s scenario, now time.Duration, pending []pendingRating, random *rand.Rand) []pendingRating {
 	good := random.Float64() < s.quality
 	x.answers++
@@ -85,18 +89,18 @@
 	return pending
 }
 
-// runRouterRollout is the router: sequential test, stages by evidence, credits that
-// lapse.
+// runRouterRollout simulates a roll-out as the router runs it, with a sequential test, stages
+// that follow the evidence, and credits that expire.
 func runRouterRollout(s scenario, seed uint64) exposureResult {
 	random := rand.New(rand.NewPCG(seed, 2))
 	clock := clockwork.NewFakeClock()
 	began := clock.Now()
 	policy := config.RolloutPolicy{RatingHorizonMS: (2 * s.delay).Milliseconds()}.WithDefaults()
 	test := rollout.NewTest(policy)
-	bank := rollout.NewCreditAccount(policy, 0, 0, began)
-	wallets := make([]*rollout.DaemonCredits, exposureDaemons)
-	for i := range wallets {
-		wallets[i] = rollout.NewDaemonCredits(clock)
+	account := rollout.NewCreditAccount(policy, 0, 0, began)
+	daemonCredits := make([]*rollout.DaemonCredits, exposureDaemons)
+	for i := range daemonCredits {
+		daemonCredits[i] = rollout.NewDaemonCredits(clock)
 	}
 	evidence := rollout.Evidence{Target: exposureTarget}
 	var pending []pendingRating
@@ -109,7 +113,8 @@
 		held := !s.outage(now)
 		switch verdict := test.Verdict(ev); {
 		case verdict == rollout.Bad:
-			// Any daemon stops by itself; the row follows when it can.
+			// Each daemon withdraws the version by itself, even without a lease holder
+			// or the store; the stored row is updated later.
 			x.withdrawn, x.duration = true, now
 			return x
 		case verdict == rollout.Good && held:
@@ -121,16 +126,16 @@
 		case held:
 			stage = max(stage, min(test.Stage(ev), len(policy.Stages)-2))
 		}
-		for _, w := range wallets {
+		for _, c := range daemonCredits {
 			if held {
-				want, lapsed := w.Want(exposureVersion)
-				bank.Return(lapsed)
-				n := min(want, bank.Available(evidence.Good, evidence.Bad, clock.Now()))
-				bank.Grant(n, clock.Now())
-				w.Refill(exposureVersion, n, lapsed, clock.Now())
+				want, lapsed := c.Want(exposureVersion)
+				account.Return(lapsed)
+				n := min(want, account.Available(evidence.Good, evidence.Bad, clock.Now()))
+				account.Grant(n, clock.Now())
+				c.Refill(exposureVersion, n, lapsed, clock.Now())
 			}
 			for range poisson(exposureRate/exposureDaemons*exposureStep.Seconds(), random) {
-				if random.Float64() < policy.Stages[stage] && w.Take(exposureVersion) {
+				if random.Float64() < policy.Stages[stage] && c.Take(exposureVersion) {
 					pending = x.recordAnswer(s, now, pending, random)
 				}
 			}
@@ -139,8 +144,8 @@
 	}
 }
 
-// runCanary is the baseline: a fixed share until a fixed number of ratings,
-// then a decision; without a holder the share stays as it is.
+// runCanary returns the simulation of the baseline, a canary roll-out: it keeps a fixed share
+// until a fixed number of ratings and then decides. During an outage it keeps the share.
 func runCanary(share float64, sample int64) func(scenario, uint64) exposureResult {
 	return func(s scenario, seed uint64) exposureResult {
 		random := rand.New(rand.NewPCG(seed, 3))
@@ -151,7 +156,8 @@
 			pending = applyDueRatings(pending, now, &evidence)
 			n := evidence.Good + evidence.Bad
 			if n >= sample && !s.outage(now) || now > exposureLimit {
-				// Halfway between target and target less tolerance.
+				// 0.05 puts the threshold halfway between the target and the target
+				// minus the tolerance.
 				x.withdrawn = float64(evidence.Good)/float64(n) < exposureTarget-0.05
 				x.full, x.duration = !x.withdrawn, now
 				return x
@@ -165,7 +171,7 @@
 	}
 }
 
-// poisson draws a small Poisson number.
+// poisson draws a number from a Poisson distribution with a small mean.
 func poisson(mean float64, random *rand.Rand) int {
 	n, t := 0, random.ExpFloat64()
 	for t < mean {
--- a/test/measure/latency.go
+++ b/test/measure/latency.go
@@ -10,28 +10,29 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/route"
 )
 
-// Model of the latency measurement, in milliseconds of virtual time.
+// Parameters of the latency simulation. Times are in milliseconds of virtual time.
 const (
 	latEngines = 12
 	latSlots   = 8
 	latDaemons = 6
 	latTokens  = 60
-	// latToken is a decoding step alone; each further attempt in the batch
-	// adds latBatch of it.
+	// latToken is the duration of a decoding step with one running attempt. Each further
+	// attempt in the batch adds the fraction latBatch of it.
 	latToken = 10.0
 	latBatch = 0.05
-	// latPrefill is the time of a prompt that is not cached; a cached one
-	// takes a fifth.
+	// latPrefill is the prefill time of a prompt that is not cached. A cached prompt takes a
+	// fifth of it.
 	latPrefill  = 200.0
 	latSessions = 120
-	latCached   = 12 // prompts that an engine keeps
+	latCached   = 12 // prompts in the cache of an engine
 	latStep     = 5.0
 	latLength   = 90_000.0
 	latWarmup   = 15_000.0
 	latSeeds    = 8
 )
 
-// latJob is one request inside an engine.
+// latJob is one request with its state in the engine. prefill is the remaining prefill time,
+// length the number of tokens and tokens the number that remain.
 type latJob struct {
 	arrived, first, last float64
 	prefix               uint64
@@ -41,7 +42,7 @@
 	engine               int
 }
 
-// latEngine batches continuously.
+// latEngine simulates an engine with continuous batching. slow multiplies its times.
 type latEngine struct {
 	running, waiting []*latJob
 	cache            []uint64
@@ -51,7 +52,7 @@
 
 func (e *latEngine) load() int { return len(e.running) + len(e.waiting) }
 
-// advance runs the engine for a step and reports finished jobs.
+// advance runs the engine for latStep and passes each finished job to done.
 func (e *latEngine) advance(now float64, done func(*latJob)) {
 	for len(e.waiting) > 0 && len(e.running) < latSlots {
 		j := e.waiting[0]
@@ -86,16 +87,17 @@
 	})
 }
 
-// latDaemon sees the engines through reports and its own work.
+// latDaemon knows the load of the engines from their reports and from the requests that it has
+// sent since the last report.
 type latDaemon struct {
 	reported  []int
 	sentSince []int
 	next      int
-	// token is the smoothed time between tokens of each engine; 0 is unknown.
+	// token is the smoothed time between tokens of each engine; 0 means unknown.
 	token []float64
 }
 
-// observe learns from a finished job, as the daemon does.
+// observe updates the smoothed time between tokens from a finished job, as the daemon does.
 func (d *latDaemon) observe(j *latJob) {
 	if d.token == nil {
 		d.token = make([]float64, latEngines)
@@ -107,7 +109,7 @@
 	d.token[j.engine] += 0.1 * (sample - d.token[j.engine])
 }
 
-// latPolicy picks an engine.
+// latPolicy returns the index of the engine for a request.
 type latPolicy func(d *latDaemon, prefix uint64, random *rand.Rand) int
 
 func latRandom(_ *latDaemon, _ uint64, random *rand.Rand) int { return random.IntN(latEngines) }
@@ -127,7 +129,7 @@
 	return best
 }
 
-// latRouter is route.PickUpstream as the daemon calls it.
+// latRouter returns the router's policy: route.PickUpstream, called as the daemon calls it.
 func latRouter(bound float64) latPolicy {
 	return func(d *latDaemon, prefix uint64, random *rand.Rand) int {
 		loads := make([]route.UpstreamLoad, latEngines)
@@ -142,8 +144,8 @@
 	}
 }
 
-// latLeastEstimated takes the least loaded by the router's own estimate,
-// instead of the better of two.
+// latLeastEstimated picks the engine with the least load by the router's estimate, instead of
+// the better of two random choices.
 func latLeastEstimated(d *latDaemon, _ uint64, random *rand.Rand) int {
 	offset := random.IntN(latEngines)
 	best := offset
@@ -156,21 +158,24 @@
 	return best
 }
 
-// latScenario is one circumstance.
+// latScenario describes the conditions of a run.
 type latScenario struct {
 	name string
+	// load is the offered load as a fraction of the engines' capacity.
 	load float64
-	lag  float64
-	// slow makes one engine ten times slower, lost kills one in the middle.
+	// lag is the time between load reports.
+	lag float64
+	// slow makes one engine ten times slower. lost ends one in the middle of the run.
 	slow, lost bool
 }
 
-// latResult has times to the first token and between tokens.
+// latResult has the times to the first token in milliseconds and the times between tokens in
+// microseconds.
 type latResult struct {
 	first, between *hdrhistogram.Histogram
 }
 
-// capacity is the jobs per millisecond that all engines can finish.
+// latCapacity returns the number of jobs per millisecond that all engines together can finish.
 func latCapacity() float64 {
 	perJob := latPrefill*0.6 + latTokens*latToken*(1+latBatch*(latSlots-1))
 	return latEngines * latSlots / perJob
@@ -228,7 +233,8 @@
 	}
 	for _, e := range engines {
 		for _, j := range append(e.running, e.waiting...) {
-			// Without this the slowest answers would be missing.
+			// Jobs without a first token count with their time so far; otherwise the
+			// slowest answers would be missing from the result.
 			if j.first == 0 && j.arrived > latWarmup {
 				_ = out.first.RecordValue(int64(latLength - j.arrived))
 			}
@@ -237,8 +243,8 @@
 	return out
 }
 
-// latSend picks until the engine is alive: a refused connection is noticed at
-// once and goes elsewhere, under every policy.
+// latSend picks engines until one is alive. A dead engine refuses the connection, which the
+// daemon notices at once under every policy, so that the request goes to another engine.
 func latSend(d *latDaemon, engines []*latEngine, prefix uint64, pick latPolicy, random *rand.Rand) int {
 	for range 3 {
 		at := pick(d, prefix, random)
--- a/test/measure/limits.go
+++ b/test/measure/limits.go
@@ -13,7 +13,7 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/limit"
 )
 
-// Model of the limits measurement, in real time.
+// Parameters of the limits measurement, which runs in real time.
 const (
 	limSlots    = 16
 	limService  = 20 * time.Millisecond
@@ -21,18 +21,19 @@
 	limLength   = 3 * time.Second
 )
 
-// limCapacity is requests per second.
+// limCapacity is the capacity of all slots in requests per second.
 var limCapacity = limSlots / limService.Seconds()
 
-// gate lets a request start when there is a slot.
+// gate admits requests to a limited number of slots.
 type gate interface {
-	// enter blocks until the request may start, or fails.
+	// enter blocks until the request has a slot. It returns an error if the request is
+	// refused.
 	enter(w limit.Work) error
-	// leave gives the slot back.
+	// leave frees the slot.
 	leave()
 }
 
-// queueGate is the router's queue.
+// queueGate admits requests through the router's queue.
 type queueGate struct {
 	queue *limit.Queue
 	mu    sync.Mutex
@@ -62,7 +63,8 @@
 	g.queue.GrantWaiting()
 }
 
-// fifoGate is the baseline: first come, first served, until the deadline.
+// fifoGate is the baseline. It admits requests in the order of arrival and refuses them at
+// their deadline.
 type fifoGate struct{ slots chan struct{} }
 
 func newFIFOGate() gate { return &fifoGate{slots: make(chan struct{}, limSlots)} }
@@ -78,34 +80,35 @@
 
 func (g *fifoGate) leave() { <-g.slots }
 
-// limCount is what became of the requests of one class.
+// limCount counts the requests of one class: all, those answered in time and those refused.
 type limCount struct {
 	offered, good, refused atomic.Int64
-	// waited is the time refused requests were kept, in microseconds.
+	// waited is the total time that refused requests waited, in microseconds.
 	waited atomic.Int64
 }
 
-// trafficClass is a part of the load.
+// trafficClass is the part of the load with one organisation and priority.
 type trafficClass struct {
 	organisation string
 	priority     int
-	// rate is requests per second.
+	// rate is in requests per second.
 	rate float64
 }
 
-// runLimits offers the classes to a gate and counts answers in time.
+// runLimits sends the requests of all classes through a gate for limLength and returns the
+// counts by class.
 func runLimits(g gate, classes []trafficClass) []*limCount {
 	counts := make([]*limCount, len(classes))
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for i, c := range classes {
 		counts[i] = &limCount{}
-		all.Go(func() { generateLoad(g, c, counts[i], uint64(i), &all) })
+		wg.Go(func() { generateLoad(g, c, counts[i], uint64(i), &wg) })
 	}
-	all.Wait()
+	wg.Wait()
 	return counts
 }
 
-func generateLoad(g gate, c trafficClass, count *limCount, seed uint64, all *sync.WaitGroup) {
+func generateLoad(g gate, c trafficClass, count *limCount, seed uint64, wg *sync.WaitGroup) {
 	random := rand.New(rand.NewPCG(seed, 5))
 	next := time.Now()
 	end := next.Add(limLength)
@@ -113,7 +116,7 @@
 		next = next.Add(time.Duration(random.ExpFloat64() / c.rate * float64(time.Second)))
 		time.Sleep(time.Until(next))
 		count.offered.Add(1)
-		all.Go(func() { sendRequest(g, c, count) })
+		wg.Go(func() { sendRequest(g, c, count) })
 	}
 }
 
@@ -189,7 +192,8 @@
 	return t
 }
 
-// retryAmplification fails a share of attempts and counts what is sent.
+// retryAmplification measures the attempts per request if a share of the attempts fails, with a
+// retry budget and with a fixed number of retries.
 func retryAmplification() table {
 	t := table{
 		Name:    "Attempts per request while upstreams fail",
@@ -201,12 +205,12 @@
 	return t
 }
 
-func attemptsPerRequest(fail float64, budget *limit.RetryBudget, most int) float64 {
+func attemptsPerRequest(fail float64, budget *limit.RetryBudget, maxAttempts int) float64 {
 	const requests = 20_000
 	random := rand.New(rand.NewPCG(6, 6))
 	sent := 0
 	for range requests {
-		for range most {
+		for range maxAttempts {
 			sent++
 			if random.Float64() >= fail {
 				if budget != nil {
--- a/test/measure/main.go
+++ b/test/measure/main.go
@@ -1,11 +1,11 @@
-// Command measure runs the decisions of the router against baselines, seeded
-// and on small models of what surrounds them, and prints the tables of
-// docs/MEASURES.md:
+// Command measure compares the router's decisions with baselines in seeded simulations and
+// prints the tables of docs/MEASURES.md:
 //
 //	go run ./test/measure [--json FILE] [--only cost|exposure|latency|limits]
 //
-// The decision packages are the real ones. Engines, ratings and callers are
-// models in this directory, in virtual time except for the queue.
+// The decisions come from the router's own packages. Engines, ratings and callers are
+// simulated in this directory. Everything runs in virtual time, except the measurement of the
+// queue, which runs in real time.
 package main
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// table is one result.
+// table is one table of results.
 type table struct {
 	Name    string     `json:"name"`
 	Columns []string   `json:"columns"`
