--- a/test/capacity/bytes.go
+++ b/test/capacity/bytes.go
@@ -22,7 +22,7 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/upstream"
 )
 
-// countingProxy forwards TCP connections and counts their bytes, both ways.
+// countingProxy forwards TCP connections and counts their bytes in both directions.
 type countingProxy struct {
 	listener net.Listener
 	bytes    atomic.Int64
@@ -64,7 +64,8 @@
 	}
 }
 
-// bytesPerCall returns the bytes of one of n calls, after one to warm up.
+// bytesPerCall returns the mean number of bytes of n calls. It first makes one uncounted call,
+// which opens the connection.
 func (c *countingProxy) bytesPerCall(n int, call func() error) (float64, error) {
 	if err := call(); err != nil {
 		return 0, err
@@ -78,7 +79,8 @@
 	return float64(c.bytes.Load()-before) / float64(n), nil
 }
 
-// countedPeer is a daemon that serves its peers and a counted way to it.
+// countedPeer is a daemon that serves peer calls, with a client that reaches it through a
+// counting proxy.
 type countedPeer struct {
 	node   *daemon.Node
 	client *peer.Client
@@ -101,7 +103,8 @@
 
 func (p *countedPeer) address() string { return p.proxy.listener.Addr().String() }
 
-// bytesBySize measures the bytes of a call for each size.
+// bytesBySize measures the bytes of a peer call for each size. prepare returns the call for
+// size n.
 func bytesBySize(name, per string, sizes []int, prepare func(p *countedPeer, n int) func() error) (slope, error) {
 	var failed error
 	s := measure(name, "B", per, sizes, func(n int) float64 {
@@ -134,7 +137,8 @@
 				h.News = append(h.News, daemonEntry(i))
 			}
 			return func() error {
-				// News that the peer takes in is told on, in its answer.
+				// The peer sends the updates that it merges on to others, so its reply
+				// contains them too.
 				_, err := p.client.Heartbeat(ctx, p.address(), h)
 				return err
 			}
@@ -195,7 +199,8 @@
 	return append(append(out, rows...), report), err
 }
 
-// overlayDelta is the size of what a daemon fetches after its overlay changed.
+// overlayDelta returns the bytes that a daemon fetches after its site's overlay has changed, if
+// the overlay overrides n organisations.
 func overlayDelta(n int) float64 {
 	text := `{"organisations":{`
 	for i := range n {
@@ -208,7 +213,8 @@
 	return float64(len(data))
 }
 
-// reportSlope is the size of a load report over HTTP.
+// reportSlope measures the bytes of a load report, fetched over HTTP, by the number of versions
+// that the engine serves.
 func reportSlope() (slope, error) {
 	var failed error
 	s := measure("load report over HTTP", "B", "version served", []int{1, 4, 16}, func(n int) float64 {
--- a/test/capacity/main.go
+++ b/test/capacity/main.go
@@ -1,9 +1,9 @@
-// Command capacity measures how the cost of each role grows, and works out
-// what it comes to at the size that docs/CAPACITY.md is about:
+// Command capacity measures how the memory, processor time and traffic of daemons grow, and
+// extrapolates them to the system size of docs/CAPACITY.md:
 //
 //	go run ./test/capacity [--json FILE]
 //
-// Every slope is a linear fit over at least three points measured here.
+// Every slope is a linear fit over at least three points that this command measures.
 package main
 
 import (
@@ -17,20 +17,21 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// slope is how a cost grows with a size.
+// slope says how a cost grows with a size.
 type slope struct {
 	Name string `json:"name"`
+	// Unit is the unit of the cost and Per the unit of the size.
 	Unit string `json:"unit"`
 	Per  string `json:"per"`
-	// Sizes and Costs are the points measured.
+	// Sizes and Costs are the measured points.
 	Sizes []float64 `json:"sizes"`
 	Costs []float64 `json:"costs"`
-	// Each and Fixed are the fit: cost = Fixed + Each * size.
+	// Each and Fixed are the fitted line: cost = Fixed + Each * size.
 	Each  float64 `json:"each"`
 	Fixed float64 `json:"fixed"`
 }
 
-// measure takes a point for each size and fits a line.
+// measure measures the cost at each size and fits a line.
 func measure(name, unit, per string, sizes []int, cost func(n int) float64) slope {
 	s := slope{Name: name, Unit: unit, Per: per}
 	for _, n := range sizes {
@@ -41,7 +42,7 @@
 	return s
 }
 
-// costAt is the fitted cost at a size.
+// costAt returns the fitted cost at size n.
 func (s slope) costAt(n float64) float64 { return s.Fixed + s.Each*n }
 
 func formatPoints(s slope) string {
--- a/test/capacity/memory.go
+++ b/test/capacity/memory.go
@@ -20,7 +20,7 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/upstream"
 )
 
-// heapGrowth returns the live bytes that build leaves behind.
+// heapGrowth returns the growth of the live heap, in bytes, by the value that build returns.
 func heapGrowth(build func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -34,7 +34,7 @@
 	return float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
-// microsecondsPerCall returns the microseconds that one of n calls of f takes.
+// microsecondsPerCall returns the mean duration of n calls of f in microseconds.
 func microsecondsPerCall(n int, f func()) float64 {
 	began := time.Now()
 	for range n {
@@ -79,7 +79,7 @@
 	return u
 }
 
-// documentOf is a base document with n organisations and 19 versions.
+// documentOf returns a base document with n organisations and 19 versions.
 func documentOf(n int) string {
 	var b strings.Builder
 	b.WriteString(`{"organisations":{`)
@@ -109,8 +109,7 @@
 	return config.NewSnapshot(1, doc, nil)
 }
 
-// answerTokens is the length of an answer: 19 million tokens over 87,000
-// requests.
+// answerTokens is the number of tokens in an answer: 19 million tokens per 87,000 requests.
 const answerTokens = 218
 
 func answersOf(n int, ended bool) []*answer.Answer {
--- a/test/capacity/process.go
+++ b/test/capacity/process.go
@@ -14,23 +14,23 @@
 	"github.com/hornbeamsill/hornbeamsill/test/cluster"
 )
 
-// observationTime is how long processes are watched.
+// observationTime is the time over which the cost of idle daemons is measured.
 const observationTime = 6 * time.Second
 
-// ticksPerSecond is the unit of processor time in /proc.
+// ticksPerSecond is the number of units of processor time in /proc per second.
 const ticksPerSecond = 100
 
-// idleCost is what an idle cluster costs.
+// idleCost is the cost of a cluster without requests.
 type idleCost struct {
-	// cpuPercent is the processor time of one daemon, in percent of a core.
+	// cpuPercent is the mean processor time of a daemon in percent of a core.
 	cpuPercent float64
-	// residentMB is the memory of one daemon, in MB.
+	// residentMB is the mean resident memory of a daemon in MB.
 	residentMB float64
-	// readsPerSecond and writes are the calls of all daemons to the platform a second.
+	// readsPerSecond and writesPerSecond are the calls of all daemons to the platform.
 	readsPerSecond, writesPerSecond float64
 }
 
-// measureIdle runs daemons with their usual settings and no callers.
+// measureIdle runs daemons with the default timing and without callers, and returns their cost.
 func measureIdle(bin cluster.Binaries, daemons, upstreams int) (idleCost, error) {
 	dir, err := os.MkdirTemp("", "capacity")
 	if err != nil {
@@ -99,7 +99,8 @@
 	return out, nil
 }
 
-// cpuSeconds returns the seconds a process has used.
+// cpuSeconds returns the processor time that a process has used, in seconds, or 0 if the process
+// does not exist.
 func cpuSeconds(pid int) float64 {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
--- a/test/capacity/project.go
+++ b/test/capacity/project.go
@@ -6,23 +6,26 @@
 	"text/tabwriter"
 )
 
-// The size to build towards.
+// The system size for which the costs are extrapolated.
 const (
 	daemons                = 1300.0
 	requestsPerSec         = 87_000.0
 	organisations          = 1000.0
 	changesPerDay          = 17_000.0
 	secondsPerDay          = 86_400.0
-	membershipEventsPerDay = 2*70 + 2*2000.0 // failures and replacements: one gone, one new
+	// membershipEventsPerDay counts 70 failures and 2000 replacements of daemons. Each is
+	// two events: one daemon leaves and one joins.
+	membershipEventsPerDay = 2*70 + 2*2000.0
 	upstreamsSeen          = 20.0
 	versionsServed         = 2.0
 	answerSeconds          = 8.0 // 218 tokens at 36 ms
-	keyedShare             = 0.3 // a guess
-	keySeconds             = 2 * 3600.0
-	ratedKinds             = 19 * 6.0
+	// keyedShare is the share of requests with an idempotency key. It is an assumption.
+	keyedShare = 0.3
+	keySeconds = 2 * 3600.0
+	ratedKinds = 19 * 6.0 // 19 versions, 6 kinds of requests
 )
 
-// printProjection prints what the slopes come to at that size, per daemon.
+// printProjection prints the cost per daemon at that size, extrapolated from the slopes.
 func printProjection(all []slope) {
 	by := map[string]slope{}
 	for _, s := range all {
@@ -44,9 +47,9 @@
 	row("memory: keys (30% keyed, 2 h)", by["idempotency keys: memory"].Each*perDaemon*keyedShare*keySeconds/1e6, "MB")
 	row("memory: copies of bills, commit every 8.7 s", by["bills held for peers: memory"].Each*2*perDaemon*(daemons/150+answerSeconds)/1e6, "MB")
 	heartbeat := by["heartbeat, both ways, with n pieces of news each way"]
-	news := membershipEventsPerDay / secondsPerDay
+	updatesPerSecond := membershipEventsPerDay / secondsPerDay
 	row("heartbeats sent and received, 4 each every 2 s", 4*heartbeat.Costs[0], "B/s")
-	row("news, 33 tellings of each", news*33*heartbeat.Each, "B/s")
+	row("news, 33 tellings of each", updatesPerSecond*33*heartbeat.Each, "B/s")
 	row("load reports, 20 upstreams, report_bytes_per_second 900: every", by["load report over HTTP"].costAt(versionsServed)*upstreamsSeen/900, "s")
 	row("changes: an overlay of 10 overrides each, a quarter for this site", changesPerDay/secondsPerDay/4*by["delta of one changed overlay"].costAt(10), "B/s")
 	row("changes: a base of 1,000 organisations, once an hour", by["organisations: size of the base"].costAt(organisations)/3600, "B/s")
