--- a/cmd/hornbeamsilld/main.go
+++ b/cmd/hornbeamsilld/main.go
@@ -1,6 +1,6 @@
 // Command hornbeamsilld is the routing daemon. It serves callers, routes their requests to
-// model servers and plain services, and takes part in the control of roll-outs, configuration
-// and billing. Settings with a /routes section start the daemon for plain HTTP callers.
+// model servers and plain services, and shares control duties such as roll-outs with the other
+// daemons. Settings with a /routes section start the daemon for plain HTTP callers instead.
 package main
 
 import (
--- a/internal/cli/entry.go
+++ b/internal/cli/entry.go
@@ -71,9 +71,9 @@
 	return a.print(b, func(w io.Writer) { printStatus(w, b) })
 }
 
-// limitText formats the request rate limit that an instance has reported, in requests per
+// formatLimit formats the request rate limit that an instance has reported, in requests per
 // second.
-func limitText(v inventory.View) string {
+func formatLimit(v inventory.View) string {
 	if !v.Limited {
 		return "none"
 	}
@@ -89,7 +89,7 @@
 	printLine(w, "list\trevision %d\t%d ms old", b.List.Revision, b.List.AgeMS)
 	for service, views := range b.List.Instances {
 		for _, v := range views {
-			printLine(w, "upstream\t%s\t%s\t%s\t%s\topen %d\tejected %v\twarming %v\tlimit %s", service, v.Instance.ID, v.Instance.Address, v.Instance.Version, v.Open, v.Ejected, v.Warming, limitText(v))
+			printLine(w, "upstream\t%s\t%s\t%s\t%s\topen %d\tejected %v\twarming %v\tlimit %s", service, v.Instance.ID, v.Instance.Address, v.Instance.Version, v.Open, v.Ejected, v.Warming, formatLimit(v))
 		}
 	}
 	for _, e := range b.Evacuations {
--- a/test/capacity/project.go
+++ b/test/capacity/project.go
@@ -8,11 +8,11 @@
 
 // The system size for which the costs are extrapolated.
 const (
-	daemons                = 1300.0
-	requestsPerSec         = 87_000.0
-	organisations          = 1000.0
-	changesPerDay          = 17_000.0
-	secondsPerDay          = 86_400.0
+	daemons        = 1300.0
+	requestsPerSec = 87_000.0
+	organisations  = 1000.0
+	changesPerDay  = 17_000.0
+	secondsPerDay  = 86_400.0
 	// membershipEventsPerDay counts 70 failures and 2000 replacements of daemons. Each is
 	// two events: one daemon leaves and one joins.
 	membershipEventsPerDay = 2*70 + 2*2000.0
--- a/test/faults/faults.go
+++ b/test/faults/faults.go
@@ -44,9 +44,9 @@
 	}
 }
 
-func freeze(w *testSystem) error { return w.Daemons[0].Freeze() }
-func wake(w *testSystem) error   { w.Daemons[0].Wake(); return nil }
-func kill(w *testSystem) error   { w.Daemons[0].Kill(); return nil }
+func pauseDaemon(w *testSystem) error  { return w.Daemons[0].Freeze() }
+func resumeDaemon(w *testSystem) error { w.Daemons[0].Wake(); return nil }
+func killDaemon(w *testSystem) error   { w.Daemons[0].Kill(); return nil }
 
 // startReplacement starts a new daemon in the failure domain of the killed one.
 func startReplacement(w *testSystem) error {
@@ -69,8 +69,8 @@
 
 var faults = []faultCase{
 	{"none", noop, noop},
-	{"daemon killed", kill, startReplacement},
-	{"daemon paused and woken", freeze, wake},
+	{"daemon killed", killDaemon, startReplacement},
+	{"daemon paused and woken", pauseDaemon, resumeDaemon},
 	{"daemon cut off from the platform", cutPlatform, restorePlatform},
 	{"daemon cut off from its peers", cutPeers, restorePeers},
 	{"daemon cut off from platform and peers", inOrder(cutPlatform, cutPeers), inOrder(restorePlatform, restorePeers)},
@@ -78,8 +78,8 @@
 	{"platform requests lost one way", func(w *testSystem) error { return w.platformLink.Hold("upstream") }, clearLinkFaults},
 	{"platform 200 ms slower", func(w *testSystem) error { return w.platformLink.Slow("200") }, clearLinkFaults},
 	{"platform out", platformFault(standin.FaultRefuse), platformFault(standin.FaultNone)},
-	{"platform out, daemon killed", inOrder(platformFault(standin.FaultRefuse), kill), inOrder(platformFault(standin.FaultNone), startReplacement)},
-	{"platform out, daemon paused", inOrder(platformFault(standin.FaultRefuse), freeze), inOrder(platformFault(standin.FaultNone), wake)},
+	{"platform out, daemon killed", inOrder(platformFault(standin.FaultRefuse), killDaemon), inOrder(platformFault(standin.FaultNone), startReplacement)},
+	{"platform out, daemon paused", inOrder(platformFault(standin.FaultRefuse), pauseDaemon), inOrder(platformFault(standin.FaultNone), resumeDaemon)},
 	{"platform writes take effect, answers lost", platformFault(standin.FaultLoseAnswer), platformFault(standin.FaultNone)},
 	{"engine link cut", cutEngine, restoreEngine},
 	{"engine answers lost one way", func(w *testSystem) error { return w.engineLinks[0].Hold("downstream") }, clearLinkFaults},
--- a/test/faults/trial.go
+++ b/test/faults/trial.go
@@ -114,7 +114,7 @@
 			return w, err
 		}
 	}
-	return w, w.configure()
+	return w, w.applyConfig()
 }
 
 func (w *testSystem) addEngine(i int) error {
@@ -164,7 +164,7 @@
 	return err
 }
 
-func (w *testSystem) configure() error {
+func (w *testSystem) applyConfig() error {
 	text, err := os.ReadFile(filepath.Join("examples", "base.jsonc"))
 	if err != nil {
 		return err
--- a/test/measure/cost.go
+++ b/test/measure/cost.go
@@ -37,7 +37,7 @@
 	cascade bool
 }
 
-func costModels() ([]costModel, []costKind) {
+func costSetup() ([]costModel, []costKind) {
 	model := func(name string, cost, prior float64, tag, summary, clause, clearance float64) costModel {
 		return costModel{
 			ref: config.VersionRef{Model: name, Version: "1"}, cost: cost,
@@ -104,7 +104,7 @@
 // simulateCost simulates costRequests requests with a policy. With oracle set, the policy sees
 // the true qualities instead of the ratings.
 func simulateCost(choose planPolicy, oracle bool, seed uint64) costResult {
-	models, kinds := costModels()
+	models, kinds := costSetup()
 	random := rand.New(rand.NewPCG(seed, 1))
 	ratings := rating.NewCounter()
 	var due []backing.Rating
@@ -188,7 +188,7 @@
 // staticTable is a baseline: the fixed choice that operators would make from the priors, which
 // is the cheapest model whose prior mean meets the target.
 func staticTable(k costKind, candidates []route.Candidate, _ *rand.Rand) route.Plan {
-	models, _ := costModels()
+	models, _ := costSetup()
 	for i, m := range models {
 		if m.version.Prior["default"].Mean >= k.target {
 			return fixedModelPolicy(i)(k, candidates, nil)
@@ -198,7 +198,7 @@
 }
 
 func measureCost() []table {
-	models, _ := costModels()
+	models, _ := costSetup()
 	policies := []struct {
 		name   string
 		choose planPolicy
--- a/test/measure/exposure.go
+++ b/test/measure/exposure.go
@@ -18,7 +18,7 @@
 	// exposureRate is the number of sessions per second at all daemons together.
 	exposureRate       = 50
 	exposureRatedShare = 0.3
-	exposureStep       = 200 * time.Millisecond
+	exposureTick       = 200 * time.Millisecond
 	exposureLimit      = 2 * time.Hour
 	exposureTarget     = 0.9
 )
@@ -134,13 +134,13 @@
 				account.Grant(n, clock.Now())
 				c.Refill(exposureVersion, n, lapsed, clock.Now())
 			}
-			for range poisson(exposureRate/exposureDaemons*exposureStep.Seconds(), random) {
+			for range poisson(exposureRate/exposureDaemons*exposureTick.Seconds(), random) {
 				if random.Float64() < policy.Stages[stage] && c.Take(exposureVersion) {
 					pending = x.recordAnswer(s, now, pending, random)
 				}
 			}
 		}
-		clock.Advance(exposureStep)
+		clock.Advance(exposureTick)
 	}
 }
 
@@ -152,7 +152,7 @@
 		evidence := rollout.Evidence{Target: exposureTarget}
 		var pending []pendingRating
 		var x exposureResult
-		for now := time.Duration(0); ; now += exposureStep {
+		for now := time.Duration(0); ; now += exposureTick {
 			pending = applyDueRatings(pending, now, &evidence)
 			n := evidence.Good + evidence.Bad
 			if n >= sample && !s.outage(now) || now > exposureLimit {
@@ -162,7 +162,7 @@
 				x.full, x.duration = !x.withdrawn, now
 				return x
 			}
-			for range poisson(exposureRate*exposureStep.Seconds(), random) {
+			for range poisson(exposureRate*exposureTick.Seconds(), random) {
 				if random.Float64() < share {
 					pending = x.recordAnswer(s, now, pending, random)
 				}
