--- a/cmd/hornbeamsilld/main.go
+++ b/cmd/hornbeamsilld/main.go
@@ -1,5 +1,6 @@
-// Command hornbeamsilld is the entry daemon: it serves callers, routes their
-// requests to model servers and plain services, and does its share of control.
+// Command hornbeamsilld is the routing daemon. It serves callers, routes their requests to
+// model servers and plain services, and shares control duties such as roll-outs with the other
+// daemons. Settings with a /routes section start the daemon for plain HTTP callers instead.
 package main
 
 import (
@@ -17,7 +18,7 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/telemetry"
 )
 
-// Exit codes.
+// Exit codes. exitCut means that the shutdown cut off running requests.
 const (
 	exitOK    = 0
 	exitError = 1
@@ -84,7 +85,7 @@
 		fmt.Fprintln(stderr, err)
 		return exitUsage
 	}
-	logs := telemetry.NewBounded(stdout)
+	logs := telemetry.NewLineWriter(stdout)
 	defer logs.Close()
 	if err := telemetry.SetupLogs(logs, f.LogLevel); err != nil {
 		fmt.Fprintln(stderr, err)
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the operators' command-line tool.
+// Package cli implements hornbeamsill, the operators' command-line tool.
 package cli
 
 import (
@@ -15,38 +15,38 @@
 
 // Exit codes.
 const (
-	// ExitOK: done.
+	// ExitOK means success.
 	ExitOK = 0
-	// ExitError: the daemon or the platform could not do it; trying again may
-	// help.
+	// ExitError means that the daemon or the platform failed; a retry may succeed.
 	ExitError = 1
-	// ExitUsage: the command line is wrong.
+	// ExitUsage means that the command line is wrong.
 	ExitUsage = 2
-	// ExitInvalid: the document or request is invalid.
+	// ExitInvalid means that the document or request is invalid.
 	ExitInvalid = 3
-	// ExitConflict: somebody else changed it first.
+	// ExitConflict means that the document was changed after the revision that this change
+	// is based on.
 	ExitConflict = 4
-	// ExitUnknown: whether the change was accepted is not known; ask again
-	// with the same change id.
+	// ExitUnknown means that it is unknown whether the change was accepted. Repeating the
+	// command with the same change ID returns the outcome.
 	ExitUnknown = 5
 )
 
-// globals are the options of every command.
-type globals struct {
+// globalOptions are the options of every command.
+type globalOptions struct {
 	Daemon string `long:"daemon" default:"127.0.0.1:8481" env:"HORNBEAMSILL_DAEMON" description:"operator listener of any daemon"`
 	Output string `long:"output" choice:"text" choice:"json" default:"text" description:"form of the output"`
 	Token  string `long:"token" env:"HORNBEAMSILL_TOKEN" description:"operator token"`
 }
 
-// app runs one command.
+// app holds the global options and the output of the command that runs.
 type app struct {
-	globals
+	globalOptions
 	stdout io.Writer
 }
 
-// commands is the tree of commands. go-flags reads it by reflection.
+// commands defines all commands and their options. go-flags reads it by reflection.
 type commands struct {
-	globals
+	globalOptions
 	Config struct {
 		Check   configCheck   `command:"check" description:"check a document"`
 		Apply   configApply   `command:"apply" description:"bring a document into force"`
@@ -68,7 +68,7 @@
 	Evacuated evacuatedCommand `command:"evacuated" description:"list the evacuated failure domains"`
 	Entries   entriesCommand   `command:"entries" description:"list the daemons that callers may use"`
 	Entry     struct {
-		Check    entrySettings `command:"check" description:"check the settings of a daemon for plain HTTP callers"`
+		Check    entryCheck    `command:"check" description:"check the settings of a daemon for plain HTTP callers"`
 		Manifest entryManifest `command:"manifest" description:"check an operator's declaration"`
 		Show     entryShow     `command:"show" description:"show what such a daemon believes"`
 
@@ -81,12 +81,12 @@
 	} `command:"keys" description:"keys that sign session tokens"`
 }
 
-// command is one command with its options.
+// command is implemented by every command; its fields hold the command's options.
 type command interface {
 	run(a *app) error
 }
 
-// Main runs the tool and returns its exit code.
+// Main runs the command that args name and returns the exit code.
 func Main(args []string, stdout, stderr io.Writer) int {
 	var c commands
 	parser := flags.NewNamedParser("hornbeamsill", flags.HelpFlag|flags.PassDoubleDash)
@@ -102,14 +102,15 @@
 		if len(rest) > 0 {
 			return &flags.Error{Type: flags.ErrUnknown, Message: fmt.Sprintf("unexpected argument %q", rest[0])}
 		}
-		return cmd.run(&app{globals: c.globals, stdout: stdout})
+		return cmd.run(&app{globalOptions: c.globalOptions, stdout: stdout})
 	}
 	_, err := parser.ParseArgs(args)
-	return report(err, stdout, stderr)
+	return reportError(err, stdout, stderr)
 }
 
-// report prints an error and turns it into an exit code.
-func report(err error, stdout, stderr io.Writer) int {
+// reportError prints err and returns the exit code for it. Help, which go-flags returns as an
+// error, goes to stdout with ExitOK.
+func reportError(err error, stdout, stderr io.Writer) int {
 	var usage *flags.Error
 	var invalid *config.InvalidError
 	var f *fault.Error
--- a/internal/cli/evacuate.go
+++ b/internal/cli/evacuate.go
@@ -13,43 +13,43 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/operator"
 )
 
-// siteOption is the site whose overlay is changed.
+// siteOption is the option that names the site whose overlay is read or changed.
 type siteOption struct {
 	Site string `long:"site" description:"site of the failure domain; default the daemon's"`
 }
 
-// domainArg is a failure domain on the command line.
+// domainArg holds the positional argument that names a failure domain.
 type domainArg struct {
 	FailureDomain string `positional-arg-name:"FAILURE-DOMAIN" required:"true"`
 }
 
 type evacuateCommand struct {
-	leaf
+	noopCommander
 	siteOption
 	Args domainArg `positional-args:"yes"`
 }
 
 func (c *evacuateCommand) run(a *app) error {
-	return c.change(a, "is evacuated", c.Args.FailureDomain, func(overlay []byte) ([]byte, error) {
+	return c.applyEdit(a, "is evacuated", c.Args.FailureDomain, func(overlay []byte) ([]byte, error) {
 		return config.Evacuate(overlay, c.Args.FailureDomain, time.Now())
 	})
 }
 
 type restoreCommand struct {
-	leaf
+	noopCommander
 	siteOption
 	Args domainArg `positional-args:"yes"`
 }
 
 func (c *restoreCommand) run(a *app) error {
-	return c.change(a, "is in use again", c.Args.FailureDomain, func(overlay []byte) ([]byte, error) {
+	return c.applyEdit(a, "is in use again", c.Args.FailureDomain, func(overlay []byte) ([]byte, error) {
 		return config.Restore(overlay, c.Args.FailureDomain)
 	})
 }
 
-// change applies a changed overlay to the revision that it was made from. Somebody else's
-// change in between is a conflict, and nothing is done.
-func (o *siteOption) change(a *app, what, domain string, edit func(overlay []byte) ([]byte, error)) error {
+// applyEdit reads the site's overlay, edits it and applies the result. If the overlay changed
+// after it was read, the daemon rejects the edit with a conflict and keeps the other change.
+func (o *siteOption) applyEdit(a *app, what, domain string, edit func(overlay []byte) ([]byte, error)) error {
 	shown, err := a.documents(o.Site)
 	if err != nil {
 		return err
@@ -66,13 +66,14 @@
 		return err
 	}
 	return a.print(applied.Change, func(w io.Writer) {
-		line(w, "%s of %s %s, generation %d", domain, shown.Site, what, applied.Change.Generation)
+		printLine(w, "%s of %s %s, generation %d", domain, shown.Site, what, applied.Change.Generation)
 	})
 }
 
-// evacuatedCommand lists the evacuated failure domains with what still runs there.
+// evacuatedCommand lists the evacuated failure domains, each with the number of requests that
+// still run on its upstreams.
 type evacuatedCommand struct {
-	leaf
+	noopCommander
 	siteOption
 }
 
@@ -102,10 +103,10 @@
 	return a.printEvacuations(rows)
 }
 
-// entryEvacuated lists the evacuations that a daemon for plain HTTP callers has in force.
+// entryEvacuated lists the evacuations in force in a daemon for plain HTTP callers.
 type entryEvacuated struct {
-	leaf
-	metricsArg
+	noopCommander
+	metricsOption
 }
 
 func (c *entryEvacuated) run(a *app) error {
@@ -118,9 +119,9 @@
 
 func (a *app) printEvacuations(rows []entry.Evacuation) error {
 	return a.print(rows, func(w io.Writer) {
-		line(w, "FAILURE DOMAIN\tSINCE\tSTILL RUNNING")
+		printLine(w, "FAILURE DOMAIN\tSINCE\tSTILL RUNNING")
 		for _, e := range rows {
-			line(w, "%s\t%v\t%d", e.FailureDomain, (time.Duration(e.SinceMS) * time.Millisecond).Round(time.Second), e.Open)
+			printLine(w, "%s\t%v\t%d", e.FailureDomain, (time.Duration(e.SinceMS) * time.Millisecond).Round(time.Second), e.Open)
 		}
 	})
 }
--- a/internal/cli/quarantine.go
+++ b/internal/cli/quarantine.go
@@ -13,13 +13,13 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/quarantine"
 )
 
-// metricsArg names the daemon that a command speaks to.
-type metricsArg struct {
+// metricsOption is the option that names a daemon by the address of its metrics listener.
+type metricsOption struct {
 	Metrics string `long:"metrics" required:"true" value-name:"HOST:PORT" description:"metrics listener of the daemon"`
 }
 
-// get fetches what the daemon shows at a path into out.
-func (m metricsArg) get(path string, out any) error {
+// get fetches path from the daemon's metrics listener and decodes the JSON into out.
+func (m metricsOption) get(path string, out any) error {
 	resp, err := http.Get("http://" + m.Metrics + path)
 	if err != nil {
 		return trace.Wrap(err)
@@ -31,10 +31,11 @@
 	return trace.Wrap(json.NewDecoder(resp.Body).Decode(out))
 }
 
-// entryQuarantine lists the requests that are refused because they crash instances.
+// entryQuarantine lists the requests that the daemon refuses because they crash upstream
+// instances.
 type entryQuarantine struct {
-	leaf
-	metricsArg
+	noopCommander
+	metricsOption
 }
 
 func (c *entryQuarantine) run(a *app) error {
@@ -43,9 +44,9 @@
 		return err
 	}
 	return a.print(reply, func(w io.Writer) {
-		line(w, "DIGEST\tORGANISATION\tROUTE\tSTATE\tENDED")
+		printLine(w, "DIGEST\tORGANISATION\tROUTE\tSTATE\tENDED")
 		for _, r := range reply.Requests {
-			line(w, "%s\t%s\t%s\t%s\t%s", r.Digest, r.Organisation, r.Route, quarantineState(r), strings.Join(r.Ended, " "))
+			printLine(w, "%s\t%s\t%s\t%s\t%s", r.Digest, r.Organisation, r.Route, quarantineState(r), strings.Join(r.Ended, " "))
 		}
 	})
 }
@@ -62,10 +63,10 @@
 	}
 }
 
-// entryRelease lets a quarantined request run again.
+// entryRelease ends the quarantine of a request, so that the daemon forwards it again.
 type entryRelease struct {
-	leaf
-	metricsArg
+	noopCommander
+	metricsOption
 	Args struct {
 		Digest string `positional-arg-name:"DIGEST" required:"true"`
 	} `positional-args:"yes"`
@@ -85,5 +86,5 @@
 		text, _ := io.ReadAll(io.LimitReader(resp.Body, 1<<10))
 		return trace.Errorf("the daemon answered %d: %s", resp.StatusCode, strings.TrimSpace(string(text)))
 	}
-	return a.print(d, func(w io.Writer) { line(w, "released\t%s", d) })
+	return a.print(d, func(w io.Writer) { printLine(w, "released\t%s", d) })
 }
--- a/internal/standin/dev.go
+++ b/internal/standin/dev.go
@@ -12,7 +12,7 @@
 	"github.com/hornbeamsill/hornbeamsill/platform"
 )
 
-// DevConfig is the base document of --dev.
+// DevConfig is the base document that --dev applies.
 //
 //go:embed dev.jsonc
 var DevConfig string
@@ -23,17 +23,18 @@
 	DevKeyMail   = "dev-key-mail"
 )
 
-// Dev is a platform, two engines and a plain service in this process.
+// Dev holds the stand-ins of --dev, which run in this process: a platform, two engines and a
+// plain service.
 type Dev struct {
 	Platform *Platform
 	Engines  []*Engine
 	Service  *Service
-	// PlatformAddress is host:port of the platform.
+	// PlatformAddress is the host:port of the platform.
 	PlatformAddress string
 	servers         []*Server
 }
 
-// StartDev starts the stand-ins and brings DevConfig into force.
+// StartDev starts the stand-ins and applies DevConfig.
 func StartDev() (*Dev, error) {
 	d := &Dev{Platform: NewPlatform(backing.NewMemory(), PlatformOptions{})}
 	address, err := d.serve(d.Platform)
@@ -42,15 +43,15 @@
 	}
 	d.PlatformAddress = address
 	for _, options := range devEngines() {
-		options.Rate = d.Platform.Memory.AddRating
+		options.OnRating = d.Platform.Memory.AddRating
 		engine := NewEngine(options)
 		d.Engines = append(d.Engines, engine)
-		if err := d.list(engine, backing.Instance{ID: options.Instance, Role: backing.RoleEngine, FailureDomain: "local"}); err != nil {
+		if err := d.register(engine, backing.Instance{ID: options.Instance, Role: backing.RoleEngine, FailureDomain: "local"}); err != nil {
 			return nil, err
 		}
 	}
 	d.Service = NewService("folders")
-	if err := d.list(d.Service, backing.Instance{ID: "folders-1", Role: backing.RoleService, Service: "folders", FailureDomain: "local"}); err != nil {
+	if err := d.register(d.Service, backing.Instance{ID: "folders-1", Role: backing.RoleService, Service: "folders", FailureDomain: "local"}); err != nil {
 		return nil, err
 	}
 	store := config.NewStore(platform.Table{Store: platform.NewStore(address)}, time.Now)
@@ -58,7 +59,7 @@
 	return d, trace.Wrap(err)
 }
 
-func (d *Dev) serve(h handled) (string, error) {
+func (d *Dev) serve(h handlerProvider) (string, error) {
 	server, err := Serve("127.0.0.1:0", h.Handler())
 	if err != nil {
 		return "", err
@@ -67,8 +68,8 @@
 	return server.Address(), nil
 }
 
-// list serves an upstream and puts it on the platform's list.
-func (d *Dev) list(h handled, i backing.Instance) error {
+// register serves an upstream and adds it to the platform's instance list.
+func (d *Dev) register(h handlerProvider, i backing.Instance) error {
 	address, err := d.serve(h)
 	if err != nil {
 		return trace.Wrap(err)
@@ -78,7 +79,7 @@
 	return nil
 }
 
-// Close ends the stand-ins.
+// Close stops the stand-ins.
 func (d *Dev) Close() {
 	for _, s := range d.servers {
 		s.Close()
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -13,23 +13,23 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/upstream"
 )
 
-// PoorMarker stands in the text of an answer that does not meet its quality.
+// PoorMarker is the last word of a bad answer.
 const PoorMarker = "uncertain"
 
-// VersionProfile is how an engine behaves when it runs a version.
+// VersionProfile says how an engine behaves when it runs a version.
 type VersionProfile struct {
-	// Quality is the true chance that an answer is good, by kind; "" is the
+	// Quality is the probability that an answer is good, by kind of request; "" is the
 	// default.
 	Quality map[string]float64 `json:"quality"`
-	// TokenTime is the time of a decoding step with an empty batch.
+	// TokenTime is the duration of a decoding step with one running attempt.
 	TokenTime Duration `json:"token_time"`
 	// PrefillTime is the time per uncached prompt token.
 	PrefillTime Duration `json:"prefill_time"`
-	// Tokens is the length of an answer.
+	// Tokens is the length of an answer in tokens; 0 means 16.
 	Tokens int `json:"tokens"`
 }
 
-// Duration is a time.Duration that JSON writes as "30ms".
+// Duration is a time.Duration whose JSON form is a string such as "30ms".
 type Duration time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -45,37 +45,42 @@
 // EngineOptions are the settings of an engine stand-in.
 type EngineOptions struct {
 	Instance string `json:"instance"`
-	// Profiles has every version that the engine can load, as "model@version".
+	// Profiles has every version that the engine can load, by "model@version".
 	Profiles map[string]VersionProfile `json:"profiles"`
 	// Serving lists the versions loaded at start.
 	Serving []string `json:"serving"`
-	// Slots is the largest batch.
+	// Slots is the maximum batch size; 0 means 8.
 	Slots int `json:"slots"`
-	// QueueLimit is how many attempts wait before new ones are refused.
+	// QueueLimit is the number of waiting attempts at which new ones are refused; 0 means
+	// 64.
 	QueueLimit int `json:"queue_limit"`
-	// BatchSlowdown is the relative growth of a step per running attempt.
+	// BatchSlowdown is the relative growth of a step's duration for each running attempt
+	// beyond the first.
 	BatchSlowdown float64 `json:"batch_slowdown"`
-	// ReportLag is how old load reports are.
+	// ReportLag is the age of the load reports that the engine returns.
 	ReportLag Duration `json:"report_lag"`
-	// LoadTime is how long loading a version takes.
+	// LoadTime is the time to load a version.
 	LoadTime Duration `json:"load_time"`
-	// Fencing is "refuse" or "ignore".
+	// Fencing is "ignore" if the engine executes orders with an outdated fence; with any
+	// other value it refuses them.
 	Fencing string `json:"fencing"`
-	// CacheTokens is the size of the prompt prefix cache.
+	// CacheTokens is the size of the prompt prefix cache in tokens; 0 means 4096. A word
+	// counts as a token.
 	CacheTokens int    `json:"cache_tokens"`
 	Seed        uint64 `json:"seed"`
-	// RateShare is the share of finished answers that get rated.
+	// RatedShare is the share of finished answers that get a rating.
 	RateShare float64 `json:"rate_share"`
-	// RateDelay is how long after its end an answer is rated.
+	// RatingDelay is the time from the end of an answer to its rating.
 	RateDelay Duration `json:"rate_delay"`
-	// Platform is the address of the platform stand-in that takes ratings.
+	// Platform is the address of the platform stand-in that provides weights and takes
+	// ratings. If it is empty, the engine loads versions without fetching weights.
 	Platform string `json:"platform"`
-	// Rate takes the ratings when the platform runs in this process.
-	Rate func(backing.Rating) `json:"-"`
+	// OnRating receives the ratings; if it is nil, answers are not rated.
+	OnRating func(backing.Rating) `json:"-"`
 }
 
-// run is one attempt inside the engine.
-type run struct {
+// attemptRun is the state of one attempt that the engine has accepted.
+type attemptRun struct {
 	attempt   upstream.Attempt
 	events    []upstream.Event
 	good      bool
@@ -83,40 +88,40 @@
 	usage     upstream.Usage
 	finished  bool
 	cancelled bool
-	// changed is closed and replaced whenever events or state change.
+	// changed is closed and replaced whenever the events or the state change.
 	changed chan struct{}
 }
 
-func (r *run) ended() bool { return r.finished || r.cancelled }
+func (r *attemptRun) ended() bool { return r.finished || r.cancelled }
 
-func (r *run) notify() {
+func (r *attemptRun) notify() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// Engine is a model engine with continuous batching: each step gives every
-// running attempt one token, and waiting attempts join between steps.
+// Engine simulates a model engine with continuous batching: each step generates one token
+// for every running attempt, and waiting attempts join the batch between steps.
 type Engine struct {
 	options EngineOptions
 
-	mu       sync.Mutex
-	random   *rand.Rand
-	serving  map[string]bool // false while loading
-	running  []*run
-	waiting  []*run
-	attempts map[string]*run
-	requests map[string][]*run
-	fence    int64
-	orders   int
-	leaving  bool
-	faults   EngineFaults
-	reports  []upstream.LoadReport
-	reportAt []time.Time
-	cache    prefixCache
-	tokens   float64
-	wake     chan struct{}
-	done     chan struct{}
-	loop     sync.WaitGroup
+	mu              sync.Mutex
+	rng             *rand.Rand
+	serving         map[string]bool // false while loading
+	running         []*attemptRun
+	waiting         []*attemptRun
+	attempts        map[string]*attemptRun
+	requests        map[string][]*attemptRun
+	fence           int64
+	orders          int
+	leaving         bool
+	faults          EngineFaults
+	reports         []upstream.LoadReport
+	reportTimes     []time.Time
+	cache           prefixCache
+	tokensPerSecond float64
+	wake            chan struct{}
+	done            chan struct{}
+	stepLoop        sync.WaitGroup
 }
 
 // NewEngine returns an engine that runs until Close.
@@ -125,30 +130,30 @@
 	options.QueueLimit = cmp.Or(options.QueueLimit, 64)
 	e := &Engine{
 		options:  options,
-		random:   rand.New(rand.NewPCG(options.Seed, 1)),
+		rng:      rand.New(rand.NewPCG(options.Seed, 1)),
 		serving:  map[string]bool{},
-		attempts: map[string]*run{},
-		requests: map[string][]*run{},
-		cache:    prefixCache{limit: cmp.Or(options.CacheTokens, 4096)},
+		attempts: map[string]*attemptRun{},
+		requests: map[string][]*attemptRun{},
+		cache:    prefixCache{maxWords: cmp.Or(options.CacheTokens, 4096)},
 		wake:     make(chan struct{}, 1),
 		done:     make(chan struct{}),
 	}
 	for _, v := range options.Serving {
 		e.serving[v] = true
 	}
-	e.loop.Add(1)
-	go e.steps()
+	e.stepLoop.Add(1)
+	go e.runSteps()
 	return e
 }
 
 // Close stops the engine.
 func (e *Engine) Close() {
 	close(e.done)
-	e.loop.Wait()
+	e.stepLoop.Wait()
 }
 
-// start queues an attempt, or says why it does not.
-func (e *Engine) start(a upstream.Attempt) (*run, upstream.RefusalReason) {
+// enqueue queues an attempt by priority, or returns the reason for refusing it.
+func (e *Engine) enqueue(a upstream.Attempt) (*attemptRun, upstream.RefusalReason) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	ready := e.serving[a.Chat.Model]
@@ -166,7 +171,7 @@
 	e.attempts[a.ID] = r
 	e.requests[a.RequestID] = append(e.requests[a.RequestID], r)
 	e.waiting = append(e.waiting, r)
-	slices.SortStableFunc(e.waiting, func(x, y *run) int { return y.attempt.Priority - x.attempt.Priority })
+	slices.SortStableFunc(e.waiting, func(x, y *attemptRun) int { return y.attempt.Priority - x.attempt.Priority })
 	select {
 	case e.wake <- struct{}{}:
 	default:
@@ -174,24 +179,24 @@
 	return r, ""
 }
 
-func (e *Engine) newRun(a upstream.Attempt) *run {
+func (e *Engine) newRun(a upstream.Attempt) *attemptRun {
 	profile := e.options.Profiles[a.Chat.Model]
 	quality, ok := profile.Quality[a.Kind]
 	if !ok {
 		quality = profile.Quality[""]
 	}
-	r := &run{attempt: a, changed: make(chan struct{}), good: e.random.Float64() < quality}
+	r := &attemptRun{attempt: a, changed: make(chan struct{}), good: e.rng.Float64() < quality}
 	count := cmp.Or(profile.Tokens, 16)
 	if a.Chat.MaxTokens > 0 {
 		count = min(count, a.Chat.MaxTokens)
 	}
 	r.words = answerWords(a, count, r.good)
-	r.usage.PromptTokens = len(strings.Fields(prompt(a.Chat)))
+	r.usage.PromptTokens = len(strings.Fields(promptText(a.Chat)))
 	return r
 }
 
-// answerWords makes a text that depends on the request and carries
-// PoorMarker when the answer is poor.
+// answerWords returns the words of an answer. The first names the model; the last is
+// PoorMarker if the answer is bad.
 func answerWords(a upstream.Attempt, count int, good bool) []string {
 	words := make([]string, count)
 	for i := range words {
@@ -204,7 +209,7 @@
 	return words
 }
 
-func prompt(chat upstream.ChatRequest) string {
+func promptText(chat upstream.ChatRequest) string {
 	var b strings.Builder
 	for _, m := range chat.Messages {
 		b.WriteString(m.Content)
@@ -224,8 +229,9 @@
 	r.notify()
 }
 
-// order obeys or refuses an order.
-func (e *Engine) order(o upstream.Order) upstream.RefusalReason {
+// applyOrder executes an order to load or unload a version, or returns the reason for
+// refusing it. A load finishes after LoadTime.
+func (e *Engine) applyOrder(o upstream.Order) upstream.RefusalReason {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.options.Fencing != "ignore" {
@@ -247,11 +253,11 @@
 		return ""
 	}
 	e.serving[name] = false
-	time.AfterFunc(time.Duration(e.options.LoadTime), func() { e.loaded(name) })
+	time.AfterFunc(time.Duration(e.options.LoadTime), func() { e.finishLoad(name) })
 	return ""
 }
 
-func (e *Engine) loaded(name string) {
+func (e *Engine) finishLoad(name string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if _, wanted := e.serving[name]; wanted {
@@ -259,30 +265,31 @@
 	}
 }
 
-// report returns the load as it was ReportLag ago.
-func (e *Engine) report() upstream.LoadReport {
+// delayedReport returns the load as it was ReportLag ago. Reports are recorded only when this
+// is called, so the returned one is the newest that is old enough, or else the oldest.
+func (e *Engine) delayedReport() upstream.LoadReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
-	e.reports = append(e.reports, e.current())
-	e.reportAt = append(e.reportAt, now)
+	e.reports = append(e.reports, e.currentReport())
+	e.reportTimes = append(e.reportTimes, now)
 	lag := time.Duration(e.options.ReportLag)
-	for len(e.reports) > 1 && now.Sub(e.reportAt[1]) >= lag {
+	for len(e.reports) > 1 && now.Sub(e.reportTimes[1]) >= lag {
 		e.reports = e.reports[1:]
-		e.reportAt = e.reportAt[1:]
+		e.reportTimes = e.reportTimes[1:]
 	}
 	report := e.reports[0]
-	report.AgeMS = now.Sub(e.reportAt[0]).Milliseconds()
+	report.AgeMS = now.Sub(e.reportTimes[0]).Milliseconds()
 	return report
 }
 
-func (e *Engine) current() upstream.LoadReport {
+func (e *Engine) currentReport() upstream.LoadReport {
 	report := upstream.LoadReport{
 		Instance:        e.options.Instance,
 		Running:         len(e.running),
 		Queued:          len(e.waiting),
 		Slots:           e.options.Slots,
-		TokensPerSecond: e.tokens,
+		TokensPerSecond: e.tokensPerSecond,
 		Leaving:         e.leaving && !e.faults.HideLeaving,
 		Fence:           e.fence,
 	}
@@ -313,9 +320,10 @@
 	return out
 }
 
-// EngineCounts is what an engine really did, for tests.
+// EngineCounts counts what an engine has done. Tests compare it with what callers were told
+// and with the bills.
 type EngineCounts struct {
-	// Started and Finished count attempts by request id.
+	// Started and Finished count attempts by request ID.
 	Started  map[string]int `json:"started"`
 	Finished map[string]int `json:"finished"`
 	// Versions counts attempts started by "model@version", and Prompts by the
@@ -326,10 +334,11 @@
 	FinishedPrompts map[string]int `json:"finished_prompts"`
 	// Running counts attempts that have not ended.
 	Running int `json:"running"`
-	Orders  int `json:"orders"`
+	// Orders counts the orders that passed the fence check.
+	Orders int `json:"orders"`
 }
 
-// Counts returns what the engine did so far.
+// Counts returns what the engine has done so far.
 func (e *Engine) Counts() EngineCounts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -347,7 +356,7 @@
 	return out
 }
 
-func (c *EngineCounts) add(r *run) {
+func (c *EngineCounts) add(r *attemptRun) {
 	text := ""
 	if len(r.attempt.Chat.Messages) > 0 {
 		text = r.attempt.Chat.Messages[0].Content
--- a/internal/standin/engine_http.go
+++ b/internal/standin/engine_http.go
@@ -13,30 +13,32 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/upstream"
 )
 
-// EngineFaults are the faults an engine injects into itself.
+// EngineFaults are the faults that an engine injects into its own behaviour.
 type EngineFaults struct {
-	// CutAfter ends each connection after that many events; 0 never.
+	// CutAfter is the number of events after which each stream's connection is closed; 0
+	// means never.
 	CutAfter int `json:"cut_after"`
-	// Cuts limits how many connections are cut; 0 is no limit.
+	// Cuts is the number of connections to close that way; 0 means no limit.
 	Cuts int `json:"cuts"`
-	// Reorder swaps neighbouring events, Duplicate sends each twice, and
-	// Foreign mixes in events of another attempt.
+	// Reorder swaps adjacent events, Duplicate sends each event twice, and Foreign inserts
+	// events of another attempt.
 	Reorder   bool `json:"reorder"`
 	Duplicate bool `json:"duplicate"`
 	Foreign   bool `json:"foreign"`
-	// NoAnswer closes the connection of an attempt after starting it.
+	// NoAnswer closes the connection of an attempt after queueing the attempt, without a
+	// response.
 	NoAnswer bool `json:"no_answer"`
-	// Refuse refuses every attempt with this reason.
+	// Refuse is the reason with which every attempt is refused; empty refuses none.
 	Refuse upstream.RefusalReason `json:"refuse"`
-	// HideLeaving keeps load reports from saying that the engine leaves.
+	// HideLeaving omits from load reports that the engine is leaving.
 	HideLeaving bool `json:"hide_leaving"`
-	// Slowdown multiplies the time of a step; 0 is 1.
+	// Slowdown multiplies the duration of a step; 0 means 1.
 	Slowdown float64 `json:"slowdown"`
-	// Leaving makes the engine refuse new attempts.
+	// Leaving makes the engine refuse new attempts and report that it is leaving.
 	Leaving bool `json:"leaving"`
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces all faults.
 func (e *Engine) SetFaults(f EngineFaults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -44,8 +46,9 @@
 	e.leaving = f.Leaving
 }
 
-// takeCut reports after how many events this connection is cut; 0 never.
-func (e *Engine) takeCut() int {
+// nextCut returns the number of events after which a new stream's connection is closed, or 0
+// for never, and counts it towards Cuts.
+func (e *Engine) nextCut() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.CutAfter == 0 {
@@ -71,7 +74,7 @@
 		c.JSON(http.StatusOK, gin.H{})
 	})
 	r.GET("/v1/usage", func(c *gin.Context) { c.JSON(http.StatusOK, e.usage(c.Query("request"))) })
-	r.GET("/v1/load", func(c *gin.Context) { c.JSON(http.StatusOK, e.report()) })
+	r.GET("/v1/load", func(c *gin.Context) { c.JSON(http.StatusOK, e.delayedReport()) })
 	r.POST("/v1/orders", e.postOrder)
 	r.GET("/standin/counts", func(c *gin.Context) { c.JSON(http.StatusOK, e.Counts()) })
 	r.POST("/standin/faults", func(c *gin.Context) {
@@ -95,7 +98,7 @@
 	if !bind(c, &a.Chat) {
 		return
 	}
-	r, refused := e.start(a)
+	r, refused := e.enqueue(a)
 	if refused != "" {
 		c.JSON(http.StatusConflict, upstream.Refusal{Refused: refused})
 		return
@@ -106,7 +109,7 @@
 	if noAnswer {
 		panic(http.ErrAbortHandler)
 	}
-	e.serve(c, r, 0)
+	e.streamEvents(c, r, 0)
 }
 
 func (e *Engine) getStream(c *gin.Context) {
@@ -122,15 +125,16 @@
 		c.AbortWithStatus(http.StatusNotFound)
 		return
 	}
-	e.serve(c, r, after+1)
+	e.streamEvents(c, r, after+1)
 }
 
-// serve writes the events of r from offset next on, as they come.
-func (e *Engine) serve(c *gin.Context, r *run, next int) {
+// streamEvents streams the events of r from offset next until r ends or the client
+// disconnects.
+func (e *Engine) streamEvents(c *gin.Context, r *attemptRun, next int) {
 	c.Header("Content-Type", "text/event-stream")
 	c.Writer.WriteHeaderNow()
 	c.Writer.Flush()
-	w := &eventWriter{c: c, cut: e.takeCut()}
+	w := &eventWriter{c: c, cutAfter: e.nextCut()}
 	for {
 		e.mu.Lock()
 		events := r.events[next:]
@@ -151,40 +155,41 @@
 	}
 }
 
-// eventWriter writes events with the faults asked for.
+// eventWriter writes events to a stream and injects the faults. held is the event that
+// Reorder sends after its successor.
 type eventWriter struct {
-	c      *gin.Context
-	faults EngineFaults
-	cut    int
-	sent   int
-	held   *upstream.Event
+	c        *gin.Context
+	faults   EngineFaults
+	cutAfter int
+	sent     int
+	held     *upstream.Event
 }
 
 func (w *eventWriter) write(events []upstream.Event) {
 	for _, event := range events {
-		if w.cut > 0 && w.sent == w.cut {
+		if w.cutAfter > 0 && w.sent == w.cutAfter {
 			w.c.Writer.Flush()
 			panic(http.ErrAbortHandler)
 		}
 		w.sent++
-		w.one(event)
+		w.writeEvent(event)
 	}
 	w.c.Writer.Flush()
 }
 
-func (w *eventWriter) one(event upstream.Event) {
+func (w *eventWriter) writeEvent(event upstream.Event) {
 	if w.faults.Reorder && w.held == nil && !event.Last() {
 		w.held = &event
 		return
 	}
-	w.put(event)
+	w.send(event)
 	if w.held != nil {
-		w.put(*w.held)
+		w.send(*w.held)
 		w.held = nil
 	}
 }
 
-func (w *eventWriter) put(event upstream.Event) {
+func (w *eventWriter) send(event upstream.Event) {
 	data, _ := json.Marshal(event)
 	fmt.Fprintf(w.c.Writer, "id: %s/%d\ndata: %s\n\n", event.Attempt, event.Offset, data)
 	if w.faults.Duplicate {
@@ -207,14 +212,15 @@
 		c.JSON(http.StatusTooManyRequests, upstream.Refusal{Refused: upstream.RefusedBusy})
 		return
 	}
-	if refused := e.order(o); refused != "" {
+	if refused := e.applyOrder(o); refused != "" {
 		c.JSON(http.StatusConflict, upstream.Refusal{Refused: refused})
 		return
 	}
 	c.JSON(http.StatusOK, gin.H{})
 }
 
-// fetchWeights asks the weight store; false when it is over its rate.
+// fetchWeights fetches the weights of a version from the platform stand-in and reports whether
+// that succeeded. It fails while the weight store is over its rate limit.
 func (e *Engine) fetchWeights(o upstream.Order) bool {
 	e.mu.Lock()
 	_, have := e.serving[o.Model+"@"+o.Version]
@@ -230,8 +236,9 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// PostRating returns a function that sends ratings to a platform stand-in.
-func PostRating(address string) func(backing.Rating) {
+// RatingPoster returns a function that posts a rating to the platform stand-in at address. Use
+// it as OnRating if the platform runs in another process.
+func RatingPoster(address string) func(backing.Rating) {
 	return func(r backing.Rating) {
 		data, _ := json.Marshal(r)
 		resp, err := http.Post("http://"+address+"/standin/ratings", "application/json", bytes.NewReader(data))
--- a/test/faults/main.go
+++ b/test/faults/main.go
@@ -1,10 +1,11 @@
-// Command faults runs a load of requests through real daemons while one fault
-// after the other is injected, and counts what callers, engines and the ledger
-// say afterwards:
+// Command faults sends requests through real daemons while a fault is injected, for one fault
+// after the other, and compares afterwards what the callers, the engines and the ledger have
+// recorded:
 //
 //	go run ./test/faults [--json FILE] [--seconds N] [--only NAME]
 //
-// It exits with 1 when a request was lost, doubled, cut or wrongly reported.
+// It exits with 1 if a request was lost, executed twice, cut or wrongly reported, or if a bill
+// is missing or duplicated.
 package main
 
 import (
@@ -47,19 +48,19 @@
 	if err != nil {
 		return err
 	}
-	var rows []row
+	var rows []result
 	for _, f := range faults {
 		if !strings.Contains(f.name, o.Only) {
 			continue
 		}
-		r, err := trial(bin, f, time.Duration(o.Seconds*float64(time.Second)))
+		r, err := runTrial(bin, f, time.Duration(o.Seconds*float64(time.Second)))
 		if err != nil {
 			return fmt.Errorf("%s: %w", f.name, err)
 		}
 		rows = append(rows, r)
 		fmt.Fprintf(os.Stderr, "%s: done\n", f.name)
 	}
-	print(rows)
+	printTable(rows)
 	if o.JSON != "" {
 		data, err := json.MarshalIndent(rows, "", "  ")
 		if err != nil {
@@ -70,14 +71,14 @@
 		}
 	}
 	for _, r := range rows {
-		if r.broken() {
-			return fmt.Errorf("promises were broken under %q", r.Fault)
+		if r.violated() {
+			return fmt.Errorf("guarantees were violated under the fault %q", r.Fault)
 		}
 	}
 	return nil
 }
 
-func print(rows []row) {
+func printTable(rows []result) {
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "FAULT\tASKED\tWHOLE\tNOT RUN\tUNKNOWN\tLOST\tDOUBLED\tCUT\tMISREPORTED\tBILLS MISSING\tBILLS DOUBLED")
 	for _, r := range rows {
--- a/test/measure/cost.go
+++ b/test/measure/cost.go
@@ -10,19 +10,19 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/route"
 )
 
-// Model of the cost measurement.
+// Parameters of the cost simulation.
 const (
 	costRequests = 40_000
-	// costRated is the share of answers that get rated, and costDelay how many
-	// requests later.
-	costRated = 0.2
-	costDelay = 500
-	// exploreShare is the router's own setting.
+	// costRatedShare is the share of answers that get a rating. costPendingRatings is the
+	// number of newer ratings after which the router receives a rating.
+	costRatedShare     = 0.2
+	costPendingRatings = 500
+	// exploreShare is the share of requests that explore other plans, as in the router.
 	exploreShare = 0.02
 	costSeeds    = 5
 )
 
-// costModel is a version with its true qualities by kind.
+// costModel is a version with its cost per answer and its true quality by kind of request.
 type costModel struct {
 	ref     config.VersionRef
 	cost    float64
@@ -30,14 +30,14 @@
 	quality map[string]float64
 }
 
-// costKind is a kind of request with its target.
+// costKind is a kind of request with its quality target.
 type costKind struct {
 	name    string
 	target  float64
 	cascade bool
 }
 
-func costWorld() ([]costModel, []costKind) {
+func costSetup() ([]costModel, []costKind) {
 	model := func(name string, cost, prior float64, tag, summary, clause, clearance float64) costModel {
 		return costModel{
 			ref: config.VersionRef{Model: name, Version: "1"}, cost: cost,
@@ -57,15 +57,15 @@
 
 var costJudge = route.Judge{TrueAccept: 0.95, FalseAccept: 0.1, Cost: 0.5}
 
-// chooser picks a plan for a kind.
-type chooser func(k costKind, candidates []route.Candidate, random *rand.Rand) route.Plan
+// planPolicy picks a plan for a request.
+type planPolicy func(k costKind, candidates []route.Candidate, random *rand.Rand) route.Plan
 
 func costPlans(k costKind, candidates []route.Candidate) ([]route.Plan, route.Request) {
 	req := route.Request{Target: k.target, Cascade: k.cascade, Remaining: time.Hour}
 	return route.Plans(candidates, costJudge, req), req
 }
 
-func routed(explore float64) chooser {
+func routerPolicy(explore float64) planPolicy {
 	return func(k costKind, candidates []route.Candidate, random *rand.Rand) route.Plan {
 		plans, req := costPlans(k, candidates)
 		pick, _ := route.PickPlan(plans, req.Target)
@@ -73,8 +73,8 @@
 	}
 }
 
-// certain gives the candidates their true quality, as an oracle knows it.
-func certain(models []costModel, kind string) []route.Candidate {
+// trueCandidates returns the candidates with their true qualities, for the oracle policy.
+func trueCandidates(models []costModel, kind string) []route.Candidate {
 	const sure = 1e6
 	var out []route.Candidate
 	for _, m := range models {
@@ -84,24 +84,27 @@
 	return out
 }
 
-func fixedModel(at int) chooser {
+func fixedModelPolicy(at int) planPolicy {
 	return func(k costKind, candidates []route.Candidate, _ *rand.Rand) route.Plan {
 		plans, _ := costPlans(costKind{target: k.target}, candidates)
 		return plans[at]
 	}
 }
 
-// costResult is what a policy achieved.
+// costResult is the result of a policy.
 type costResult struct {
+	// cost is the mean cost per request.
 	cost float64
-	// met is the share of requests whose kind met its target over the run.
-	met  float64
+	// met is the share of requests whose kind met its quality target over the run.
+	met float64
+	// good is the share of good answers.
 	good float64
 }
 
-// runCost plays one seed with a policy.
-func runCost(choose chooser, oracle bool, seed uint64) costResult {
-	models, kinds := costWorld()
+// simulateCost simulates costRequests requests with a policy. With oracle set, the policy sees
+// the true qualities instead of the ratings.
+func simulateCost(choose planPolicy, oracle bool, seed uint64) costResult {
+	models, kinds := costSetup()
 	random := rand.New(rand.NewPCG(seed, 1))
 	ratings := rating.NewCounter()
 	var due []backing.Rating
@@ -116,7 +119,7 @@
 		k := kinds[random.IntN(len(kinds))]
 		var candidates []route.Candidate
 		if oracle {
-			candidates = certain(models, k.name)
+			candidates = trueCandidates(models, k.name)
 		} else {
 			for _, m := range models {
 				candidates = append(candidates, route.Candidate{
@@ -125,28 +128,28 @@
 			}
 		}
 		plan := choose(k, candidates, random)
-		ok, cost, by := play(plan, byRef, k.name, random)
+		ok, cost, by := execute(plan, byRef, k.name, random)
 		total += cost
 		asked[k.name]++
 		if ok {
 			good[k.name]++
 		}
 		for _, run := range by {
-			if random.Float64() < costRated {
+			if random.Float64() < costRatedShare {
 				seq++
 				due = append(due, backing.Rating{Seq: seq, Model: run.ref.Model, Version: "1", Kind: k.name, Good: run.good})
 			}
 		}
-		if len(due) > costDelay {
-			ratings.Add(due[:len(due)-costDelay])
-			due = due[len(due)-costDelay:]
+		if len(due) > costPendingRatings {
+			ratings.Add(due[:len(due)-costPendingRatings])
+			due = due[len(due)-costPendingRatings:]
 		}
 	}
 	result := costResult{cost: total / costRequests}
 	for _, k := range kinds {
 		share := float64(good[k.name]) / float64(asked[k.name])
 		result.good += float64(good[k.name]) / costRequests
-		// Half a point is the noise of 10,000 answers.
+		// 0.005 allows for the sampling noise of the 10,000 answers per kind.
 		if share >= k.target-0.005 {
 			result.met += float64(asked[k.name]) / costRequests
 		}
@@ -154,14 +157,15 @@
 	return result
 }
 
-// modelRun is one model's answer.
+// modelRun is the answer of one model within a plan.
 type modelRun struct {
 	ref  config.VersionRef
 	good bool
 }
 
-// play answers a request by a plan.
-func play(plan route.Plan, models map[config.VersionRef]costModel, kind string, random *rand.Rand) (bool, float64, []modelRun) {
+// execute simulates a request with a plan. It returns whether the final answer is good, the
+// cost and the answers of all models that ran.
+func execute(plan route.Plan, models map[config.VersionRef]costModel, kind string, random *rand.Rand) (bool, float64, []modelRun) {
 	first := models[plan.Steps[0]]
 	ok := random.Float64() < first.quality[kind]
 	runs := []modelRun{{first.ref, ok}}
@@ -181,41 +185,41 @@
 	return ok, cost + second.cost, append(runs, modelRun{second.ref, ok})
 }
 
-// staticTable is what operators would set from the priors: the cheapest model
-// whose prior mean meets the target.
+// staticTable is a baseline: the fixed choice that operators would make from the priors, which
+// is the cheapest model whose prior mean meets the target.
 func staticTable(k costKind, candidates []route.Candidate, _ *rand.Rand) route.Plan {
-	models, _ := costWorld()
+	models, _ := costSetup()
 	for i, m := range models {
 		if m.version.Prior["default"].Mean >= k.target {
-			return fixedModel(i)(k, candidates, nil)
+			return fixedModelPolicy(i)(k, candidates, nil)
 		}
 	}
-	return fixedModel(len(models)-1)(k, candidates, nil)
+	return fixedModelPolicy(len(models)-1)(k, candidates, nil)
 }
 
 func measureCost() []table {
-	models, _ := costWorld()
+	models, _ := costSetup()
 	policies := []struct {
 		name   string
-		choose chooser
+		choose planPolicy
 		oracle bool
 	}{
-		{"oracle (true qualities)", routed(0), true},
-		{"router: lower bound, cascades, 2% exploration", routed(exploreShare), false},
-		{"router without exploration", routed(0), false},
+		{"oracle (true qualities)", routerPolicy(0), true},
+		{"router: lower bound, cascades, 2% exploration", routerPolicy(exploreShare), false},
+		{"router without exploration", routerPolicy(0), false},
 		{"router without cascades", func(k costKind, c []route.Candidate, r *rand.Rand) route.Plan {
 			k.cascade = false
-			return routed(exploreShare)(k, c, r)
+			return routerPolicy(exploreShare)(k, c, r)
 		}, false},
 		{"static table from priors", staticTable, false},
-		{"always the dearest", fixedModel(len(models) - 1), false},
-		{"always the cheapest", fixedModel(0), false},
+		{"always the dearest", fixedModelPolicy(len(models) - 1), false},
+		{"always the cheapest", fixedModelPolicy(0), false},
 	}
 	t := table{Name: "Cost at the quality target", Columns: []string{"policy", "cost per request", "requests of kinds that met their target", "good answers", "cost over oracle"}}
 	results := make([]costResult, len(policies))
 	for i, p := range policies {
 		for seed := range uint64(costSeeds) {
-			r := runCost(p.choose, p.oracle, seed)
+			r := simulateCost(p.choose, p.oracle, seed)
 			results[i].cost += r.cost / costSeeds
 			results[i].met += r.met / costSeeds
 			results[i].good += r.good / costSeeds
