--- a/test/cli/cli_test.go
+++ b/test/cli/cli_test.go
@@ -1,5 +1,5 @@
-// Package cli_test runs the operators' tool against a daemon on stand-ins, as
-// scripts below testdata/script.
+// Package cli_test runs the scripts below testdata/script, which call the
+// operators' tool. Scripts with "daemon" in their name get a running daemon.
 package cli_test
 
 import (
@@ -43,7 +43,8 @@
 	})
 }
 
-// startDaemon gives a script a daemon whose platform is empty.
+// startDaemon starts a daemon for a script, with a platform stand-in that lists no
+// instances, and sets HORNBEAMSILL_DAEMON to its operators' URL.
 func startDaemon(env *testscript.Env, bin cluster.Binaries) error {
 	c, err := cluster.New(bin, env.WorkDir)
 	if err != nil {
@@ -58,8 +59,9 @@
 	return nil
 }
 
-// exitStatus runs "status N hornbeamsill ARGS...": the tool must end with exit
-// code N. Its output is written to the files stdout and stderr.
+// exitStatus implements the script command "status N COMMAND ARGS...", which fails
+// unless the command ends with exit code N. The script can then match the
+// command's output with stdout and stderr.
 func exitStatus(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 2 {
 		ts.Fatalf("usage: status N COMMAND ARGS...")
@@ -74,6 +76,7 @@
 	}
 }
 
+// exitCode returns the exit code as text.
 func exitCode(e *exec.ExitError) string {
 	return strings.TrimPrefix(e.Error(), "exit status ")
 }
--- a/test/cluster/client.go
+++ b/test/cluster/client.go
@@ -15,7 +15,8 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/fault"
 )
 
-// Ask is a chat request as a caller sends it.
+// ChatRequest is a request for a chat completion. Kind, IdempotencyKey, Session and
+// DeadlineMS are sent as headers, unless they are empty.
 type Ask struct {
 	APIKey  string
 	Model   string
@@ -24,28 +25,28 @@
 	Key     string
 	Session string
 	Stream  bool
-	// DeadlineMS is left out when 0.
+	// DeadlineMS is the deadline in milliseconds, as text.
 	DeadlineMS string
 }
 
-// Reply is what the caller got.
+// Reply is the answer that a caller received, which may be incomplete.
 type Reply struct {
 	Status int
 	Header http.Header
-	// Text is the answer as far as it came.
+	// Text is the text of the answer received so far.
 	Text string
-	// Events counts the content events of a stream, and Done tells whether it
-	// ended with [DONE].
+	// Events is the number of content events of a stream. Done is true if the
+	// stream ended with [DONE], and for a successful answer that is not streamed.
 	Events int
 	Done   bool
-	// Err is set for an error answer or event.
+	// Err is set if the answer is an error or the stream has an error event.
 	Err *fault.Error
 }
 
-// Whole reports whether the caller holds a whole answer.
+// Complete reports whether the caller received a complete answer without error.
 func (r Reply) Whole() bool { return r.Err == nil && r.Done }
 
-// RequestID returns the id that the daemon gave the request.
+// RequestID returns the request id that the daemon assigned.
 func (r Reply) RequestID() string { return r.Header.Get(caller.HeaderRequest) }
 
 // Body returns the JSON body of the request.
@@ -58,9 +59,8 @@
 	return data
 }
 
-// Send sends the request. The error is one of transport; whatever came before
-// it is in the reply.
-func (a Ask) Send(ctx context.Context, url string, each func(Reply)) (Reply, error) {
+// Send sends the request to a daemon and reads the answer as Do does.
+func (a Ask) Send(ctx context.Context, url string, onEvent func(Reply)) (Reply, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url+"/v1/chat/completions", bytes.NewReader(a.Body()))
 	if err != nil {
 		return Reply{}, trace.Wrap(err)
@@ -74,12 +74,14 @@
 			req.Header.Set(name, value)
 		}
 	}
-	return Receive(req, each)
+	return Do(req, onEvent)
 }
 
-// Receive sends any request and reads its answer, streamed or not. each, when
-// set, is called after every event.
-func Receive(req *http.Request, each func(Reply)) (Reply, error) {
+// Do sends any HTTP request and reads its answer, streamed or not. onEvent, if
+// not nil, is called after every event with the reply so far. Errors that the
+// daemon reports are in Reply.Err. The returned error is a transport error, or
+// an error answer in an unknown format; the reply has what was received before.
+func Do(req *http.Request, onEvent func(Reply)) (Reply, error) {
 	resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(req)
 	if err != nil {
 		return Reply{}, trace.Wrap(err)
@@ -87,7 +89,7 @@
 	defer resp.Body.Close()
 	reply := Reply{Status: resp.StatusCode, Header: resp.Header}
 	if !strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
-		return readBody(reply, resp.Body)
+		return readUnstreamed(reply, resp.Body)
 	}
 	scanner := bufio.NewScanner(resp.Body)
 	scanner.Buffer(nil, 1<<20)
@@ -100,15 +102,16 @@
 			reply.Done = true
 			continue
 		}
-		reply.event([]byte(data))
-		if each != nil {
-			each(reply)
+		reply.addEvent([]byte(data))
+		if onEvent != nil {
+			onEvent(reply)
 		}
 	}
 	return reply, trace.Wrap(scanner.Err())
 }
 
-func readBody(reply Reply, body io.Reader) (Reply, error) {
+// readUnstreamed reads an answer that is not streamed into reply.
+func readUnstreamed(reply Reply, body io.Reader) (Reply, error) {
 	data, err := io.ReadAll(body)
 	if err != nil {
 		return reply, trace.Wrap(err)
@@ -121,7 +124,7 @@
 		}
 		return reply, trace.Errorf("status %d: %s", reply.Status, data)
 	}
-	var whole struct {
+	var completion struct {
 		Choices []struct {
 			Message struct {
 				Content string `json:"content"`
@@ -129,15 +132,15 @@
 		} `json:"choices"`
 	}
 	reply.Text = string(data)
-	if json.Unmarshal(data, &whole) == nil && len(whole.Choices) > 0 {
-		reply.Text = whole.Choices[0].Message.Content
+	if json.Unmarshal(data, &completion) == nil && len(completion.Choices) > 0 {
+		reply.Text = completion.Choices[0].Message.Content
 	}
 	reply.Done = true
 	return reply, nil
 }
 
-// event takes one event of a stream in.
-func (r *Reply) event(data []byte) {
+// addEvent adds one event of a stream to the reply.
+func (r *Reply) addEvent(data []byte) {
 	var failed fault.Body
 	if json.Unmarshal(data, &failed) == nil && failed.Error.Kind != "" {
 		r.Err = fault.FromBody(failed)
--- a/test/cluster/cluster.go
+++ b/test/cluster/cluster.go
@@ -1,5 +1,5 @@
-// Package cluster runs real daemons and stand-ins as processes behind a
-// fault-injecting proxy, for the tests of failures.
+// Package cluster runs daemons and stand-ins for the platform and upstreams as
+// processes, and a fault-injecting proxy between them, for tests of failures.
 package cluster
 
 import (
@@ -24,41 +24,43 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/standin"
 )
 
-// Patience bounds every wait for a condition.
+// WaitTimeout bounds every wait for a condition.
 const Patience = 60 * time.Second
 
 // Daemon is a running hornbeamsilld.
 type Daemon struct {
 	*Process
 	Incarnation string
-	// CallerURL, OperatorURL and PeerAddress are where it listens itself.
+	// CallerURL, OperatorURL and PeerAddress are the daemon's own listeners,
+	// without a proxy.
 	CallerURL   string
 	OperatorURL string
 	PeerAddress string
 }
 
-// Cluster is a platform, upstreams and daemons.
+// Cluster is a platform stand-in with upstreams and daemons.
 type Cluster struct {
 	bin      Binaries
 	dir      string
-	Platform string // address
+	Platform string // address of the platform stand-in
 	Settings settings.Settings
 
-	procs   []*Process
+	procs []*Process
+	// mu guards Daemons while a test starts daemons under load.
 	mu      sync.Mutex
 	Daemons []*Daemon
 	proxies []*Proxy
 }
 
-// New starts a platform. dir takes settings files.
+// New starts a platform stand-in. The daemons' settings files are written to dir.
 func New(bin Binaries, dir string, platformArgs ...string) (*Cluster, error) {
 	c := &Cluster{bin: bin, dir: dir, Settings: FastSettings()}
-	address, _, err := c.Standin("platform", append([]string{"platform"}, platformArgs...)...)
+	address, _, err := c.StartStandin("platform", append([]string{"platform"}, platformArgs...)...)
 	c.Platform = address
 	return c, err
 }
 
-// FastSettings are settings with short times.
+// FastSettings returns settings with short intervals and timeouts.
 func FastSettings() settings.Settings {
 	s := settings.Defaults()
 	s.Site = "gothenburg"
@@ -81,7 +83,7 @@
 	return s
 }
 
-// Close ends everything.
+// Close kills all processes and stops all proxies.
 func (c *Cluster) Close() {
 	for _, p := range c.procs {
 		p.Kill()
@@ -91,8 +93,8 @@
 	}
 }
 
-// Standin starts a stand-in and returns its address.
-func (c *Cluster) Standin(name string, args ...string) (string, *Process, error) {
+// StartStandin starts a stand-in and returns its address and process.
+func (c *Cluster) StartStandin(name string, args ...string) (string, *Process, error) {
 	address := ""
 	p, err := start(name, c.bin.Path("hornbeamsill-standin"), args, func(line string) bool {
 		address = strings.TrimPrefix(line, "address=")
@@ -105,32 +107,33 @@
 	return address, p, nil
 }
 
-// Upstream is a running engine or service.
+// Upstream is a running stand-in for an engine or a service.
 type Upstream struct {
 	*Process
 	ID string
-	// Address is where it listens itself.
+	// Address is the upstream's own address, without a proxy.
 	Address string
 }
 
-// Engine starts an engine and lists it at the platform. via, when set, is the
-// address given to the platform, such as a proxy's.
+// StartEngine starts an engine and adds it to the platform's list of instances.
+// via, if not nil, returns the address to list, such as that of a proxy.
 func (c *Cluster) Engine(o standin.EngineOptions, domain string, via func(address string) string) (*Upstream, error) {
 	o.Platform = c.Platform
 	data, err := json.Marshal(o)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	return c.upstream(backing.Instance{ID: o.Instance, Role: backing.RoleEngine, FailureDomain: domain}, via, "engine", "--options", string(data))
+	return c.startUpstream(backing.Instance{ID: o.Instance, Role: backing.RoleEngine, FailureDomain: domain}, via, "engine", "--options", string(data))
 }
 
-// Service starts a plain service and lists it.
-func (c *Cluster) Service(id, name, domain string, via func(string) string) (*Upstream, error) {
-	return c.upstream(backing.Instance{ID: id, Role: backing.RoleService, Service: name, FailureDomain: domain}, via, "service", "--name", name)
+// StartService starts a plain service and adds it to the platform's list. via is as
+// for StartEngine.
+func (c *Cluster) StartService(id, name, domain string, via func(string) string) (*Upstream, error) {
+	return c.startUpstream(backing.Instance{ID: id, Role: backing.RoleService, Service: name, FailureDomain: domain}, via, "service", "--name", name)
 }
 
-func (c *Cluster) upstream(i backing.Instance, via func(string) string, args ...string) (*Upstream, error) {
-	address, p, err := c.Standin(i.ID, args...)
+func (c *Cluster) startUpstream(i backing.Instance, via func(string) string, args ...string) (*Upstream, error) {
+	address, p, err := c.StartStandin(i.ID, args...)
 	if err != nil {
 		return nil, err
 	}
@@ -138,16 +141,16 @@
 	if via != nil {
 		i.Address = via(address)
 	}
-	return &Upstream{Process: p, ID: i.ID, Address: address}, c.List(i)
+	return &Upstream{Process: p, ID: i.ID, Address: address}, c.AddInstance(i)
 }
 
-// List puts an instance on the platform's list.
-func (c *Cluster) List(i backing.Instance) error {
+// AddInstance adds an instance to the platform's list, or replaces its entry.
+func (c *Cluster) AddInstance(i backing.Instance) error {
 	return Post("http://"+c.Platform+"/standin/instances", i, nil)
 }
 
-// StartDaemon starts a daemon in a failure domain. change may alter its
-// settings.
+// StartDaemon starts a daemon in a failure domain, with all daemons started
+// earlier as its peers. change, if not nil, may alter the settings.
 func (c *Cluster) StartDaemon(domain string, change func(*settings.Settings)) (*Daemon, error) {
 	s := c.Settings
 	s.FailureDomain = domain
@@ -171,10 +174,10 @@
 		if !strings.Contains(line, "msg=daemon.started") {
 			return false
 		}
-		d.Incarnation = field(line, "incarnation")
-		d.CallerURL = "http://" + field(line, "caller")
-		d.OperatorURL = "http://" + field(line, "operator")
-		d.PeerAddress = field(line, "peer")
+		d.Incarnation = logField(line, "incarnation")
+		d.CallerURL = "http://" + logField(line, "caller")
+		d.OperatorURL = "http://" + logField(line, "operator")
+		d.PeerAddress = logField(line, "peer")
 		return true
 	})
 	if err != nil {
@@ -188,8 +191,8 @@
 	return d, nil
 }
 
-// FreeAddress returns a loopback address that was free a moment ago, for a
-// listener that has to be known before it listens.
+// FreeAddress returns a loopback address that is free at the time of the call,
+// for a listener whose address must be known before it listens.
 func FreeAddress() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -199,31 +202,33 @@
 	return l.Addr().String(), nil
 }
 
-// Started returns the daemons started so far. Load that runs while daemons are
-// started uses it in place of Daemons.
+// StartedDaemons returns a copy of Daemons. Code that runs while daemons are
+// started must use it instead of Daemons.
 func (c *Cluster) Started() []*Daemon {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.Daemons)
 }
 
-// Status asks a daemon for its status.
+// Status gets the daemon's status from its operators' API.
 func (d *Daemon) Status() (operator.Status, error) {
 	var s operator.Status
 	err := Get(d.OperatorURL+"/v1/status", &s)
 	return s, err
 }
 
-// SettleOption changes what Settle waits for.
-type SettleOption int
+// WaitOption changes what WaitReady waits for.
+type WaitOption int
 
-// IgnoreOthers lets daemons see further ones beside those named.
-const IgnoreOthers SettleOption = 1
+// AllowOtherDaemons allows the daemons to see more live daemons than those given to
+// WaitReady.
+const AllowOtherDaemons WaitOption = 1
 
-// Settle waits until all daemons are ready, offer each other to callers, and see
-// the upstreams with their versions.
-func (c *Cluster) Settle(daemons []*Daemon, upstreams int, options ...SettleOption) error {
-	others := len(options) > 0 && options[0] == IgnoreOthers
+// WaitReady waits until each of the daemons is ready, sees as many live
+// daemons with a URL for callers as there are in daemons, and knows at least the
+// given number of upstreams. Engines count once their versions are known.
+func (c *Cluster) Settle(daemons []*Daemon, upstreams int, options ...WaitOption) error {
+	allowOthers := len(options) > 0 && options[0] == AllowOtherDaemons
 	return Eventually(func() error {
 		for _, d := range daemons {
 			s, err := d.Status()
@@ -242,7 +247,7 @@
 					ready++
 				}
 			}
-			enough := alive == len(daemons) || (others && alive > len(daemons))
+			enough := alive == len(daemons) || (allowOthers && alive > len(daemons))
 			if !s.Ready || !enough || ready < upstreams {
 				return trace.Errorf("%s: ready=%v alive=%d/%d upstreams=%d/%d", d.Incarnation, s.Ready, alive, len(daemons), ready, upstreams)
 			}
@@ -251,7 +256,8 @@
 	})
 }
 
-// Eventually repeats f until it returns nil, at most for Patience.
+// Eventually calls f every 10 ms until it returns nil. After WaitTimeout it
+// returns the last error.
 func Eventually(f func() error) error {
 	deadline := time.Now().Add(Patience)
 	ticker := time.NewTicker(10 * time.Millisecond)
@@ -262,7 +268,7 @@
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return trace.Wrap(err, "not within %v", Patience)
+			return trace.Wrap(err, "condition not met within %v", Patience)
 		}
 		<-ticker.C
 	}
@@ -270,10 +276,10 @@
 
 var httpClient = &http.Client{Timeout: Patience}
 
-// Get fetches JSON.
+// Get fetches JSON and decodes it into out.
 func Get(url string, out any) error { return roundTrip(http.MethodGet, url, nil, out) }
 
-// Post sends JSON. out may be nil.
+// Post sends in as JSON and decodes the answer into out, unless out is nil.
 func Post(url string, in, out any) error { return roundTrip(http.MethodPost, url, in, out) }
 
 func roundTrip(method, url string, in, out any) error {
--- a/test/cluster/process.go
+++ b/test/cluster/process.go
@@ -18,10 +18,10 @@
 	"github.com/gravitational/trace"
 )
 
-// Binaries are the built programs.
+// Binaries is a directory with the built programs.
 type Binaries struct{ dir string }
 
-// Build builds the daemon and the stand-in into dir.
+// Build builds the daemon, the stand-in and the operators' tool into dir.
 func Build(dir string) (Binaries, error) {
 	_, file, _, _ := runtime.Caller(0)
 	root := filepath.Join(filepath.Dir(file), "..", "..")
@@ -33,8 +33,8 @@
 	return Binaries{dir: dir}, nil
 }
 
-// RunTests builds the programs for the tests of a package, runs the tests and
-// returns the exit code.
+// RunTests builds the programs into a temporary directory, runs the tests of a
+// package and returns the exit code.
 func RunTests(m *testing.M, binaries *Binaries) int {
 	dir, err := os.MkdirTemp("", "hornbeamsill")
 	if err == nil {
@@ -62,8 +62,8 @@
 	log bytes.Buffer
 }
 
-// start runs a program and calls onLine with each line that it prints until
-// onLine returns true.
+// start runs a program and returns once it is ready, which is when onLine returns
+// true. onLine is called with each line that the program prints until then.
 func start(name, path string, args []string, onLine func(string) bool) (*Process, error) {
 	p := &Process{Name: name, cmd: exec.Command(path, args...), done: make(chan struct{})}
 	out, err := p.cmd.StdoutPipe()
@@ -75,20 +75,21 @@
 		return nil, trace.Wrap(err)
 	}
 	ready := make(chan struct{})
-	go p.scan(out, ready, onLine)
+	go p.readOutput(out, ready, onLine)
 	select {
 	case <-ready:
 		return p, nil
 	case <-p.done:
-		return nil, trace.Errorf("%s ended at start: %v\n%s", name, p.err, p.Log())
+		return nil, trace.Errorf("%s exited before it was ready: %v\n%s", name, p.err, p.Log())
 	case <-time.After(Patience):
 		p.Kill()
-		return nil, trace.Errorf("%s did not get ready\n%s", name, p.Log())
+		return nil, trace.Errorf("%s was not ready in time\n%s", name, p.Log())
 	}
 }
 
-// StartRoutes starts a daemon for plain HTTP callers and waits until it listens.
-// The line that it starts with is returned for Field.
+// StartRoutesDaemon starts a daemon for plain HTTP callers and waits until it
+// listens. started is its "daemon.started" log line, in which LogField finds the
+// addresses.
 func (b Binaries) StartRoutes(name, settings string) (p *Process, started string, err error) {
 	p, err = start(name, b.Path("hornbeamsilld"), []string{"--config-file", settings}, func(line string) bool {
 		if strings.Contains(line, "msg=daemon.started") {
@@ -99,19 +100,21 @@
 	return p, started, err
 }
 
-// Field returns the value of key=value in a log line.
-func Field(line, key string) string { return field(line, key) }
+// LogField returns the value of key=value in a log line, or "".
+func Field(line, key string) string { return logField(line, key) }
 
-func (p *Process) scan(out io.Reader, ready chan struct{}, onLine func(string) bool) {
+// readOutput collects what the program prints, closes ready when onLine returns
+// true, and waits for the exit.
+func (p *Process) readOutput(out io.Reader, ready chan struct{}, onLine func(string) bool) {
 	scanner := bufio.NewScanner(out)
 	scanner.Buffer(nil, 1<<20)
-	waiting := true
+	starting := true
 	for scanner.Scan() {
 		p.mu.Lock()
 		p.log.WriteString(scanner.Text() + "\n")
 		p.mu.Unlock()
-		if waiting && onLine(scanner.Text()) {
-			waiting = false
+		if starting && onLine(scanner.Text()) {
+			starting = false
 			close(ready)
 		}
 	}
@@ -119,32 +122,35 @@
 	close(p.done)
 }
 
-// Log returns what the program printed.
+// Log returns what the program has printed so far.
 func (p *Process) Log() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.log.String()
 }
 
-// Signal sends a signal.
+// Signal sends a signal to the program.
 func (p *Process) Signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// Kill ends the program with SIGKILL and waits for its end.
+// Kill ends the program with SIGKILL, also while it is paused, and waits for its
+// exit.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGCONT)
 	p.Signal(syscall.SIGKILL)
 	<-p.done
 }
 
-// Freeze stops the program with SIGSTOP and waits until it has stopped: the
-// signal alone leaves it time to answer one more call. Wake lets it go on.
+// Pause stops the program with SIGSTOP until Resume. It waits until the kernel
+// reports the program as stopped, because a program can still answer a call
+// shortly after the signal was sent. It returns a NotFound error if the program
+// has exited.
 func (p *Process) Freeze() error {
 	p.Signal(syscall.SIGSTOP)
 	ended := false
 	err := Eventually(func() error {
 		select {
 		case <-p.done:
-			// A program that has ended never shows as stopped.
+			// An exited program is never reported as stopped.
 			ended = true
 			return nil
 		default:
@@ -155,20 +161,21 @@
 		}
 		const stopped = ") T "
 		if !strings.Contains(string(data), stopped) {
-			return trace.Errorf("%s has not stopped", p.Name)
+			return trace.Errorf("%s is not stopped yet", p.Name)
 		}
 		return nil
 	})
 	if ended {
-		return trace.NotFound("%s has ended", p.Name)
+		return trace.NotFound("%s has exited", p.Name)
 	}
 	return err
 }
 
-// Wake undoes Freeze.
+// Resume lets a program continue after Pause.
 func (p *Process) Wake() { p.Signal(syscall.SIGCONT) }
 
-// Wait waits for the end and returns the exit code, or -1 after Patience.
+// Wait waits for the program's exit and returns the exit code, or -1 after
+// WaitTimeout.
 func (p *Process) Wait() int {
 	select {
 	case <-p.done:
@@ -178,8 +185,8 @@
 	}
 }
 
-// field returns the value of key=value in a log line.
-func field(line, key string) string {
+// logField returns the value of key=value in a log line, or "".
+func logField(line, key string) string {
 	_, rest, found := strings.Cut(line, " "+key+"=")
 	if !found {
 		return ""
--- a/test/cluster/proxy.go
+++ b/test/cluster/proxy.go
@@ -16,7 +16,7 @@
 	proxy *toxiproxy.Proxy
 }
 
-// Proxy puts a proxy in front of an address.
+// StartProxy starts a proxy in front of an address. Cluster.Close stops it.
 func (c *Cluster) Proxy(target string) (*Proxy, error) {
 	p, err := NewProxy(target)
 	if err != nil {
@@ -26,7 +26,7 @@
 	return p, nil
 }
 
-// NewProxy puts a proxy that the caller closes in front of an address.
+// NewProxy starts a proxy in front of an address. The caller must close it.
 func NewProxy(target string) (*Proxy, error) {
 	p := toxiproxy.NewProxy()
 	p.Listen, p.Upstream = "127.0.0.1:0", target
@@ -36,10 +36,10 @@
 	return &Proxy{proxy: p}, nil
 }
 
-// Address returns where the proxy listens.
+// Address returns the address on which the proxy listens.
 func (p *Proxy) Address() string { return p.proxy.Listen }
 
-// Close ends the proxy.
+// Close stops the proxy.
 func (p *Proxy) Close() { p.proxy.Stop() }
 
 // Cut closes all connections and refuses new ones until Restore.
@@ -51,24 +51,26 @@
 	return trace.Wrap(p.proxy.Start())
 }
 
-// Hold swallows the data of one direction, "upstream" or "downstream", as a
-// one-way cut does.
+// Blackhole discards the data of one direction and keeps the connections open, as
+// a one-way network failure does. The direction is "upstream", towards the target,
+// or "downstream".
 func (p *Proxy) Hold(direction string) error {
-	return p.toxic(`{"name":"hold-` + direction + `","type":"timeout","stream":"` + direction + `","attributes":{"timeout":0}}`)
+	return p.addToxic(`{"name":"hold-` + direction + `","type":"timeout","stream":"` + direction + `","attributes":{"timeout":0}}`)
 }
 
-// Slow adds latency to both directions, in milliseconds.
+// AddLatency adds a latency of ms milliseconds to each direction.
 func (p *Proxy) Slow(ms string) error {
-	if err := p.toxic(`{"name":"slow-up","type":"latency","stream":"upstream","attributes":{"latency":` + ms + `}}`); err != nil {
+	if err := p.addToxic(`{"name":"slow-up","type":"latency","stream":"upstream","attributes":{"latency":` + ms + `}}`); err != nil {
 		return err
 	}
-	return p.toxic(`{"name":"slow-down","type":"latency","stream":"downstream","attributes":{"latency":` + ms + `}}`)
+	return p.addToxic(`{"name":"slow-down","type":"latency","stream":"downstream","attributes":{"latency":` + ms + `}}`)
 }
 
-// Heal removes all faults but Cut.
+// RemoveToxics removes all faults except Cut.
 func (p *Proxy) Heal() { p.proxy.Toxics.ResetToxics() }
 
-func (p *Proxy) toxic(text string) error {
+// addToxic adds a fault described in toxiproxy's JSON format.
+func (p *Proxy) addToxic(text string) error {
 	_, err := p.proxy.Toxics.AddToxicJson(strings.NewReader(text))
 	return trace.Wrap(err)
 }
--- a/test/process/answers_test.go
+++ b/test/process/answers_test.go
@@ -10,39 +10,40 @@
 	"github.com/hornbeamsill/hornbeamsill/test/cluster"
 )
 
-// The path from the engine delivers events swapped, twice, and mixed with
-// those of another attempt. The caller must see its own answer, in order.
-func TestEventsOutOfOrder(t *testing.T) {
+// The engine's events arrive out of order, twice, or mixed with events of another
+// attempt. Guards against an answer with reordered, repeated or foreign parts.
+func TestEngineEventsReorderedDuplicatedOrForeign(t *testing.T) {
 	s := newSite(t, 2, nil)
 	for _, f := range []standin.EngineFaults{
 		{Reorder: true}, {Duplicate: true}, {Foreign: true}, {Reorder: true, Duplicate: true, Foreign: true},
 	} {
-		s.engineFault(f)
-		a := summary("order")
+		s.setEngineFaults(f)
+		a := summaryRequest("order")
 		requireAnswered(t, s.Daemons[0], a)
 		a.Stream = true
 		requireAnswered(t, s.Daemons[1], a)
 	}
-	s.requireBilled(s.Daemons[0])
+	s.requireFinishedBilled(s.Daemons[0])
 }
 
-// The connection to the engine breaks after every few events. The daemon takes
-// the stream up again where it broke; the caller notices nothing, and the work
-// is not started again.
-func TestEngineStreamCutAgainAndAgain(t *testing.T) {
+// The connection to the engine breaks after every few events. Guards against gaps
+// in the answer, and against starting the work again: the daemon must resume the
+// stream at the event after the last one received.
+func TestEngineStreamCutRepeatedly(t *testing.T) {
 	s := newSite(t, 2, nil)
-	s.engineFault(standin.EngineFaults{CutAfter: 5, Cuts: 12})
-	a := clearance("cut", keyOf(t, s.Daemons[0], "cut"))
+	s.setEngineFaults(standin.EngineFaults{CutAfter: 5, Cuts: 12})
+	a := clearanceRequest("cut", keyWithHome(t, s.Daemons[0], "cut"))
 	a.Stream = true
 	requireAnswered(t, s.Daemons[0], a)
-	require.Equal(t, 1, s.runs("cut"))
+	require.Equal(t, 1, s.promptStarts("cut"))
 }
 
-// An engine dies in the middle of a streamed answer. The caller gets an error
-// event; the part it has never ends like a whole answer.
-func TestACutNeverLooksLikeAnEnd(t *testing.T) {
-	s := newSite(t, 2, slow)
-	reply, err := streamUntil(t, s.Daemons[0], summary("engine dies"), 4, func(cluster.Reply) {
+// The engines die in the middle of a streamed answer. Guards against a truncated
+// answer that looks complete: the stream must end with an error event and without
+// [DONE].
+func TestCutStreamEndsWithError(t *testing.T) {
+	s := newSite(t, 2, slowTokens)
+	reply, err := streamAndAct(t, s.Daemons[0], summaryRequest("engine dies"), 4, func(cluster.Reply) {
 		for _, e := range s.engines {
 			e.Kill()
 		}
@@ -54,12 +55,13 @@
 	require.NotEqual(t, fault.RanNo, reply.Err.Ran)
 }
 
-// A caller that does not stream loses an engine in the middle: idempotent work
-// is started afresh at the other engine, and the caller gets one whole answer.
-func TestIdempotentWorkMovesToAnotherEngine(t *testing.T) {
-	s := newSite(t, 2, slow)
+// An engine dies while it works on an idempotent request of a caller that does not
+// stream. Guards against an avoidable error: the daemon must start the request
+// again at the other engine and return one complete answer.
+func TestIdempotentRequestRetriedAtAnotherEngine(t *testing.T) {
+	s := newSite(t, 2, slowTokens)
 	done := make(chan cluster.Reply, 1)
-	go func() { done <- send(t, s.Daemons[0], summary("moves")) }()
+	go func() { done <- send(t, s.Daemons[0], summaryRequest("moves")) }()
 	require.NoError(t, cluster.Eventually(func() error {
 		for _, e := range s.engines {
 			var c standin.EngineCounts
@@ -75,16 +77,17 @@
 	}))
 	reply := <-done
 	require.Nil(t, reply.Err)
-	requireWhole(t, reply.Text)
+	requireComplete(t, reply.Text)
 }
 
-// Callers of all daemons run many answers at once through the same engines.
-// Each gets the answer to its own request.
+// Callers of all daemons send many requests at once, while engine connections
+// break and carry reordered and foreign events. Guards against answers that are
+// mixed up between requests.
 func TestEachCallerGetsItsOwnAnswer(t *testing.T) {
 	s := newSite(t, 3, nil)
-	s.engineFault(standin.EngineFaults{Reorder: true, Foreign: true, CutAfter: 7, Cuts: 40})
+	s.setEngineFaults(standin.EngineFaults{Reorder: true, Foreign: true, CutAfter: 7, Cuts: 40})
 	for _, d := range s.Daemons {
-		askMany(t, d, 20, "own")
+		requireAllAnswered(t, d, 20, "own")
 	}
-	s.requireBilled(s.Daemons[0])
+	s.requireFinishedBilled(s.Daemons[0])
 }
--- a/test/process/billing_test.go
+++ b/test/process/billing_test.go
@@ -15,18 +15,20 @@
 	"github.com/hornbeamsill/hornbeamsill/test/cluster"
 )
 
-func summary(prompt string) cluster.Ask {
-	return cluster.Ask{APIKey: keyVisrad, Model: "clauses", Prompt: prompt, Kind: "default"}
+// summaryRequest returns a request that may run more than once.
+func summaryRequest(prompt string) cluster.Ask {
+	return cluster.Ask{APIKey: visradAPIKey, Model: "clauses", Prompt: prompt, Kind: "default"}
 }
 
-// ask sends n requests at once to a daemon and wants n whole answers.
-func askMany(t *testing.T, d *cluster.Daemon, n int, name string) {
+// requireAllAnswered sends n requests at once to a daemon and requires a complete
+// answer to each.
+func requireAllAnswered(t *testing.T, d *cluster.Daemon, n int, name string) {
 	t.Helper()
 	var all sync.WaitGroup
 	errs := make(chan error, n)
 	for i := range n {
 		all.Go(func() {
-			reply, err := summary(fmt.Sprintf("%s %d", name, i)).Send(context.Background(), d.CallerURL, nil)
+			reply, err := summaryRequest(fmt.Sprintf("%s %d", name, i)).Send(context.Background(), d.CallerURL, nil)
 			if err == nil && !reply.Whole() {
 				err = reply.Err
 			}
@@ -42,7 +44,7 @@
 	}
 }
 
-// requireBill waits for the bill of a request in a state.
+// requireBill waits until the bill of a request is in a state, and returns it.
 func (s *site) requireBill(d *cluster.Daemon, id string, state ledger.State) ledger.Entry {
 	s.t.Helper()
 	var bill ledger.Entry
@@ -56,71 +58,74 @@
 	return bill
 }
 
-// A daemon is killed while an engine works for it. The engine finishes; the
-// songwriter must be paid although nobody who dispatched the work is left.
+// A daemon is killed while an engine works on its request, and the engine finishes.
+// Guards against work that is never billed because the daemon that dispatched it no
+// longer exists: another daemon must bill what the engine counted.
 func TestDaemonKilledBeforeTheBillIsClosed(t *testing.T) {
-	s := newSite(t, 3, slow)
-	reply, _ := streamUntil(t, s.Daemons[0], summary("bill 1"), 3, func(cluster.Reply) { s.Daemons[0].Kill() })
+	s := newSite(t, 3, slowTokens)
+	reply, _ := streamAndAct(t, s.Daemons[0], summaryRequest("bill 1"), 3, func(cluster.Reply) { s.Daemons[0].Kill() })
 	require.False(t, reply.Done)
 	bill := s.requireBill(s.Daemons[1], reply.RequestID(), ledger.Answered)
-	require.Equal(t, int64(24*9+2*3), bill.Amount, "the engine's own count")
-	s.requireBilled(s.Daemons[2])
+	require.Equal(t, int64(24*9+2*3), bill.Amount, "must be the amount by the engine's own count")
+	s.requireFinishedBilled(s.Daemons[2])
 }
 
-// A daemon gives a whole answer and is killed before its next commit. The
-// peers that hold the closed bill write it.
+// A daemon completes answers and is killed before its next commit to the ledger.
+// Guards against lost bills: the peers that have replicas of the closed bills must
+// write them.
 func TestDaemonKilledBeforeTheCommit(t *testing.T) {
 	s := newSite(t, 2, nil)
 	d, err := s.StartDaemon("gbg-c", func(set *settings.Settings) { set.Timing.CommitMS = int64(time.Hour / time.Millisecond) })
 	require.NoError(t, err)
 	require.NoError(t, s.Settle(s.Daemons, 2))
-	askMany(t, d, 20, "commit")
+	requireAllAnswered(t, d, 20, "commit")
 	require.Empty(t, s.bills(s.Daemons[0]))
 	d.Kill()
-	s.requireBilled(s.Daemons[0])
+	s.requireFinishedBilled(s.Daemons[0])
 }
 
-// The platform takes a commit and its answer is lost, again and again. A
-// repeated commit must not bill twice.
-func TestLostAnswersToCommits(t *testing.T) {
+// The store executes commits and the answers to them are lost. Guards against
+// billing a request twice when the daemon repeats the commit.
+func TestCommitAnswersLost(t *testing.T) {
 	s := newSite(t, 3, nil)
-	s.platformFault(standin.FaultLoseAnswer)
+	s.setPlatformFault(standin.FaultLoseAnswer)
 	for i, d := range s.Daemons {
-		askMany(t, d, 10, fmt.Sprintf("lost %d", i))
+		requireAllAnswered(t, d, 10, fmt.Sprintf("lost %d", i))
 	}
-	s.platformFault(standin.FaultNone)
-	s.requireBilled(s.Daemons[0])
+	s.setPlatformFault(standin.FaultNone)
+	s.requireFinishedBilled(s.Daemons[0])
 	require.Len(t, s.bills(s.Daemons[1]), 30)
 }
 
-// The store is out while requests go on, and one of the daemons dies before
-// the store is back. Nothing that ran may be missing from the ledger.
-func TestStoreOutAndADaemonDies(t *testing.T) {
+// Requests run while the store is unavailable, and a daemon dies before the store
+// is available again. Guards against requests that ran and are missing from the
+// ledger.
+func TestDaemonKilledDuringStoreOutage(t *testing.T) {
 	s := newSite(t, 3, nil)
-	s.platformFault(standin.FaultRefuse)
+	s.setPlatformFault(standin.FaultRefuse)
 	for i, d := range s.Daemons {
-		askMany(t, d, 10, fmt.Sprintf("outage %d", i))
+		requireAllAnswered(t, d, 10, fmt.Sprintf("outage %d", i))
 	}
 	s.Daemons[0].Kill()
-	s.platformFault(standin.FaultNone)
-	s.requireBilled(s.Daemons[1])
+	s.setPlatformFault(standin.FaultNone)
+	s.requireFinishedBilled(s.Daemons[1])
 	require.Len(t, s.bills(s.Daemons[2]), 30)
 }
 
-// A daemon is paused with open requests until the others take it for dead and
-// close its bills. Then it wakes up and goes on. Each request is billed once,
-// with what the engine counted.
-func TestPausedDaemonWakesAfterItsBillsWereClosed(t *testing.T) {
-	s := newSite(t, 3, slow)
+// A daemon is paused with open requests until its peers regard it as dead and close
+// its bills. Then it resumes and completes the requests. Guards against billing
+// these requests twice.
+func TestDaemonPausedUntilPeersClosedItsBills(t *testing.T) {
+	s := newSite(t, 3, slowTokens)
 	var paused sync.WaitGroup
 	replies := make([]cluster.Reply, 6)
 	started := make(chan struct{}, len(replies))
 	for i := range replies {
 		paused.Go(func() {
 			var once sync.Once
-			note := func() { once.Do(func() { started <- struct{}{} }) }
-			defer note()
-			replies[i], _ = streamUntil(t, s.Daemons[0], summary(fmt.Sprintf("pause %d", i)), 2, func(cluster.Reply) { note() })
+			signalStarted := func() { once.Do(func() { started <- struct{}{} }) }
+			defer signalStarted()
+			replies[i], _ = streamAndAct(t, s.Daemons[0], summaryRequest(fmt.Sprintf("pause %d", i)), 2, func(cluster.Reply) { signalStarted() })
 		})
 	}
 	for range replies {
@@ -136,42 +141,45 @@
 	s.Daemons[0].Wake()
 	paused.Wait()
 	for _, r := range replies {
-		require.True(t, r.Whole(), "the callers were only kept waiting: %v", r.Err)
+		require.True(t, r.Whole(), "the pause must only delay the answer: %v", r.Err)
 	}
-	askMany(t, s.Daemons[0], 4, "after")
-	s.requireBilled(s.Daemons[2])
+	requireAllAnswered(t, s.Daemons[0], 4, "after")
+	s.requireFinishedBilled(s.Daemons[2])
 	require.Len(t, s.bills(s.Daemons[1]), len(replies)+4)
 }
 
-// A caller's daemon dies in the middle of a stream; the caller continues at
-// another daemon with the resume token. It holds the whole answer, and the
-// request is billed once.
-func TestStreamContinuedElsewhereIsBilledOnce(t *testing.T) {
-	s := newSite(t, 3, slow)
-	first, _ := streamUntil(t, s.Daemons[0], summary("resume"), 5, func(cluster.Reply) { s.Daemons[0].Kill() })
+// A daemon dies in the middle of a stream, and the caller resumes the stream at
+// another daemon with the resume token. Guards against gaps or repeated parts in
+// the answer, and against billing the request twice.
+func TestResumedStreamBilledOnce(t *testing.T) {
+	s := newSite(t, 3, slowTokens)
+	first, _ := streamAndAct(t, s.Daemons[0], summaryRequest("resume"), 5, func(cluster.Reply) { s.Daemons[0].Kill() })
 	rest, err := resume(t, s.Daemons[1], first)
 	require.NoError(t, err)
 	require.True(t, rest.Whole())
-	requireWhole(t, first.Text+rest.Text)
+	requireComplete(t, first.Text+rest.Text)
 	s.requireBill(s.Daemons[2], first.RequestID(), ledger.Answered)
-	s.requireBilled(s.Daemons[1])
+	s.requireFinishedBilled(s.Daemons[1])
 }
 
-// The only daemon of a site dies in the middle of an answer, with no peer to
-// hold its bills. The next daemon that starts finds the open bill in the table.
-func TestLastDaemonDies(t *testing.T) {
-	s := newSite(t, 1, slow)
-	reply, _ := streamUntil(t, s.Daemons[0], summary("alone"), 2, func(cluster.Reply) { s.Daemons[0].Kill() })
+// The only daemon of a site dies in the middle of an answer, with no peer that has
+// replicas of its bills. Guards against a lost bill: the next daemon that starts
+// must find the open bill in the store and close it.
+func TestOnlyDaemonKilled(t *testing.T) {
+	s := newSite(t, 1, slowTokens)
+	reply, _ := streamAndAct(t, s.Daemons[0], summaryRequest("alone"), 2, func(cluster.Reply) { s.Daemons[0].Kill() })
 	d, err := s.StartDaemon("gbg-b", nil)
 	require.NoError(t, err)
 	s.requireBill(d, reply.RequestID(), ledger.Answered)
-	s.requireBilled(d)
+	s.requireFinishedBilled(d)
 }
 
-// Two of three daemons die together, one of them holding the other's bills.
-func TestOwnerAndOneHolderDie(t *testing.T) {
-	s := newSite(t, 4, slow)
-	reply, _ := streamUntil(t, s.Daemons[0], summary("two die"), 2, func(cluster.Reply) {
+// Two of four daemons die together: the one that dispatched the request, and one
+// that has replicas of bills. Guards against a lost bill when a replica is lost
+// together with the original.
+func TestBillOwnerAndReplicaKilled(t *testing.T) {
+	s := newSite(t, 4, slowTokens)
+	reply, _ := streamAndAct(t, s.Daemons[0], summaryRequest("two die"), 2, func(cluster.Reply) {
 		for _, d := range s.Daemons[1:] {
 			status, err := d.Status()
 			if err == nil && status.BillsHeld > 0 {
--- a/test/process/config_test.go
+++ b/test/process/config_test.go
@@ -18,6 +18,7 @@
 	"github.com/hornbeamsill/hornbeamsill/test/cluster"
 )
 
+// withdraw withdraws a version and returns the generation of that change.
 func (s *site) withdraw(d *cluster.Daemon, model, version string) int64 {
 	s.t.Helper()
 	var out operator.RolloutAnswer
@@ -25,8 +26,9 @@
 	return out.Generation
 }
 
-// inForce waits until a generation is in force at daemons.
-func (s *site) inForce(generation int64, daemons ...*cluster.Daemon) {
+// waitGeneration waits until the daemons use a generation of the configuration or a
+// later one.
+func (s *site) waitGeneration(generation int64, daemons ...*cluster.Daemon) {
 	s.t.Helper()
 	for _, d := range daemons {
 		require.NoError(s.t, cluster.Eventually(func() error {
@@ -39,8 +41,9 @@
 	}
 }
 
-// versionRuns counts the attempts that engines started on a version.
-func (s *site) versionRuns(ref string) int {
+// versionStarts returns how many attempts the engines started on a version, which
+// is given as "model@version".
+func (s *site) versionStarts(ref string) int {
 	s.t.Helper()
 	n := 0
 	for _, c := range s.engineCounts() {
@@ -49,11 +52,12 @@
 	return n
 }
 
-// Two operators edit the same overlay at different daemons at the same moment.
-// One wins; the other is shown what changed, and nothing of either is mixed.
-func TestTwoOperatorsOneOverlay(t *testing.T) {
+// Two operators change the same revision of an overlay at different daemons at the
+// same time. Guards against a lost update: one change must be accepted, the other
+// be rejected as a conflict that shows the difference.
+func TestConcurrentOverlayEdits(t *testing.T) {
 	s := newSite(t, 2, nil)
-	overlay := example(t, "overlay-gothenburg.jsonc")
+	overlay := readExample(t, "overlay-gothenburg.jsonc")
 	errs := make([]error, 2)
 	var both sync.WaitGroup
 	for i := range errs {
@@ -65,32 +69,32 @@
 		})
 	}
 	both.Wait()
-	lost := 0
+	rejected := 0
 	if errs[1] != nil {
-		lost = 1
+		rejected = 1
 	}
-	require.NoError(t, errs[1-lost])
-	require.ErrorContains(t, errs[lost], string(fault.ConfigConflict))
-	require.ErrorContains(t, errs[lost], fmt.Sprintf("0.9%d", 1-lost+6), "the difference is shown")
+	require.NoError(t, errs[1-rejected])
+	require.ErrorContains(t, errs[rejected], string(fault.ConfigConflict))
+	require.ErrorContains(t, errs[rejected], fmt.Sprintf("0.9%d", 1-rejected+6), "the error must show the difference")
 }
 
-// A change is taken by the store and its answer is lost. The operator asks
-// again with the same change id and learns what became of it; it is accepted
-// once.
-func TestLostAnswerToAChange(t *testing.T) {
+// The store executes a configuration change and the answer to the write is lost.
+// Guards against applying the change twice: repeated requests with the same change
+// id must return the one accepted change.
+func TestConfigApplyAnswerLost(t *testing.T) {
 	s := newSite(t, 2, nil)
-	request := config.ApplyRequest{Site: "gothenburg", FromRevision: 1, ChangeID: "lost", Text: example(t, "overlay-gothenburg.jsonc")}
+	request := config.ApplyRequest{Site: "gothenburg", FromRevision: 1, ChangeID: "lost", Text: readExample(t, "overlay-gothenburg.jsonc")}
 	require.NoError(t, cluster.Eventually(func() error {
-		// Another write may be the first to lose its answer; then the change
-		// is refused before it is sent, and is tried again.
-		s.platformFault(standin.FaultLoseAnswer)
+		// The first write whose answer is lost may be a different one. Then the
+		// change is rejected before it is sent, and the loop tries it again.
+		s.setPlatformFault(standin.FaultLoseAnswer)
 		err := cluster.Post(s.Daemons[0].OperatorURL+"/v1/config/apply", request, nil)
 		if err == nil || !strings.Contains(err.Error(), string(fault.ConfigUnknown)) {
 			return fmt.Errorf("no lost answer yet: %w", err)
 		}
 		return nil
 	}))
-	s.platformFault(standin.FaultNone)
+	s.setPlatformFault(standin.FaultNone)
 	var first, second operator.Applied
 	require.NoError(t, cluster.Post(s.Daemons[0].OperatorURL+"/v1/config/apply", request, &first))
 	require.NoError(t, cluster.Post(s.Daemons[1].OperatorURL+"/v1/config/apply", request, &second))
@@ -98,78 +102,79 @@
 	require.Equal(t, int64(2), first.Change.Revision)
 }
 
-// A version is withdrawn while three daemons dispatch to it without pause. Once
-// a daemon has the new generation, nothing new starts on the version there;
-// everywhere within seconds. Sessions on it are told, not moved.
+// A version is withdrawn while three daemons dispatch requests to it continuously.
+// Guards against attempts that start on the version after all daemons use the new
+// generation, and against moving its sessions to another version without an error.
 func TestWithdrawUnderTraffic(t *testing.T) {
 	s := newSite(t, 3, nil)
-	first := requireAnswered(t, s.Daemons[0], summary("begin"))
+	first := requireAnswered(t, s.Daemons[0], summaryRequest("begin"))
 	token := first.Header.Get(caller.HeaderSession)
 	ctx, stop := context.WithCancel(context.Background())
 	var load sync.WaitGroup
 	for i := range 12 {
 		load.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
-				_, _ = summary(fmt.Sprintf("traffic %d %d", i, n)).Send(ctx, s.Daemons[i%3].CallerURL, nil)
+				_, _ = summaryRequest(fmt.Sprintf("traffic %d %d", i, n)).Send(ctx, s.Daemons[i%3].CallerURL, nil)
 			}
 		})
 	}
-	began := time.Now()
+	start := time.Now()
 	generation := s.withdraw(s.Daemons[1], "clauses", "1")
-	s.inForce(generation, s.Daemons...)
-	t.Logf("in force at 3 of 3 daemons after %v", time.Since(began))
-	after := s.versionRuns("clauses@1")
-	again := summary("go on")
+	s.waitGeneration(generation, s.Daemons...)
+	t.Logf("in force at 3 of 3 daemons after %v", time.Since(start))
+	after := s.versionStarts("clauses@1")
+	again := summaryRequest("go on")
 	again.Session = token
 	for _, d := range s.Daemons {
 		requireRefused(t, d, again, fault.SessionWithdrawn, fault.RanNo)
 	}
 	stop()
 	load.Wait()
-	require.LessOrEqual(t, s.versionRuns("clauses@1"), after, "new work after the generation was in force")
-	s.requireBilled(s.Daemons[0])
+	require.LessOrEqual(t, s.versionStarts("clauses@1"), after, "attempts started after the generation was in force")
+	s.requireFinishedBilled(s.Daemons[0])
 }
 
-// A daemon is paused while a version is withdrawn, and callers queue up at it.
-// When it wakes, it must not run them on the version, although its own memory
-// still says that the version serves.
+// A daemon is paused while a version is withdrawn, and callers send requests to it.
+// Guards against running these requests on the version when the daemon resumes with
+// a configuration in memory in which the version still serves.
 func TestPausedDaemonDoesNotUseAWithdrawnVersion(t *testing.T) {
 	s := newSite(t, 3, nil)
-	requireAnswered(t, s.Daemons[0], summary("before"))
+	requireAnswered(t, s.Daemons[0], summaryRequest("before"))
 	require.NoError(t, s.Daemons[0].Freeze())
 	var queued sync.WaitGroup
 	for i := range 10 {
 		queued.Go(func() {
-			_, _ = summary(fmt.Sprintf("queued %d", i)).Send(context.Background(), s.Daemons[0].CallerURL, nil)
+			_, _ = summaryRequest(fmt.Sprintf("queued %d", i)).Send(context.Background(), s.Daemons[0].CallerURL, nil)
 		})
 	}
 	generation := s.withdraw(s.Daemons[1], "clauses", "1")
-	s.inForce(generation, s.Daemons[1:]...)
-	// The pause outlasts the time for which a confirmation is relied on.
-	begin := time.Now()
+	s.waitGeneration(generation, s.Daemons[1:]...)
+	// The pause must be longer than Timing.FreshMS, the time for which a daemon
+	// relies on a confirmation of its configuration.
+	start := time.Now()
 	require.NoError(t, cluster.Eventually(func() error {
-		if time.Since(begin) < 2*time.Second {
+		if time.Since(start) < 2*time.Second {
 			return errNotYet
 		}
 		return nil
 	}))
-	before := s.versionRuns("clauses@1")
+	before := s.versionStarts("clauses@1")
 	s.Daemons[0].Wake()
 	queued.Wait()
-	require.Equal(t, before, s.versionRuns("clauses@1"))
+	require.Equal(t, before, s.versionStarts("clauses@1"))
 }
 
-// Requests wait in the queue of a full engine when their version is withdrawn.
-// They were planned while it still served; none of them may start on it.
+// Requests wait for a full engine when their version is withdrawn. Guards against
+// starting them on the version because they were planned while it still served.
 func TestWithdrawnWhileWaiting(t *testing.T) {
 	s := newSite(t, 2, func(o *standin.EngineOptions) {
-		slow(o)
+		slowTokens(o)
 		o.Slots = 1
 	})
 	var waiting sync.WaitGroup
 	for i := range 12 {
 		waiting.Go(func() {
-			_, _ = summary(fmt.Sprintf("waiting %d", i)).Send(context.Background(), s.Daemons[0].CallerURL, nil)
+			_, _ = summaryRequest(fmt.Sprintf("waiting %d", i)).Send(context.Background(), s.Daemons[0].CallerURL, nil)
 		})
 	}
 	require.NoError(t, cluster.Eventually(func() error {
@@ -180,18 +185,19 @@
 		return err
 	}))
 	generation := s.withdraw(s.Daemons[0], "clauses", "1")
-	s.inForce(generation, s.Daemons...)
-	after := s.versionRuns("clauses@1")
+	s.waitGeneration(generation, s.Daemons...)
+	after := s.versionStarts("clauses@1")
 	waiting.Wait()
-	require.Equal(t, after, s.versionRuns("clauses@1"))
+	require.Equal(t, after, s.versionStarts("clauses@1"))
 }
 
-// The store is out when a daemon starts. It takes the configuration, the
-// signing keys and the list of upstreams from its peers and serves.
-func TestStartWhileTheStoreIsOut(t *testing.T) {
+// A daemon starts while the store is unavailable. Guards against a start that needs
+// the store: the daemon must get the configuration, the signing keys and the list of
+// upstreams from its peers and answer requests.
+func TestStartDuringStoreOutage(t *testing.T) {
 	s := newSite(t, 2, nil)
-	first := requireAnswered(t, s.Daemons[0], summary("one"))
-	s.platformFault(standin.FaultRefuse)
+	first := requireAnswered(t, s.Daemons[0], summaryRequest("one"))
+	s.setPlatformFault(standin.FaultRefuse)
 	d, err := s.StartDaemon("gbg-c", nil)
 	require.NoError(t, err)
 	require.NoError(t, cluster.Eventually(func() error {
@@ -201,66 +207,67 @@
 		}
 		return err
 	}))
-	again := summary("two")
+	again := summaryRequest("two")
 	again.Session = first.Header.Get(caller.HeaderSession)
 	requireAnswered(t, d, again)
-	s.platformFault(standin.FaultNone)
-	s.requireBilled(d)
+	s.setPlatformFault(standin.FaultNone)
+	s.requireFinishedBilled(d)
 }
 
-// A daemon is cut off from the platform only. Its peers still confirm the
-// configuration, so it goes on serving, and a withdrawal reaches it through
-// them.
-func TestCutOffFromThePlatformOnly(t *testing.T) {
+// A daemon loses its connection to the platform, but not to its peers. Guards
+// against a daemon that stops serving or misses a withdrawal: it must get
+// confirmations and changes of the configuration from its peers.
+func TestDaemonCutOffFromPlatform(t *testing.T) {
 	s := newSite(t, 2, nil)
 	proxy, err := s.Proxy(s.Platform)
 	require.NoError(t, err)
-	d, err := s.startBehind(proxy)
+	d, err := s.startBehindProxy(proxy)
 	require.NoError(t, err)
 	proxy.Cut()
-	requireAnswered(t, d, summary("cut off"))
+	requireAnswered(t, d, summaryRequest("cut off"))
 	generation := s.withdraw(s.Daemons[0], "clauses", "1")
-	s.inForce(generation, d)
-	requireRefused(t, d, cluster.Ask{APIKey: keyVisrad, Model: "clauses@1", Prompt: "x"}, fault.VersionWithdrawn, fault.RanNo)
+	s.waitGeneration(generation, d)
+	requireRefused(t, d, cluster.Ask{APIKey: visradAPIKey, Model: "clauses@1", Prompt: "x"}, fault.VersionWithdrawn, fault.RanNo)
 	require.NoError(t, proxy.Restore())
 }
 
-// An accepted generation is never replaced by an older one, whatever a slow
-// reader or an old peer brings. The withdrawn version stays withdrawn.
-func TestGenerationsNeverGoBack(t *testing.T) {
+// Many configuration changes are applied through different daemons in turn. Guards
+// against replacing a generation by an older one that a slow read or a peer
+// delivers late, which would bring a withdrawn version back.
+func TestGenerationNeverDecreases(t *testing.T) {
 	s := newSite(t, 3, nil)
 	s.withdraw(s.Daemons[0], "notes-small", "1")
 	last := make([]int64, 3)
 	for i := range 30 {
-		generation := s.apply(s.Daemons[i%3], "gothenburg", int64(i+1), example(t, "overlay-gothenburg.jsonc"))
+		generation := s.applyConfig(s.Daemons[i%3], "gothenburg", int64(i+1), readExample(t, "overlay-gothenburg.jsonc"))
 		for j, d := range s.Daemons {
 			status, err := d.Status()
 			require.NoError(t, err)
 			require.GreaterOrEqual(t, status.Generation, last[j])
 			last[j] = status.Generation
 		}
-		s.inForce(generation, s.Daemons[i%3])
+		s.waitGeneration(generation, s.Daemons[i%3])
 	}
 	for _, d := range s.Daemons {
-		requireRefused(t, d, cluster.Ask{APIKey: keyVisrad, Model: "notes-small@1", Prompt: "x"}, fault.VersionWithdrawn, fault.RanNo)
+		requireRefused(t, d, cluster.Ask{APIKey: visradAPIKey, Model: "notes-small@1", Prompt: "x"}, fault.VersionWithdrawn, fault.RanNo)
 	}
 }
 
-// A version drains while a clerk works on it, and is withdrawn later. The
-// session goes on while it drains; nobody new gets it; after the withdrawal the
-// clerk is told, and not moved to another version.
-func TestSessionThroughTheStatesOfItsVersion(t *testing.T) {
+// A version with a session drains and is later withdrawn. Guards against ending the
+// session or accepting new work while the version drains, and against moving the
+// session to another version without an error after the withdrawal.
+func TestSessionOnDrainingThenWithdrawnVersion(t *testing.T) {
 	s := newSite(t, 2, nil)
-	first := requireAnswered(t, s.Daemons[0], summary("begin"))
-	session := summary("go on")
+	first := requireAnswered(t, s.Daemons[0], summaryRequest("begin"))
+	session := summaryRequest("go on")
 	session.Session = first.Header.Get(caller.HeaderSession)
 	for i, state := range []config.VersionState{config.Draining, config.Withdrawn} {
 		overlay := fmt.Sprintf(`{"models": {"clauses": {"versions": {"1": {"state": %q}}}}}`, state)
-		s.inForce(s.apply(s.Daemons[0], "gothenburg", int64(i+1), overlay), s.Daemons...)
+		s.waitGeneration(s.applyConfig(s.Daemons[0], "gothenburg", int64(i+1), overlay), s.Daemons...)
 		for _, d := range s.Daemons {
-			pinned := cluster.Ask{APIKey: keyVisrad, Model: "clauses@1", Prompt: "new"}
+			pinned := cluster.Ask{APIKey: visradAPIKey, Model: "clauses@1", Prompt: "new"}
 			requireRefused(t, d, pinned, fault.VersionWithdrawn, fault.RanNo)
-			requireRefused(t, d, summary("new"), fault.NoUpstream, fault.RanNo)
+			requireRefused(t, d, summaryRequest("new"), fault.NoUpstream, fault.RanNo)
 			if state == config.Draining {
 				reply := requireAnswered(t, d, session)
 				require.Equal(t, "1", reply.Header.Get(caller.HeaderVersion))
@@ -271,19 +278,20 @@
 	}
 }
 
-// Signing keys are rotated while a session goes on. The session keeps its
-// version at every daemon.
-func TestSessionOutlivesKeyRotation(t *testing.T) {
+// Signing keys are rotated while a session is in use. Guards against a session
+// token that some daemon rejects or resolves to another version after the rotation,
+// and against a token that another organisation can use.
+func TestSessionSurvivesKeyRotation(t *testing.T) {
 	s := newSite(t, 3, nil)
-	first := requireAnswered(t, s.Daemons[0], cluster.Ask{APIKey: keyVisrad, Model: "auto", Prompt: "one"})
+	first := requireAnswered(t, s.Daemons[0], cluster.Ask{APIKey: visradAPIKey, Model: "auto", Prompt: "one"})
 	require.NoError(t, cluster.Post(s.Daemons[1].OperatorURL+"/v1/keys/rotate", nil, nil))
 	for _, d := range s.Daemons {
-		next := cluster.Ask{APIKey: keyVisrad, Model: "auto", Prompt: "two", Session: first.Header.Get(caller.HeaderSession)}
+		next := cluster.Ask{APIKey: visradAPIKey, Model: "auto", Prompt: "two", Session: first.Header.Get(caller.HeaderSession)}
 		reply := requireAnswered(t, d, next)
 		for _, h := range []string{caller.HeaderModel, caller.HeaderVersion, caller.HeaderSession} {
 			require.Equal(t, first.Header.Get(h), reply.Header.Get(h))
 		}
 	}
-	stolen := cluster.Ask{APIKey: "example-key-publisher-a", Model: "auto", Prompt: "three", Session: first.Header.Get(caller.HeaderSession)}
-	requireRefused(t, s.Daemons[0], stolen, fault.BadSession, fault.RanNo)
+	otherOrganisation := cluster.Ask{APIKey: "example-key-publisher-a", Model: "auto", Prompt: "three", Session: first.Header.Get(caller.HeaderSession)}
+	requireRefused(t, s.Daemons[0], otherOrganisation, fault.BadSession, fault.RanNo)
 }
--- a/test/process/helpers_test.go
+++ b/test/process/helpers_test.go
@@ -15,11 +15,12 @@
 	"github.com/hornbeamsill/hornbeamsill/test/cluster"
 )
 
-// clearance is a request that must not run twice.
-func clearance(prompt, key string) cluster.Ask {
-	return cluster.Ask{APIKey: keyVisrad, Model: "notes-large", Prompt: prompt, Kind: "clearance", Key: key}
+// clearanceRequest returns a request that must not run twice.
+func clearanceRequest(prompt, key string) cluster.Ask {
+	return cluster.Ask{APIKey: visradAPIKey, Model: "notes-large", Prompt: prompt, Kind: "clearance", Key: key}
 }
 
+// send sends a request to a daemon and requires that there is no transport error.
 func send(t *testing.T, d *cluster.Daemon, a cluster.Ask) cluster.Reply {
 	t.Helper()
 	reply, err := a.Send(context.Background(), d.CallerURL, nil)
@@ -27,17 +28,18 @@
 	return reply
 }
 
-// requireAnswered sends and wants a whole answer.
+// requireAnswered sends a request and requires a complete answer.
 func requireAnswered(t *testing.T, d *cluster.Daemon, a cluster.Ask) cluster.Reply {
 	t.Helper()
 	reply := send(t, d, a)
 	require.Nil(t, reply.Err)
 	require.True(t, reply.Done)
-	requireWhole(t, reply.Text)
+	requireComplete(t, reply.Text)
 	return reply
 }
 
-// requireRefused sends and wants an error of a kind with an outcome.
+// requireRefused sends a request and requires an error with a kind and a value of
+// Ran.
 func requireRefused(t *testing.T, d *cluster.Daemon, a cluster.Ask, kind fault.Kind, ran fault.Ran) cluster.Reply {
 	t.Helper()
 	reply := send(t, d, a)
@@ -47,9 +49,10 @@
 	return reply
 }
 
-// keyOf makes a key whose home is a daemon, as a caller does with the prefix
-// from discovery.
-func keyOf(t *testing.T, d *cluster.Daemon, own string) string {
+// keyWithHome returns an idempotency key whose home is the daemon. It is made as a
+// caller makes it, from the key prefix in the discovery answer and a value of its
+// own.
+func keyWithHome(t *testing.T, d *cluster.Daemon, own string) string {
 	t.Helper()
 	var found struct {
 		Entries []caller.Entry `json:"entries"`
@@ -64,8 +67,8 @@
 	return ""
 }
 
-// runs counts how often the engines started a prompt.
-func (s *site) runs(prompt string) int {
+// promptStarts returns how many attempts with a prompt the engines started.
+func (s *site) promptStarts(prompt string) int {
 	s.t.Helper()
 	n := 0
 	for _, c := range s.engineCounts() {
@@ -74,7 +77,7 @@
 	return n
 }
 
-// engineCounts returns what each engine really did.
+// engineCounts returns the counts that each engine keeps of its attempts.
 func (s *site) engineCounts() []standin.EngineCounts {
 	s.t.Helper()
 	out := make([]standin.EngineCounts, len(s.engines))
@@ -84,29 +87,31 @@
 	return out
 }
 
-// engineFault sets the faults of every engine.
-func (s *site) engineFault(f standin.EngineFaults) {
+// setEngineFaults sets the faults of every engine.
+func (s *site) setEngineFaults(f standin.EngineFaults) {
 	s.t.Helper()
 	for _, e := range s.engines {
 		require.NoError(s.t, cluster.Post("http://"+e.Address+"/standin/faults", f, nil))
 	}
 }
 
-func (s *site) platformFault(f standin.PlatformFault) {
+// setPlatformFault sets the fault of the platform stand-in.
+func (s *site) setPlatformFault(f standin.PlatformFault) {
 	s.t.Helper()
 	require.NoError(s.t, cluster.Post("http://"+s.Platform+"/standin/fault", map[string]any{"fault": f}, nil))
 }
 
-// slow makes tokens take so long that a test can act during an answer.
-func slow(o *standin.EngineOptions) {
+// slowTokens makes each token take 40 ms, so that a test can act during an answer.
+func slowTokens(o *standin.EngineOptions) {
 	for name, p := range o.Profiles {
 		p.TokenTime = standin.Duration(40 * time.Millisecond)
 		o.Profiles[name] = p
 	}
 }
 
-// streamUntil sends a streaming request and calls act once n words have come.
-func streamUntil(t *testing.T, d *cluster.Daemon, a cluster.Ask, n int, act func(sofar cluster.Reply)) (cluster.Reply, error) {
+// streamAndAct sends a streaming request and calls act once, when n content events
+// have been received. It returns the reply at the end of the stream.
+func streamAndAct(t *testing.T, d *cluster.Daemon, a cluster.Ask, n int, act func(received cluster.Reply)) (cluster.Reply, error) {
 	t.Helper()
 	a.Stream = true
 	acted := false
@@ -118,15 +123,15 @@
 	})
 }
 
-// resume continues a stream at a daemon after the words already received.
-func resume(t *testing.T, d *cluster.Daemon, sofar cluster.Reply) (cluster.Reply, error) {
+// resume continues a stream at a daemon after the events already received.
+func resume(t *testing.T, d *cluster.Daemon, received cluster.Reply) (cluster.Reply, error) {
 	t.Helper()
-	url := d.CallerURL + "/v1/requests/" + sofar.RequestID() + "/stream?after=" + itoa(sofar.Events-1)
+	url := d.CallerURL + "/v1/requests/" + received.RequestID() + "/stream?after=" + itoa(received.Events-1)
 	req, err := http.NewRequest(http.MethodGet, url, strings.NewReader(""))
 	require.NoError(t, err)
-	req.Header.Set("Authorization", "Bearer "+keyVisrad)
-	req.Header.Set(caller.HeaderResume, sofar.Header.Get(caller.HeaderResume))
-	return cluster.Receive(req, nil)
+	req.Header.Set("Authorization", "Bearer "+visradAPIKey)
+	req.Header.Set(caller.HeaderResume, received.Header.Get(caller.HeaderResume))
+	return cluster.Do(req, nil)
 }
 
-func containsLog(d *cluster.Daemon, text string) bool { return strings.Contains(d.Log(), text) }
+func logContains(d *cluster.Daemon, text string) bool { return strings.Contains(d.Log(), text) }
--- a/test/process/leaving_test.go
+++ b/test/process/leaving_test.go
@@ -21,8 +21,8 @@
 	"github.com/hornbeamsill/hornbeamsill/test/cluster"
 )
 
-// startBehind starts a daemon that reaches the platform through a proxy.
-func (s *site) startBehind(p *cluster.Proxy) (*cluster.Daemon, error) {
+// startBehindProxy starts a daemon that reaches the platform through a proxy.
+func (s *site) startBehindProxy(p *cluster.Proxy) (*cluster.Daemon, error) {
 	d, err := s.StartDaemon("gbg-z", func(set *settings.Settings) { set.Platform = p.Address() })
 	if err != nil {
 		return nil, err
@@ -30,8 +30,8 @@
 	return d, s.Settle(s.Daemons, len(s.engines))
 }
 
-// leavingEverywhere waits until every daemon knows that an upstream leaves.
-func (s *site) leavingEverywhere(id string) {
+// waitLeavingKnown waits until every daemon reports an upstream as leaving.
+func (s *site) waitLeavingKnown(id string) {
 	s.t.Helper()
 	for _, d := range s.Daemons {
 		require.NoError(s.t, cluster.Eventually(func() error {
@@ -48,13 +48,13 @@
 	}
 }
 
-// An engine leaves, and only one source says so: the platform's list, its own
-// load report, or its refusal. All daemons learn of it and send it nothing
-// more, and callers notice nothing.
+// An engine leaves, and only one source shows it: the platform's list, the engine's
+// load report, or its refusal of an attempt. Guards against attempts that a daemon
+// still sends to the engine, and against errors for callers.
 func TestUpstreamLeaves(t *testing.T) {
 	for name, leave := range map[string]func(s *site, e *cluster.Upstream) error{
 		"list": func(s *site, e *cluster.Upstream) error {
-			return s.List(backing.Instance{ID: e.ID, Role: backing.RoleEngine, Address: e.Address, State: backing.StateLeaving})
+			return s.AddInstance(backing.Instance{ID: e.ID, Role: backing.RoleEngine, Address: e.Address, State: backing.StateLeaving})
 		},
 		"report": func(_ *site, e *cluster.Upstream) error {
 			return cluster.Post("http://"+e.Address+"/standin/faults", standin.EngineFaults{Leaving: true}, nil)
@@ -66,8 +66,8 @@
 		t.Run(name, func(t *testing.T) {
 			s := newSite(t, 3, nil)
 			require.NoError(t, leave(s, s.engines[0]))
-			askMany(t, s.Daemons[0], 30, "leaving")
-			s.leavingEverywhere("engine-1")
+			requireAllAnswered(t, s.Daemons[0], 30, "leaving")
+			s.waitLeavingKnown("engine-1")
 			started := func() (n int) {
 				var c standin.EngineCounts
 				require.NoError(t, cluster.Get("http://"+s.engines[0].Address+"/standin/counts", &c))
@@ -78,23 +78,23 @@
 			}
 			before := started()
 			for _, d := range s.Daemons {
-				askMany(t, d, 20, "after")
+				requireAllAnswered(t, d, 20, "after")
 			}
 			require.Equal(t, before, started())
-			s.requireBilled(s.Daemons[1])
+			s.requireFinishedBilled(s.Daemons[1])
 		})
 	}
 }
 
-// directory is a caller's discovery answer, kept as long as it may be.
-type directory struct {
-	entries []caller.Entry
-	until   time.Time
+// discoveryCache is a caller's copy of a discovery answer, kept for its full TTL.
+type discoveryCache struct {
+	entries    []caller.Entry
+	validUntil time.Time
 }
 
-// refresh asks again once the answer has lapsed, at one of its daemons.
-func (d *directory) refresh(t *testing.T) {
-	if time.Now().Before(d.until) {
+// refresh gets a new answer from one of the listed daemons once the TTL has passed.
+func (d *discoveryCache) refresh(t *testing.T) {
+	if time.Now().Before(d.validUntil) {
 		return
 	}
 	for _, e := range d.entries {
@@ -102,21 +102,21 @@
 			Entries []caller.Entry `json:"entries"`
 			TTL     int            `json:"ttl_seconds"`
 		}
-		asked := time.Now()
+		start := time.Now()
 		if cluster.Get(e.URL+"/v1/entries", &found) == nil && len(found.Entries) > 0 {
-			d.entries, d.until = found.Entries, asked.Add(time.Duration(found.TTL)*time.Second)
+			d.entries, d.validUntil = found.Entries, start.Add(time.Duration(found.TTL)*time.Second)
 			return
 		}
 	}
-	t.Error("no daemon of the discovery answer answers")
+	t.Error("none of the daemons in the discovery answer can be reached")
 }
 
-// All daemons are restarted one after the other under load, streamed and not,
-// with callers that keep old discovery answers for as long as they may. No
-// answer may fail, be cut or run twice.
+// All daemons are restarted one after the other under load, streamed and not, by
+// callers that use a discovery answer for its full TTL. Guards against requests
+// that fail, are cut or run twice because their daemon stops.
 func TestRollingRestart(t *testing.T) {
 	s := newSite(t, 3, func(o *standin.EngineOptions) {
-		slow(o)
+		slowTokens(o)
 		for name, p := range o.Profiles {
 			p.TokenTime /= 4
 			o.Profiles[name] = p
@@ -127,18 +127,18 @@
 	var load sync.WaitGroup
 	var mu sync.Mutex
 	var failures []string
-	asked := 0
+	sent := 0
 	for i := range 8 {
 		load.Go(func() {
-			d := directory{entries: []caller.Entry{first}}
+			d := discoveryCache{entries: []caller.Entry{first}}
 			for n := 0; ctx.Err() == nil; n++ {
 				d.refresh(t)
 				e := d.entries[(i+n)%len(d.entries)]
-				a := clearance(fmt.Sprintf("restart %d %d", i, n), fmt.Sprintf("%s.%d-%d", e.KeyPrefix, i, n))
+				a := clearanceRequest(fmt.Sprintf("restart %d %d", i, n), fmt.Sprintf("%s.%d-%d", e.KeyPrefix, i, n))
 				a.Stream = n%2 == 0
 				reply, err := a.Send(context.Background(), e.URL, nil)
 				mu.Lock()
-				asked++
+				sent++
 				if err != nil || !reply.Whole() {
 					failures = append(failures, fmt.Sprintf("%s: %v %v", a.Prompt, err, reply.Err))
 				}
@@ -150,28 +150,29 @@
 		old := s.Daemons[i]
 		_, err := s.StartDaemon(fmt.Sprintf("gbg-%c", 'a'+i), nil)
 		require.NoError(t, err)
-		require.NoError(t, s.Settle(append(slices.Clone(s.Daemons[i+1:3]), s.Daemons[3:]...), 2, cluster.IgnoreOthers))
+		require.NoError(t, s.Settle(append(slices.Clone(s.Daemons[i+1:3]), s.Daemons[3:]...), 2, cluster.AllowOtherDaemons))
 		old.Signal(syscall.SIGTERM)
 		require.Equal(t, 0, old.Wait(), old.Log())
 	}
 	stop()
 	load.Wait()
 	require.Empty(t, failures)
-	t.Logf("%d requests during 3 restarts", asked)
+	t.Logf("%d requests during 3 restarts", sent)
 	for i := range 8 {
-		require.LessOrEqual(t, s.runs(fmt.Sprintf("restart %d 0", i)), 1)
+		require.LessOrEqual(t, s.promptStarts(fmt.Sprintf("restart %d 0", i)), 1)
 	}
 	last := s.Daemons[len(s.Daemons)-1]
-	s.requireBilled(last)
-	require.Len(t, s.bills(last), asked)
+	s.requireFinishedBilled(last)
+	require.Len(t, s.bills(last), sent)
 }
 
-// A daemon stops as planned; later a client repeats a key whose home it was.
-// The successor answers for it with the first answer.
-func TestKeyOfAStoppedHome(t *testing.T) {
+// A daemon stops as planned, and a client then uses keys whose home it was. Guards
+// against a second run, and against a key that is refused because its home no longer
+// exists: the daemon's successor must act as home.
+func TestKeyOfStoppedHome(t *testing.T) {
 	s := newSite(t, 3, nil)
-	a := clearance("stopped home", keyOf(t, s.Daemons[0], "stopped"))
-	unused := clearance("unused key", keyOf(t, s.Daemons[0], "unused"))
+	a := clearanceRequest("stopped home", keyWithHome(t, s.Daemons[0], "stopped"))
+	unused := clearanceRequest("unused key", keyWithHome(t, s.Daemons[0], "unused"))
 	first := requireAnswered(t, s.Daemons[0], a)
 	s.Daemons[0].Signal(syscall.SIGTERM)
 	require.Equal(t, 0, s.Daemons[0].Wait())
@@ -179,21 +180,22 @@
 		require.Equal(t, first.Text, requireAnswered(t, d, a).Text)
 		requireAnswered(t, d, unused)
 	}
-	require.Equal(t, 1, s.runs("stopped home"))
-	require.Equal(t, 1, s.runs("unused key"))
+	require.Equal(t, 1, s.promptStarts("stopped home"))
+	require.Equal(t, 1, s.promptStarts("unused key"))
 }
 
-// An operator loses patience with a stop and sends a second signal. The daemon
-// reports what it cut, with an exit code of its own; the caller is told at
-// once and can go on reading at another daemon, and the request is billed.
-func TestStopReportsWhatItCuts(t *testing.T) {
+// A daemon gets a second signal while it stops, and cuts the open requests. Guards
+// against a cut without notice: the caller must get an error event at once and be
+// able to resume at another daemon, the daemon must exit with code 3, and the
+// request must be billed.
+func TestSecondSignalCutsRequests(t *testing.T) {
 	s := newSite(t, 2, func(o *standin.EngineOptions) {
 		for name, p := range o.Profiles {
 			p.TokenTime *= 50
 			o.Profiles[name] = p
 		}
 	})
-	reply, err := streamUntil(t, s.Daemons[0], summary("long"), 1, func(cluster.Reply) {
+	reply, err := streamAndAct(t, s.Daemons[0], summaryRequest("long"), 1, func(cluster.Reply) {
 		s.Daemons[0].Signal(syscall.SIGTERM)
 		s.Daemons[0].Signal(syscall.SIGINT)
 	})
@@ -204,6 +206,6 @@
 	require.Equal(t, 3, s.Daemons[0].Wait())
 	rest, err := resume(t, s.Daemons[1], reply)
 	require.NoError(t, err)
-	requireWhole(t, reply.Text+rest.Text)
+	requireComplete(t, reply.Text+rest.Text)
 	s.requireBill(s.Daemons[1], reply.RequestID(), ledger.Answered)
 }
--- a/test/process/process_test.go
+++ b/test/process/process_test.go
@@ -1,5 +1,5 @@
-// Package process_test runs real daemons and stand-ins as processes and proves
-// the promises of the system under failures.
+// Package process_test runs daemons and stand-ins as processes and tests that the
+// system keeps its guarantees under failures.
 package process_test
 
 import (
@@ -28,16 +28,16 @@
 
 func TestMain(m *testing.M) { os.Exit(cluster.RunTests(m, &binaries)) }
 
-const keyVisrad = "example-key-visrad"
+const visradAPIKey = "example-key-visrad"
 
-// site is a cluster with the example configuration in force.
+// site is a cluster to which newSite has applied the example configuration.
 type site struct {
 	*cluster.Cluster
 	t       *testing.T
 	engines []*cluster.Upstream
 }
 
-// engineOptions are the options of an engine that serves every example model.
+// engineOptions returns the options of an engine that serves every example model.
 func engineOptions(id string) standin.EngineOptions {
 	profile := standin.VersionProfile{
 		Quality:   map[string]float64{"": 0.95},
@@ -55,7 +55,8 @@
 }
 
 // newSite starts a platform, two engines and n daemons in different failure
-// domains.
+// domains, and applies the example configuration. change, if not nil, may alter the
+// options of the engines.
 func newSite(t *testing.T, n int, change func(*standin.EngineOptions)) *site {
 	t.Helper()
 	s := newPlatform(t)
@@ -74,6 +75,8 @@
 	return s
 }
 
+// newPlatform starts a platform stand-in without engines and daemons. It marks the
+// test as parallel. If the test fails, the logs of its daemons are printed.
 func newPlatform(t *testing.T) *site {
 	t.Helper()
 	t.Parallel()
@@ -98,7 +101,8 @@
 	}
 }
 
-func example(t *testing.T, name string) string {
+// readExample returns a file of the examples directory.
+func readExample(t *testing.T, name string) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("..", "..", "examples", name))
 	require.NoError(t, err)
@@ -107,12 +111,13 @@
 
 func (s *site) applyExamples(d *cluster.Daemon) {
 	s.t.Helper()
-	s.apply(d, "", 0, example(s.t, "base.jsonc"))
-	s.apply(d, "gothenburg", 0, example(s.t, "overlay-gothenburg.jsonc"))
+	s.applyConfig(d, "", 0, readExample(s.t, "base.jsonc"))
+	s.applyConfig(d, "gothenburg", 0, readExample(s.t, "overlay-gothenburg.jsonc"))
 }
 
-// apply brings a document into force and returns its generation.
-func (s *site) apply(d *cluster.Daemon, target string, from int64, text string) int64 {
+// applyConfig applies a document as the successor of revision from, and returns the
+// new generation. target is a site's name, or empty for the base document.
+func (s *site) applyConfig(d *cluster.Daemon, target string, from int64, text string) int64 {
 	s.t.Helper()
 	var out operator.Applied
 	err := cluster.Post(d.OperatorURL+"/v1/config/apply", config.ApplyRequest{
@@ -122,23 +127,24 @@
 	return out.Change.Generation
 }
 
-// client returns an OpenAI client of a daemon that does not retry by itself.
-func client(url string, options ...option.RequestOption) openai.Client {
+// newClient returns an OpenAI client for a daemon, without automatic retries.
+func newClient(url string, options ...option.RequestOption) openai.Client {
 	return openai.NewClient(append([]option.RequestOption{
-		option.WithBaseURL(url + "/v1/"), option.WithAPIKey(keyVisrad), option.WithMaxRetries(0),
+		option.WithBaseURL(url + "/v1/"), option.WithAPIKey(visradAPIKey), option.WithMaxRetries(0),
 	}, options...)...)
 }
 
-func chat(model, text string) openai.ChatCompletionNewParams {
+func chatParams(model, text string) openai.ChatCompletionNewParams {
 	return openai.ChatCompletionNewParams{
 		Model:    model,
 		Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage(text)},
 	}
 }
 
-// words is the whole answer of a stand-in engine with 24 tokens, without its
-// first word, which names the version, and its last, which tells the quality.
-func requireWhole(t *testing.T, text string) {
+// requireComplete requires that text is the complete answer of a stand-in engine,
+// which has 24 words in order. It does not check the first word, which names the
+// version, and the last, which gives the quality.
+func requireComplete(t *testing.T, text string) {
 	t.Helper()
 	fields := strings.Fields(text)
 	require.Len(t, fields, 24, text)
@@ -147,8 +153,9 @@
 	}
 }
 
-// counts adds up what the engines really ran, by request.
-func (s *site) counts() (started, finished map[string]int) {
+// attemptCounts returns the number of attempts that the engines started and
+// finished, by request id.
+func (s *site) attemptCounts() (started, finished map[string]int) {
 	s.t.Helper()
 	started, finished = map[string]int{}, map[string]int{}
 	for _, c := range s.engineCounts() {
@@ -162,7 +169,8 @@
 	return started, finished
 }
 
-// bills returns the ledger by request, as a daemon shows it.
+// bills returns the ledger entries that a daemon reports, by request id. There must
+// be at most one for each request.
 func (s *site) bills(d *cluster.Daemon) map[string]ledger.Entry {
 	s.t.Helper()
 	var rows []ledger.Entry
@@ -175,12 +183,12 @@
 	return out
 }
 
-// requireBilled waits until exactly the requests that finished are billed as
-// answered.
-func (s *site) requireBilled(d *cluster.Daemon) {
+// requireFinishedBilled waits until the requests billed as answered are exactly
+// those that an engine finished.
+func (s *site) requireFinishedBilled(d *cluster.Daemon) {
 	s.t.Helper()
 	require.NoError(s.t, cluster.Eventually(func() error {
-		_, finished := s.counts()
+		_, finished := s.attemptCounts()
 		answered := 0
 		for id, b := range s.bills(d) {
 			if b.State != ledger.Answered {
@@ -188,19 +196,21 @@
 			}
 			answered++
 			if finished[id] == 0 {
-				return fmt.Errorf("%s is billed and did not finish", id)
+				return fmt.Errorf("%s is billed as answered, but no engine finished it", id)
 			}
 		}
 		if answered != len(finished) {
-			return fmt.Errorf("%d billed, %d finished", answered, len(finished))
+			return fmt.Errorf("%d requests billed as answered, %d finished", answered, len(finished))
 		}
 		return nil
 	}))
 }
 
-// A caller finds three daemons, uses a public OpenAI client on each, streaming
-// and not, and an operator changes the configuration at one of them.
-func TestWholePath(t *testing.T) {
+// A caller discovers three daemons and uses the public OpenAI client with each,
+// streaming and not; then an operator changes the configuration at one of them.
+// Guards against a break anywhere on the usual path: discovery, answers and their
+// headers, billing, and distribution of the configuration.
+func TestEndToEnd(t *testing.T) {
 	s := newSite(t, 3, nil)
 	var found struct {
 		Entries []caller.Entry `json:"entries"`
@@ -212,34 +222,34 @@
 
 	requests := map[string]bool{}
 	for _, e := range found.Entries {
-		c := client(e.URL)
+		c := newClient(e.URL)
 		var resp *http.Response
-		whole, err := c.Chat.Completions.New(context.Background(), chat("auto", "Summarise clause 4."), option.WithResponseInto(&resp))
+		completion, err := c.Chat.Completions.New(context.Background(), chatParams("auto", "Summarise clause 4."), option.WithResponseInto(&resp))
 		require.NoError(t, err)
-		requireWhole(t, whole.Choices[0].Message.Content)
-		require.Positive(t, whole.Usage.TotalTokens)
-		require.Equal(t, whole.Model, resp.Header.Get(caller.HeaderModel)+"@"+resp.Header.Get(caller.HeaderVersion))
+		requireComplete(t, completion.Choices[0].Message.Content)
+		require.Positive(t, completion.Usage.TotalTokens)
+		require.Equal(t, completion.Model, resp.Header.Get(caller.HeaderModel)+"@"+resp.Header.Get(caller.HeaderVersion))
 		require.NotEmpty(t, resp.Header.Get(caller.HeaderSession))
 		requests[resp.Header.Get(caller.HeaderRequest)] = true
 
-		stream := c.Chat.Completions.NewStreaming(context.Background(), chat("notes-small", "Tag this."))
+		stream := c.Chat.Completions.NewStreaming(context.Background(), chatParams("notes-small", "Tag this."))
 		var acc openai.ChatCompletionAccumulator
 		for stream.Next() {
 			require.True(t, acc.AddChunk(stream.Current()))
 		}
 		require.NoError(t, stream.Err())
-		requireWhole(t, acc.Choices[0].Message.Content)
+		requireComplete(t, acc.Choices[0].Message.Content)
 		require.Equal(t, "stop", string(acc.Choices[0].FinishReason))
 		requests[acc.ID] = true
 	}
 	require.Len(t, requests, 6)
-	s.requireBilled(s.Daemons[1])
+	s.requireFinishedBilled(s.Daemons[1])
 	for id := range requests {
 		require.Contains(t, s.bills(s.Daemons[2]), id)
 	}
 
-	base := strings.Replace(example(t, "base.jsonc"), `"publisher-a"`, `"publisher-b"`, 1)
-	generation := s.apply(s.Daemons[1], "", 1, base)
+	base := strings.Replace(readExample(t, "base.jsonc"), `"publisher-a"`, `"publisher-b"`, 1)
+	generation := s.applyConfig(s.Daemons[1], "", 1, base)
 	for _, d := range s.Daemons {
 		require.NoError(t, cluster.Eventually(func() error {
 			status, err := d.Status()
--- a/test/process/service_test.go
+++ b/test/process/service_test.go
@@ -14,35 +14,36 @@
 	"github.com/hornbeamsill/hornbeamsill/test/cluster"
 )
 
-// call sends a call of the catalogue service with a mark that the service
-// counts.
-func call(t *testing.T, d *cluster.Daemon, method, mark, key string) cluster.Reply {
+// callCatalogue sends a call to the catalogue service. The service counts calls by
+// mark.
+func callCatalogue(t *testing.T, d *cluster.Daemon, method, mark, key string) cluster.Reply {
 	t.Helper()
 	req, err := http.NewRequest(method, d.CallerURL+"/v1/services/catalogue/songs/"+mark, strings.NewReader(mark))
 	require.NoError(t, err)
-	req.Header.Set("Authorization", "Bearer "+keyVisrad)
+	req.Header.Set("Authorization", "Bearer "+visradAPIKey)
 	req.Header.Set(standin.HeaderCall, mark)
 	if key != "" {
 		req.Header.Set(caller.HeaderKey, key)
 	}
-	reply, err := cluster.Receive(req, nil)
+	reply, err := cluster.Do(req, nil)
 	require.NoError(t, err)
 	return reply
 }
 
-// A catalogue server runs a call and dies before it answers. A call that may
-// not be repeated is reported as unknown and never sent again, with or without
-// a key; one that may is answered by the other server. Each is billed once.
-func TestServiceAnswersAreLost(t *testing.T) {
+// A catalogue server runs a call and closes the connection without an answer.
+// Guards against sending a call again that must not be repeated, with or without an
+// idempotency key, and against an error for a repeatable call, which the other
+// server must answer. Calls must not be billed twice.
+func TestServiceAnswersLost(t *testing.T) {
 	s := newSite(t, 2, nil)
 	var services []*cluster.Upstream
 	for _, id := range []string{"catalogue-1", "catalogue-2"} {
-		u, err := s.Service(id, "catalogue", "gbg-a", nil)
+		u, err := s.StartService(id, "catalogue", "gbg-a", nil)
 		require.NoError(t, err)
 		services = append(services, u)
 	}
 	require.NoError(t, s.Settle(s.Daemons, 4))
-	lose := func() {
+	loseNextAnswers := func() {
 		for _, u := range services {
 			require.NoError(t, cluster.Post("http://"+u.Address+"/standin/faults", standin.ServiceFaults{NoAnswer: 1}, nil))
 		}
@@ -55,28 +56,28 @@
 		}
 		return n
 	}
-	key := keyOf(t, s.Daemons[0], "call")
-	lose()
-	first := call(t, s.Daemons[0], http.MethodPost, "order", key)
+	key := keyWithHome(t, s.Daemons[0], "call")
+	loseNextAnswers()
+	first := callCatalogue(t, s.Daemons[0], http.MethodPost, "order", key)
 	require.NotNil(t, first.Err)
 	require.Equal(t, fault.RanUnknown, first.Err.Ran)
-	again := call(t, s.Daemons[1], http.MethodPost, "order", key)
+	again := callCatalogue(t, s.Daemons[1], http.MethodPost, "order", key)
 	require.NotNil(t, again.Err)
 	require.Equal(t, first.RequestID(), again.RequestID())
 	require.Equal(t, 1, runs("order"))
 	s.requireBill(s.Daemons[0], first.RequestID(), ledger.Failed)
 
-	lose()
-	unkeyed := call(t, s.Daemons[0], http.MethodPost, "unkeyed", "")
+	loseNextAnswers()
+	unkeyed := callCatalogue(t, s.Daemons[0], http.MethodPost, "unkeyed", "")
 	require.NotNil(t, unkeyed.Err)
 	require.Equal(t, 1, runs("unkeyed"))
 
 	require.NoError(t, cluster.Post("http://"+services[0].Address+"/standin/faults", standin.ServiceFaults{NoAnswer: 1}, nil))
 	require.NoError(t, cluster.Post("http://"+services[1].Address+"/standin/faults", standin.ServiceFaults{}, nil))
 	for range 8 {
-		reply := call(t, s.Daemons[0], http.MethodGet, "read", "")
-		require.Nil(t, reply.Err, "a repeatable call goes on at the other server")
+		reply := callCatalogue(t, s.Daemons[0], http.MethodGet, "read", "")
+		require.Nil(t, reply.Err, "a repeatable call must be sent to the other server")
 		s.requireBill(s.Daemons[1], reply.RequestID(), ledger.Answered)
 	}
-	require.Equal(t, 9, runs("read"), "one of them was run twice, as it may be")
+	require.Equal(t, 9, runs("read"), "one of the 8 calls must have run twice")
 }
--- a/test/process/trace_test.go
+++ b/test/process/trace_test.go
@@ -15,11 +15,12 @@
 	"github.com/hornbeamsill/hornbeamsill/test/cluster"
 )
 
-// An operator follows one slow request by the trace id that its caller sent:
-// every hop has a span in the file, and the upstream is given the same trace.
-func TestTraceOfEveryHop(t *testing.T) {
+// A caller sends a trace id with its requests. Guards against hops that are missing
+// from the trace: every hop must have a span with this id in the exporter's file,
+// and the upstream must get the same id.
+func TestTraceHasSpanOfEveryHop(t *testing.T) {
 	s := newSite(t, 1, nil)
-	_, err := s.Service("catalogue-1", "catalogue", "gbg-a", nil)
+	_, err := s.StartService("catalogue-1", "catalogue", "gbg-a", nil)
 	require.NoError(t, err)
 	file := filepath.Join(t.TempDir(), "spans.json")
 	d, err := s.StartDaemon("gbg-b", func(set *settings.Settings) {
@@ -32,18 +33,18 @@
 	call := func(method, path, body, key string) cluster.Reply {
 		req, err := http.NewRequest(method, d.CallerURL+path, strings.NewReader(body))
 		require.NoError(t, err)
-		req.Header.Set("Authorization", "Bearer "+keyVisrad)
+		req.Header.Set("Authorization", "Bearer "+visradAPIKey)
 		req.Header.Set("Traceparent", "00-"+traceID+"-b7ad6b7169203331-01")
 		if key != "" {
 			req.Header.Set("Idempotency-Key", key)
 		}
-		reply, err := cluster.Receive(req, nil)
+		reply, err := cluster.Do(req, nil)
 		require.NoError(t, err)
 		require.Nil(t, reply.Err)
 		return reply
 	}
 	require.Contains(t, call(http.MethodGet, "/v1/services/catalogue/songs", "", "").Text, traceID)
-	call(http.MethodPost, "/v1/chat/completions", string(summary("traced").Body()), keyOf(t, s.Daemons[0], "traced"))
+	call(http.MethodPost, "/v1/chat/completions", string(summaryRequest("traced").Body()), keyWithHome(t, s.Daemons[0], "traced"))
 	d.Signal(syscall.SIGTERM)
 	require.Equal(t, 0, d.Wait())
 	text, err := os.ReadFile(file)
@@ -53,7 +54,7 @@
 	}
 }
 
-// hasSpan looks for a span of a trace in the exporter's lines.
+// hasSpan reports whether the exporter's lines have a span of a trace with a name.
 func hasSpan(text, traceID, name string) bool {
 	for _, line := range strings.Split(text, "\n") {
 		if strings.Contains(line, traceID) && strings.Contains(line, fmt.Sprintf("%q:%q", "Name", name)) {
