--- a/test/routes/evacuation_test.go
+++ b/test/routes/evacuation_test.go
@@ -19,19 +19,19 @@
 )
 
 // halls are the failure domains of these tests.
-var halls = []string{"hall-a", "hall-b", "hall-c"}
+var failureDomains = []string{"hall-a", "hall-b", "hall-c"}
 
 // twoPerHall starts two servers of the plain service in each failure domain.
-func (s *site) twoPerHall() {
-	for _, hall := range halls {
+func (s *testbed) startTwoPerDomain() {
+	for _, hall := range failureDomains {
 		for n := range 2 {
-			s.server(platformtest.ServerOptions{ID: fmt.Sprintf("%s-%d", hall, n), Service: plain, FailureDomain: hall, Work: 20 * time.Millisecond})
+			s.startServer(platformtest.ServerOptions{ID: fmt.Sprintf("%s-%d", hall, n), Service: plainService, FailureDomain: hall, Work: 20 * time.Millisecond})
 		}
 	}
 }
 
 // arrivals is the number of requests that the servers of a failure domain have got.
-func (s *site) arrivals(hall string) int {
+func (s *testbed) requestsIn(hall string) int {
 	n := 0
 	for id, server := range s.servers {
 		if strings.HasPrefix(id, hall) {
@@ -42,39 +42,39 @@
 }
 
 // callersAtOnce is enough for a daemon to use all failure domains and not only its own.
-const callersAtOnce = 16
+const concurrentCallers = 16
 
 // serves requires that a daemon serves requests, and that none reach some failure domains.
-func (s *site) serves(d *daemon, without ...string) {
+func (s *testbed) requireServedOutside(d *daemon, without ...string) {
 	s.t.Helper()
 	before := map[string]int{}
 	for _, hall := range without {
-		before[hall] = s.arrivals(hall)
+		before[hall] = s.requestsIn(hall)
 	}
 	var callers sync.WaitGroup
-	for range callersAtOnce {
+	for range concurrentCallers {
 		callers.Go(func() {
 			const requests = 5
 			for range requests {
-				reply := s.send(s.call(pathSafe), d)
+				reply := s.send(s.newCall(pathSafe), d)
 				assert.Equal(s.t, http.StatusOK, reply.Status, reply.Body)
 			}
 		})
 	}
 	callers.Wait()
 	for hall, n := range before {
-		require.Equal(s.t, n, s.arrivals(hall), "requests in %s through %s", hall, d.Name)
+		require.Equal(s.t, n, s.requestsIn(hall), "requests in %s through %s", hall, d.Name)
 	}
 }
 
 // reachesHall sends requests through a daemon until one reaches a failure domain.
-func (s *site) reachesHall(d *daemon, hall string) {
+func (s *testbed) sendUntilDomainReached(d *daemon, hall string) {
 	s.t.Helper()
-	before := s.arrivals(hall)
-	stop := repeatedly(callersAtOnce, func(int) { s.send(s.call(pathSafe), d) })
+	before := s.requestsIn(hall)
+	stop := runWorkers(concurrentCallers, func(int) { s.send(s.newCall(pathSafe), d) })
 	defer stop()
 	s.eventually(func() error {
-		if s.arrivals(hall) == before {
+		if s.requestsIn(hall) == before {
 			return trace.Errorf("nothing reaches %s", hall)
 		}
 		return nil
@@ -82,132 +82,132 @@
 }
 
 // evacuatedAt waits until a daemon has an evacuation in force.
-func (s *site) evacuatedAt(d *daemon, hall string) {
+func (s *testbed) waitEvacuated(d *daemon, hall string) {
 	s.t.Helper()
-	s.logged(d, "evacuation.in_force", "failure_domain="+hall)
+	s.waitForLog(d, "evacuation.in_force", "failure_domain="+hall)
 }
 
 // Guards against requests to instances of a failure domain that the operator has emptied,
 // and against one that stays empty once it is taken back.
-func TestEvacuatedDomainGetsNothing(t *testing.T) {
-	s := newSite(t)
-	s.twoPerHall()
-	daemons := []*daemon{s.serving(), s.serving(), s.serving()}
+func TestEvacuatedDomainGetsNoRequests(t *testing.T) {
+	s := newTestbed(t)
+	s.startTwoPerDomain()
+	daemons := []*daemon{s.startReadyDaemon(), s.startReadyDaemon(), s.startReadyDaemon()}
 	s.store.Evacuate("hall-b")
 	for _, d := range daemons {
-		s.evacuatedAt(d, "hall-b")
-		s.serves(d, "hall-b")
+		s.waitEvacuated(d, "hall-b")
+		s.requireServedOutside(d, "hall-b")
 	}
 	s.store.Evacuate("hall-c")
 	for _, d := range daemons {
-		s.evacuatedAt(d, "hall-c")
-		s.serves(d, "hall-b", "hall-c")
-		shown := s.beliefs(d).Evacuations
+		s.waitEvacuated(d, "hall-c")
+		s.requireServedOutside(d, "hall-b", "hall-c")
+		shown := s.status(d).Evacuations
 		require.Len(t, shown, 2)
 		require.Equal(t, "hall-b", shown[0].FailureDomain)
 		require.GreaterOrEqual(t, shown[0].SinceMS, shown[1].SinceMS)
 	}
 	s.store.Restore("hall-b")
 	for _, d := range daemons {
-		s.logged(d, "evacuation.lifted", "failure_domain=hall-b")
-		s.reachesHall(d, "hall-b")
-		s.serves(d, "hall-c")
+		s.waitForLog(d, "evacuation.lifted", "failure_domain=hall-b")
+		s.sendUntilDomainReached(d, "hall-b")
+		s.requireServedOutside(d, "hall-c")
 	}
 }
 
 // Guards against a daemon that starts in the middle of an evacuation, while the store is
 // away, and serves before it knows of it.
-func TestDaemonThatStartsKnowsEvacuations(t *testing.T) {
-	s := newSite(t)
-	s.twoPerHall()
-	first := s.serving()
+func TestStartingDaemonKnowsEvacuations(t *testing.T) {
+	s := newTestbed(t)
+	s.startTwoPerDomain()
+	first := s.startReadyDaemon()
 	s.store.Evacuate("hall-b")
-	s.evacuatedAt(first, "hall-b")
+	s.waitEvacuated(first, "hall-b")
 	s.store.SetFault(platformtest.FaultSilent)
-	second := s.serving()
-	s.serves(second, "hall-b")
+	second := s.startReadyDaemon()
+	s.requireServedOutside(second, "hall-b")
 }
 
 // Guards against an evacuation that is missed, or stays in force, because the store has
 // dropped the history in which it began and ended.
 func TestEvacuationsAfterLostHistory(t *testing.T) {
-	s := newSite(t)
-	s.twoPerHall()
-	d := s.serving()
+	s := newTestbed(t)
+	s.startTwoPerDomain()
+	d := s.startReadyDaemon()
 	s.store.Evacuate("hall-a")
-	s.evacuatedAt(d, "hall-a")
+	s.waitEvacuated(d, "hall-a")
 	s.store.SetFault(platformtest.FaultSilent)
-	s.logged(d, "store.lost")
+	s.waitForLog(d, "store.lost")
 	s.store.Restore("hall-a")
 	s.store.Evacuate("hall-b")
 	s.store.Compact()
 	s.store.SetFault(platformtest.FaultNone)
-	s.evacuatedAt(d, "hall-b")
-	s.logged(d, "evacuation.lifted", "failure_domain=hall-a")
-	s.serves(d, "hall-b")
-	s.reachesHall(d, "hall-a")
+	s.waitEvacuated(d, "hall-b")
+	s.waitForLog(d, "evacuation.lifted", "failure_domain=hall-a")
+	s.requireServedOutside(d, "hall-b")
+	s.sendUntilDomainReached(d, "hall-a")
 }
 
 // Guards against a daemon that the store turns away and that so misses an evacuation.
-func TestDaemonThatMissesTheStoreHearsOfEvacuations(t *testing.T) {
-	s := newSite(t)
-	s.twoPerHall()
-	reader, deaf := s.serving(), s.start(func(r *settings.Routes) { r.Platform = "127.0.0.1:1" })
-	s.logged(deaf, "daemon.offered")
+func TestDaemonWithoutStoreLearnsEvacuations(t *testing.T) {
+	s := newTestbed(t)
+	s.startTwoPerDomain()
+	reader, deaf := s.startReadyDaemon(), s.startDaemon(func(r *settings.Routes) { r.Platform = "127.0.0.1:1" })
+	s.waitForLog(deaf, "daemon.offered")
 	s.store.Evacuate("hall-b")
-	s.evacuatedAt(reader, "hall-b")
-	s.evacuatedAt(deaf, "hall-b")
-	s.serves(deaf, "hall-b")
+	s.waitEvacuated(reader, "hall-b")
+	s.waitEvacuated(deaf, "hall-b")
+	s.requireServedOutside(deaf, "hall-b")
 	s.store.Restore("hall-b")
-	s.logged(deaf, "evacuation.lifted", "failure_domain=hall-b")
-	s.reachesHall(deaf, "hall-b")
+	s.waitForLog(deaf, "evacuation.lifted", "failure_domain=hall-b")
+	s.sendUntilDomainReached(deaf, "hall-b")
 }
 
 // Guards against callers that are held until their deadline where all instances are in
 // evacuated failure domains.
-func TestCallersAreRefusedAtOnceWhenAllIsEvacuated(t *testing.T) {
-	s := newSite(t)
-	s.server(platformtest.ServerOptions{ID: "hall-b-0", Service: plain, FailureDomain: "hall-b"})
-	d := s.serving()
+func TestRequestsAreRefusedWhenAllIsEvacuated(t *testing.T) {
+	s := newTestbed(t)
+	s.startServer(platformtest.ServerOptions{ID: "hall-b-0", Service: plainService, FailureDomain: "hall-b"})
+	d := s.startReadyDaemon()
 	s.store.Evacuate("hall-b")
-	s.evacuatedAt(d, "hall-b")
-	c := s.call(pathOnce)
+	s.waitEvacuated(d, "hall-b")
+	c := s.newCall(pathUnsafe)
 	reply := s.send(c, d)
 	require.Equal(t, http.StatusServiceUnavailable, reply.Status)
-	require.Empty(t, s.runs(c.ID))
+	require.Empty(t, s.serversThatRan(c.ID))
 	after, err := strconv.ParseFloat(reply.RetryAfter, 64)
 	require.NoError(t, err)
 	require.Positive(t, after)
 }
 
 // Guards against streams that are cut when their failure domain is evacuated.
-func TestStreamsInAnEvacuatedDomainRunOn(t *testing.T) {
-	s := newSite(t)
+func TestStreamsSurviveEvacuation(t *testing.T) {
+	s := newTestbed(t)
 	const pieces = 10
-	s.server(platformtest.ServerOptions{
-		ID: "hall-b-0", Service: engines, FailureDomain: "hall-b", Events: pieces, Work: 100 * time.Millisecond, Confidence: map[string]int{"small": 90},
+	s.startServer(platformtest.ServerOptions{
+		ID: "hall-b-0", Service: engineService, FailureDomain: "hall-b", Events: pieces, Work: 100 * time.Millisecond, Confidence: map[string]int{"small": 90},
 	})
-	d := s.serving()
-	c := s.call(pathTurns)
+	d := s.startReadyDaemon()
+	c := s.newCall(pathStream)
 	answer := make(chan platformtest.Reply)
 	go func() { answer <- s.send(c, d) }()
 	s.eventually(func() error {
-		if len(s.runs(c.ID)) == 0 {
+		if len(s.serversThatRan(c.ID)) == 0 {
 			return trace.Errorf("the stream has not begun")
 		}
 		return nil
 	})
 	s.store.Evacuate("hall-b")
-	s.evacuatedAt(d, "hall-b")
+	s.waitEvacuated(d, "hall-b")
 	reply := <-answer
 	require.NoError(t, reply.Err)
-	require.Equal(t, events(c.ID, pieces), reply.Body)
-	require.Len(t, s.runs(c.ID), 1)
+	require.Equal(t, eventStream(c.ID, pieces), reply.Body)
+	require.Len(t, s.serversThatRan(c.ID), 1)
 }
 
 // warming declares the plain service with instances that bear few requests after a start.
-func warming(version int64) wire.Manifest {
-	m := declaration(version)
+func coldStartManifest(version int64) wire.Manifest {
+	m := newManifest(version)
 	for i := range m.Services {
 		m.Services[i].ColdStartS, m.Services[i].ColdPerS = 3, 9
 	}
@@ -216,12 +216,12 @@
 
 // coldLimit is how many requests in any second end a cold server of these tests: one and a
 // half times its rate, and five.
-const coldLimit = 18
+const coldCrashRate = 18
 
 // cold starts a server that is cold.
-func (s *site) cold(id, hall string, d time.Duration) *platformtest.Server {
+func (s *testbed) startCold(id, hall string, d time.Duration) *platformtest.Server {
 	server := platformtest.NewServer(platformtest.ServerOptions{
-		ID: id, Service: plain, FailureDomain: hall, Version: "v1", Slots: 8, Cold: d, ColdPerS: coldLimit,
+		ID: id, Service: plainService, FailureDomain: hall, Version: "v1", Slots: 8, Cold: d, ColdPerS: coldCrashRate,
 	})
 	s.t.Cleanup(server.Close)
 	s.servers[id] = server
@@ -230,16 +230,16 @@
 }
 
 // flood has callers send through all daemons until it is stopped.
-func (s *site) flood(daemons []*daemon) (stop func()) {
+func (s *testbed) startFlood(daemons []*daemon) (stop func()) {
 	const perDaemon = 4
-	return repeatedly(perDaemon*len(daemons), func(worker int) {
-		s.send(s.call(pathSafe), daemons[worker%len(daemons)])
+	return runWorkers(perDaemon*len(daemons), func(worker int) {
+		s.send(s.newCall(pathSafe), daemons[worker%len(daemons)])
 	})
 }
 
 // bears waits until a server has had some requests, and requires that they have not ended
 // it.
-func (s *site) bears(server *platformtest.Server, requests int) {
+func (s *testbed) requireNotOverloaded(server *platformtest.Server, requests int) {
 	s.t.Helper()
 	s.eventually(func() error {
 		if n := len(server.Seen()); n < requests && !server.Overrun() {
@@ -251,11 +251,11 @@
 }
 
 // listed waits until daemons know a server.
-func (s *site) listed(daemons []*daemon, id string) {
+func (s *testbed) waitListed(daemons []*daemon, id string) {
 	s.t.Helper()
 	for _, d := range daemons {
 		s.eventually(func() error {
-			for _, v := range s.beliefs(d).List.Instances[plain] {
+			for _, v := range s.status(d).List.Instances[plainService] {
 				if v.Instance.ID == id {
 					return nil
 				}
@@ -267,33 +267,33 @@
 
 // Guards against an instance that ends again and again because the whole fleet sends to it
 // as soon as it has started.
-func TestColdInstanceIsNotOverrun(t *testing.T) {
-	s := newSite(t)
-	s.store.Declare(warming(5))
-	s.twoPerHall()
+func TestColdInstanceIsNotOverloaded(t *testing.T) {
+	s := newTestbed(t)
+	s.store.Declare(coldStartManifest(5))
+	s.startTwoPerDomain()
 	var daemons []*daemon
 	for range 8 {
-		daemons = append(daemons, s.serving())
+		daemons = append(daemons, s.startReadyDaemon())
 	}
-	stop := s.flood(daemons)
+	stop := s.startFlood(daemons)
 	defer stop()
-	cold := s.cold("hall-a-new", "hall-a", 3*time.Second)
-	s.listed(daemons, "hall-a-new")
-	s.bears(cold, 100)
+	cold := s.startCold("hall-a-new", "hall-a", 3*time.Second)
+	s.waitListed(daemons, "hall-a-new")
+	s.requireNotOverloaded(cold, 100)
 }
 
 // Guards against a service that ends as a whole when all of its instances are cold, and
 // against callers that get nothing meanwhile.
 func TestAllInstancesCold(t *testing.T) {
-	s := newSite(t)
-	s.store.Declare(warming(5))
+	s := newTestbed(t)
+	s.store.Declare(coldStartManifest(5))
 	var cold []*platformtest.Server
 	for n := range 3 {
-		cold = append(cold, s.cold(fmt.Sprint("hall-a-", n), "hall-a", 3*time.Second))
+		cold = append(cold, s.startCold(fmt.Sprint("hall-a-", n), "hall-a", 3*time.Second))
 	}
 	var daemons []*daemon
 	for range 4 {
-		daemons = append(daemons, s.serving())
+		daemons = append(daemons, s.startReadyDaemon())
 	}
 	for _, server := range cold {
 		server.Cool(3 * time.Second)
@@ -301,7 +301,7 @@
 	}
 	s.eventually(func() error {
 		for _, d := range daemons {
-			for _, v := range s.beliefs(d).List.Instances[plain] {
+			for _, v := range s.status(d).List.Instances[plainService] {
 				if !v.Warming {
 					return trace.Errorf("%s takes %s for warm", d.Name, v.Instance.ID)
 				}
@@ -309,51 +309,51 @@
 		}
 		return nil
 	})
-	stop := s.flood(daemons)
+	stop := s.startFlood(daemons)
 	defer stop()
 	for _, server := range cold {
-		s.bears(server, 60)
+		s.requireNotOverloaded(server, 60)
 	}
 }
 
 // Guards against a failure domain whose instances all end when it is taken back: they came
 // back cold, and their entries say so late.
-func TestRestoredDomainIsNotOverrun(t *testing.T) {
-	s := newSite(t)
-	s.store.Declare(warming(5))
-	s.twoPerHall()
-	cold := s.cold("hall-d-0", "hall-d", 0)
+func TestRestoredDomainIsNotOverloaded(t *testing.T) {
+	s := newTestbed(t)
+	s.store.Declare(coldStartManifest(5))
+	s.startTwoPerDomain()
+	cold := s.startCold("hall-d-0", "hall-d", 0)
 	var daemons []*daemon
 	for range 6 {
-		daemons = append(daemons, s.serving())
+		daemons = append(daemons, s.startReadyDaemon())
 	}
 	s.store.Evacuate("hall-d")
 	for _, d := range daemons {
-		s.evacuatedAt(d, "hall-d")
+		s.waitEvacuated(d, "hall-d")
 	}
-	stop := s.flood(daemons)
+	stop := s.startFlood(daemons)
 	defer stop()
 	cold.Cool(2 * time.Second)
 	s.store.Restore("hall-d")
-	s.bears(cold, 80)
+	s.requireNotOverloaded(cold, 80)
 }
 
 // Guards against callers for whom no turn at a cold instance comes in time, and who are
 // held while the budget of repeats is spent on asking again.
-func TestCallersWithoutATurnTakeNoRepeat(t *testing.T) {
-	s := newSite(t)
-	m := warming(5)
+func TestColdInstanceWaitUsesNoRetry(t *testing.T) {
+	s := newTestbed(t)
+	m := coldStartManifest(5)
 	for i := range m.Services {
 		// A turn in more than the time that callers have.
 		m.Services[i].ColdStartS, m.Services[i].ColdPerS = 60, 0.01
 	}
 	s.store.Declare(m)
-	s.cold("hall-a-0", "hall-a", time.Minute)
-	d := s.start(func(r *settings.Routes) { r.RetryRatio, r.RetrySlack = 0, 2 })
-	s.logged(d, "daemon.offered")
+	s.startCold("hall-a-0", "hall-a", time.Minute)
+	d := s.startDaemon(func(r *settings.Routes) { r.RetryRatio, r.RetrySlack = 0, 2 })
+	s.waitForLog(d, "daemon.offered")
 	refused := 0
 	for range 5 {
-		c := s.call(pathSafe)
+		c := s.newCall(pathSafe)
 		reply := s.send(c, d)
 		if reply.Status == http.StatusOK {
 			// The one turn.
@@ -362,8 +362,8 @@
 		refused++
 		require.Equal(t, http.StatusServiceUnavailable, reply.Status, reply.Body)
 		require.Contains(t, reply.Body, "warm up")
-		require.Empty(t, s.runs(c.ID))
-		require.Contains(t, s.logged(d, "request.done", "request="+c.ID+" "), "no_retry=no_instance")
+		require.Empty(t, s.serversThatRan(c.ID))
+		require.Contains(t, s.waitForLog(d, "request.done", "request="+c.ID+" "), "no_retry=no_instance")
 	}
 	require.GreaterOrEqual(t, refused, 4)
 }
--- a/test/routes/harness_test.go
+++ b/test/routes/harness_test.go
@@ -35,26 +35,26 @@
 	host      = "shop.example"
 	key       = "key-of-visrad"
 	otherKey  = "key-of-mtkvari"
-	plain     = "catalogue"
-	engines   = "clearance"
+	plainService     = "catalogue"
+	engineService   = "clearance"
 	pathSafe  = "/lookup/one"
-	pathOnce  = "/statement/one"
-	pathTurns = "/notes/one"
+	pathUnsafe  = "/statement/one"
+	pathStream = "/notes/one"
 )
 
 // declaration is the configuration that most tests start from.
-func declaration(version int64) wire.Manifest {
+func newManifest(version int64) wire.Manifest {
 	return wire.Manifest{
 		Version: version,
 		Routes: []wire.Route{
-			{Name: "safe", Host: host, Prefix: "/lookup/", RouteType: wire.KindSafe, TimeoutMS: 8000, TargetLatencyMS: 2000, Service: plain, MaxAttempts: 2},
-			{Name: "once", Host: host, Prefix: "/statement/", RouteType: wire.KindUnsafe, TimeoutMS: 8000, TargetLatencyMS: 2000, Service: plain, MaxAttempts: 1},
+			{Name: "safe", Host: host, Prefix: "/lookup/", RouteType: wire.KindSafe, TimeoutMS: 8000, TargetLatencyMS: 2000, Service: plainService, MaxAttempts: 2},
+			{Name: "once", Host: host, Prefix: "/statement/", RouteType: wire.KindUnsafe, TimeoutMS: 8000, TargetLatencyMS: 2000, Service: plainService, MaxAttempts: 1},
 			{Name: "turns", Host: host, Prefix: "/notes/", RouteType: wire.KindStream, TimeoutMS: 20000, TargetLatencyMS: 8000, GapTargetMS: 4000,
-				Service: engines, MaxAttempts: 3, Resumable: true, Sizes: []string{"small", "large"}},
+				Service: engineService, MaxAttempts: 3, Resumable: true, Sizes: []string{"small", "large"}},
 		},
 		Services: []wire.Service{
-			{Name: plain, HealthPath: "/health", MaxConnections: 60},
-			{Name: engines, HealthPath: "/health", MaxConnections: 60, Engine: &wire.Engine{Models: []wire.Model{{Name: "small", Cost: 1}, {Name: "large", Cost: 9}}}},
+			{Name: plainService, HealthPath: "/health", MaxConnections: 60},
+			{Name: engineService, HealthPath: "/health", MaxConnections: 60, Engine: &wire.Engine{Models: []wire.Model{{Name: "small", Cost: 1}, {Name: "large", Cost: 9}}}},
 		},
 		Limits:  wire.Limits{MaxHeaderBytes: 16384, MaxBodyBytes: 4096, HeaderTimeoutMS: 3000, IdleTimeoutMS: 15000},
 		Tenants: []wire.Tenant{{Name: "visrad", APIKeys: []string{key}}, {Name: "mtkvari", APIKeys: []string{otherKey}}},
@@ -64,34 +64,34 @@
 // daemon is a running daemon.
 type daemon struct {
 	*cluster.Process
-	callers, ready, directory, metrics, peers string
+	callerAddress, readyAddress, directoryAddress, metricsAddress, peerAddress string
 }
 
 // site is an installation: a store, servers and daemons.
-type site struct {
+type testbed struct {
 	t       *testing.T
 	store   *platformtest.Store
-	address string
+	storeAddress string
 	servers map[string]*platformtest.Server
 	daemons []*daemon
 	client  *http.Client
-	ids     atomic.Int64
+	lastID     atomic.Int64
 }
 
-func newSite(t *testing.T) *site {
-	s := &site{t: t, store: platformtest.NewStore(), servers: map[string]*platformtest.Server{}}
+func newTestbed(t *testing.T) *testbed {
+	s := &testbed{t: t, store: platformtest.NewStore(), servers: map[string]*platformtest.Server{}}
 	address, stop := s.store.Serve()
-	s.address = address
+	s.storeAddress = address
 	t.Cleanup(stop)
 	s.client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: cluster.Patience}
-	s.store.Declare(declaration(3))
+	s.store.Declare(newManifest(3))
 	t.Cleanup(s.keepLogs)
 	return s
 }
 
 // keepLogs writes the daemons' logs of a test that failed into the directory that ROUTES_LOGS
 // names.
-func (s *site) keepLogs() {
+func (s *testbed) keepLogs() {
 	dir := os.Getenv("ROUTES_LOGS")
 	if dir == "" || !s.t.Failed() {
 		return
@@ -106,14 +106,14 @@
 }
 
 // server starts an upstream server and puts it on the platform's list.
-func (s *site) server(o platformtest.ServerOptions) *platformtest.Server {
+func (s *testbed) startServer(o platformtest.ServerOptions) *platformtest.Server {
 	server := s.newServer(o)
 	s.servers[o.ID] = server
 	return server
 }
 
 // newServer starts a server that the site does not keep.
-func (s *site) newServer(o platformtest.ServerOptions) *platformtest.Server {
+func (s *testbed) newServer(o platformtest.ServerOptions) *platformtest.Server {
 	if o.Slots == 0 {
 		o.Slots = 8
 	}
@@ -128,18 +128,18 @@
 
 // start starts a daemon whose seeds are the daemons that run. change may alter
 // its settings.
-func (s *site) start(change func(*settings.Routes)) *daemon {
+func (s *testbed) startDaemon(change func(*settings.Routes)) *daemon {
 	s.t.Helper()
 	name := fmt.Sprintf("entry-%d", len(s.daemons)+1)
 	r := settings.Routes{
-		Instance: name, FailureDomain: "hall-a", Site: "gothenburg", Platform: s.address,
+		Instance: name, FailureDomain: "hall-a", Site: "gothenburg", Platform: s.storeAddress,
 		CallerListen: "127.0.0.1:0", ReadyListen: "127.0.0.1:0", DirectoryListen: "127.0.0.1:0",
 		PeerListen: "127.0.0.1:0", MetricsListen: "127.0.0.1:0",
 		MemoryMB: 256, Descriptors: 1000, SessionS: 2, StopS: 8, DrainMS: 1000, ExposureShare: 0.15,
 		RetryRatio: 0.9, RetrySlack: 50, RetryWindowS: 10, Seeds: []string{},
 	}
 	for _, d := range s.daemons {
-		r.Seeds = append(r.Seeds, d.peers)
+		r.Seeds = append(r.Seeds, d.peerAddress)
 	}
 	if change != nil {
 		change(&r)
@@ -152,19 +152,19 @@
 	require.NoError(s.t, err)
 	s.t.Cleanup(p.Kill)
 	d := &daemon{
-		Process: p, callers: cluster.Field(line, "callers"), ready: cluster.Field(line, "ready"),
-		directory: cluster.Field(line, "directory"), metrics: cluster.Field(line, "metrics"), peers: cluster.Field(line, "peers"),
+		Process: p, callerAddress: cluster.Field(line, "callers"), readyAddress: cluster.Field(line, "ready"),
+		directoryAddress: cluster.Field(line, "directory"), metricsAddress: cluster.Field(line, "metrics"), peerAddress: cluster.Field(line, "peers"),
 	}
 	s.daemons = append(s.daemons, d)
 	return d
 }
 
 // serving starts a daemon and waits until it is ready.
-func (s *site) serving() *daemon {
+func (s *testbed) startReadyDaemon() *daemon {
 	s.t.Helper()
-	d := s.start(nil)
+	d := s.startDaemon(nil)
 	s.eventually(func() error {
-		if !platformtest.Ready(context.Background(), s.client, d.ready) {
+		if !platformtest.Ready(context.Background(), s.client, d.readyAddress) {
 			return trace.Errorf("%s is not ready\n%s", d.Name, d.Log())
 		}
 		return nil
@@ -172,16 +172,16 @@
 	return d
 }
 
-func (s *site) eventually(f func() error) {
+func (s *testbed) eventually(f func() error) {
 	s.t.Helper()
 	require.NoError(s.t, cluster.Eventually(f))
 }
 
 // logsContain reports whether a line of the log contains all parts.
-func (d *daemon) logsContain(parts ...string) bool { return d.line(parts...) != "" }
+func (d *daemon) logsContain(parts ...string) bool { return d.logLine(parts...) != "" }
 
 // line returns the first line of the log that contains all parts.
-func (d *daemon) line(parts ...string) string {
+func (d *daemon) logLine(parts ...string) string {
 	for line := range strings.SplitSeq(d.Log(), "\n") {
 		all := line != ""
 		for _, part := range parts {
@@ -195,11 +195,11 @@
 }
 
 // logged waits for a line of a daemon's log that contains all parts.
-func (s *site) logged(d *daemon, parts ...string) string {
+func (s *testbed) waitForLog(d *daemon, parts ...string) string {
 	s.t.Helper()
 	var found string
 	s.eventually(func() error {
-		if found = d.line(parts...); found == "" {
+		if found = d.logLine(parts...); found == "" {
 			return trace.Errorf("%s has not logged %q\n%s", d.Name, parts, d.Log())
 		}
 		return nil
@@ -208,15 +208,15 @@
 }
 
 // call returns a call with an id of its own.
-func (s *site) call(path string) platformtest.Call {
+func (s *testbed) newCall(path string) platformtest.Call {
 	c := platformtest.Call{
-		Host: host, Path: path, Key: key, ID: fmt.Sprintf("request-%d", s.ids.Add(1)),
+		Host: host, Path: path, Key: key, ID: fmt.Sprintf("request-%d", s.lastID.Add(1)),
 		Patience: 6 * time.Second, Body: "body of a request",
 	}
 	if path == pathSafe {
 		c.Method = http.MethodGet
 	}
-	if path == pathTurns {
+	if path == pathStream {
 		c.Model, c.Prompt, c.Patience = "*", "aa:100,bb:200,cc:50", 15*time.Second
 		c.Session = c.ID
 	}
@@ -224,12 +224,12 @@
 }
 
 // send sends a call to a daemon.
-func (s *site) send(c platformtest.Call, d *daemon) platformtest.Reply {
-	return c.Send(context.Background(), s.client, d.callers)
+func (s *testbed) send(c platformtest.Call, d *daemon) platformtest.Reply {
+	return c.Send(context.Background(), s.client, d.callerAddress)
 }
 
 // runs returns the IDs of the servers that ran a request.
-func (s *site) runs(id string) []string {
+func (s *testbed) serversThatRan(id string) []string {
 	var out []string
 	for name, server := range s.servers {
 		for _, seen := range server.Seen() {
@@ -242,7 +242,7 @@
 }
 
 // events is the whole stream that answers a call.
-func events(id string, n int) string {
+func eventStream(id string, n int) string {
 	var b strings.Builder
 	for i := range n {
 		b.WriteString(platformtest.Event(id, i+1))
@@ -251,7 +251,7 @@
 }
 
 // whole requires a reply that is the whole answer of a server to a call.
-func (s *site) whole(c platformtest.Call, r platformtest.Reply, by string) {
+func (s *testbed) requireWholeAnswer(c platformtest.Call, r platformtest.Reply, by string) {
 	s.t.Helper()
 	require.NoError(s.t, r.Err)
 	require.Equal(s.t, http.StatusOK, r.Status, r.Body)
@@ -261,7 +261,7 @@
 }
 
 // repeatedly has some workers do something again and again until they are stopped.
-func repeatedly(workers int, do func(worker int)) (stop func()) {
+func runWorkers(workers int, do func(worker int)) (stop func()) {
 	done := make(chan struct{})
 	var all sync.WaitGroup
 	for worker := range workers {
@@ -283,4 +283,4 @@
 }
 
 // stop sends SIGTERM.
-func (d *daemon) stop() { d.Signal(syscall.SIGTERM) }
+func (d *daemon) terminate() { d.Signal(syscall.SIGTERM) }
--- a/test/routes/limit_test.go
+++ b/test/routes/limit_test.go
@@ -23,26 +23,26 @@
 	limitSlack  = 5
 	// limitTold is the time from a server's first answer that names a limit until all
 	// daemons must keep it.
-	limitTold = time.Second
+	limitPropagation = time.Second
 )
 
 // mostAllowed is the most requests that a server may get in limitWindow.
-func mostAllowed(perSecond float64) int {
+func maxRequests(perSecond float64) int {
 	return int(1.5*perSecond*limitWindow.Seconds()) + limitSlack
 }
 
 // load is callers that send through all daemons until they are stopped.
 type load struct {
 	mu      sync.Mutex
-	replies []sent
+	replies []exchange
 	stop    func()
 }
 
 // steady sends about 20 plain requests a second through each daemon.
-func (s *site) steady(daemons []*daemon) *load { return s.steadily(daemons, pathSafe, pathOnce) }
+func (s *testbed) startLoad(daemons []*daemon) *load { return s.startLoadOf(daemons, pathSafe, pathUnsafe) }
 
 // steadily sends about 20 requests a second, to some paths by turns, through each daemon.
-func (s *site) steadily(daemons []*daemon, paths ...string) *load {
+func (s *testbed) startLoadOf(daemons []*daemon, paths ...string) *load {
 	l := &load{}
 	pace := time.NewTicker(50 * time.Millisecond)
 	s.t.Cleanup(pace.Stop)
@@ -67,17 +67,17 @@
 		}
 	}()
 	const perDaemon = 4
-	stop := repeatedly(perDaemon*len(daemons), func(worker int) {
+	stop := runWorkers(perDaemon*len(daemons), func(worker int) {
 		at := worker % len(daemons)
 		select {
 		case <-ended:
 			return
 		case <-ticks[at]:
 		}
-		c := s.call(paths[worker/len(daemons)%len(paths)])
+		c := s.newCall(paths[worker/len(daemons)%len(paths)])
 		reply := s.send(c, daemons[at])
 		l.mu.Lock()
-		l.replies = append(l.replies, sent{c, reply})
+		l.replies = append(l.replies, exchange{c, reply})
 		l.mu.Unlock()
 	})
 	l.stop = sync.OnceFunc(func() {
@@ -89,13 +89,13 @@
 }
 
 // all ends the load and returns what callers got.
-func (l *load) all() []sent {
+func (l *load) finish() []exchange {
 	l.stop()
 	return l.replies
 }
 
 // lasts lets a load go on until a time.
-func (s *site) lasts(until time.Time) {
+func (s *testbed) waitUntil(until time.Time) {
 	s.eventually(func() error {
 		if left := time.Until(until); left > 0 {
 			return trace.Errorf("%v left", left)
@@ -105,7 +105,7 @@
 }
 
 // allServed requires that callers were served, each by one server.
-func (s *site) allServed(replies []sent) {
+func (s *testbed) requireAllServed(replies []exchange) {
 	s.t.Helper()
 	for _, r := range replies {
 		require.NoError(s.t, r.reply.Err)
@@ -114,54 +114,54 @@
 }
 
 // limitDaemons starts a fleet.
-func (s *site) limitDaemons(n int) []*daemon {
+func (s *testbed) startDaemons(n int) []*daemon {
 	var out []*daemon
 	for range n {
-		out = append(out, s.serving())
+		out = append(out, s.startReadyDaemon())
 	}
 	return out
 }
 
 // Guards against a server that gets more than the limit that it names in its answers,
 // summed over a fleet in which each daemon by itself keeps it.
-func TestServerThatNamesALimitGetsNoMore(t *testing.T) {
+func TestServerRateLimitIsKept(t *testing.T) {
 	for _, perSecond := range []string{"6", "1.2", "1", "0.1", "0"} {
 		t.Run(perSecond, func(t *testing.T) {
 			t.Parallel()
-			s := newSite(t)
-			limited := s.threeServers("", nil)
-			daemons := s.limitDaemons(5)
-			l := s.steady(daemons)
-			s.reached(limited, daemons[0])
+			s := newTestbed(t)
+			limited := s.startThreeServers("", nil)
+			daemons := s.startDaemons(5)
+			l := s.startLoad(daemons)
+			s.sendUntilReached(limited, daemons[0])
 			limited.Limit(perSecond)
-			from := time.Now().Add(limitTold)
-			s.lasts(from.Add(limitWindow + 2*time.Second))
+			from := time.Now().Add(limitPropagation)
+			s.waitUntil(from.Add(limitWindow + 2*time.Second))
 			rate, err := strconv.ParseFloat(perSecond, 64)
 			require.NoError(t, err)
-			require.LessOrEqual(t, limited.MostIn(limitWindow, from), mostAllowed(rate))
-			s.allServed(l.all())
+			require.LessOrEqual(t, limited.MostIn(limitWindow, from), maxRequests(rate))
+			s.requireAllServed(l.finish())
 		})
 	}
 }
 
 // Guards against a server that is left at its limit after its answers have ceased to name
 // one.
-func TestServerThatNamesNoLimitAnyMoreIsInFullUse(t *testing.T) {
+func TestLiftedRateLimit(t *testing.T) {
 	for _, perSecond := range []string{"2", "0"} {
 		t.Run(perSecond, func(t *testing.T) {
 			t.Parallel()
-			s := newSite(t)
-			limited := s.threeServers("", nil)
-			daemons := s.limitDaemons(5)
-			l := s.steady(daemons)
+			s := newTestbed(t)
+			limited := s.startThreeServers("", nil)
+			daemons := s.startDaemons(5)
+			l := s.startLoad(daemons)
 			limited.Limit(perSecond)
-			from := time.Now().Add(limitTold)
-			s.lasts(from.Add(2 * time.Second))
+			from := time.Now().Add(limitPropagation)
+			s.waitUntil(from.Add(2 * time.Second))
 			limited.Limit("")
 			const noticed = 2 * time.Second
 			free := time.Now().Add(noticed)
-			s.lasts(free.Add(2 * time.Second))
-			s.allServed(l.all())
+			s.waitUntil(free.Add(2 * time.Second))
+			s.requireAllServed(l.finish())
 			others := (len(s.servers["cat-2"].SeenSince(free)) + len(s.servers["cat-3"].SeenSince(free))) / 2
 			require.Greater(t, len(limited.SeenSince(free)), others/2, "requests at the server that is free again, others had %d", others)
 		})
@@ -170,21 +170,21 @@
 
 // Guards against callers that are held or told something wrong where all servers of a
 // service name limits, and against limits that are not used.
-func TestAllServersNameLimits(t *testing.T) {
-	s := newSite(t)
-	s.threeServers("", nil)
-	daemons := s.limitDaemons(3)
-	l := s.steady(daemons)
+func TestAllServersRateLimited(t *testing.T) {
+	s := newTestbed(t)
+	s.startThreeServers("", nil)
+	daemons := s.startDaemons(3)
+	l := s.startLoad(daemons)
 	for _, server := range s.servers {
 		server.Limit("2")
 	}
-	from := time.Now().Add(limitTold)
+	from := time.Now().Add(limitPropagation)
 	const counted = 10 * time.Second
-	s.lasts(from.Add(counted))
-	replies := l.all()
+	s.waitUntil(from.Add(counted))
+	replies := l.finish()
 	arrived := 0
 	for id, server := range s.servers {
-		require.LessOrEqual(t, server.MostIn(limitWindow, from), mostAllowed(2), id)
+		require.LessOrEqual(t, server.MostIn(limitWindow, from), maxRequests(2), id)
 		arrived += len(server.SeenSince(from))
 	}
 	named := 2 * counted.Seconds() * float64(len(s.servers))
@@ -197,7 +197,7 @@
 		}
 		refused++
 		require.Equal(t, http.StatusServiceUnavailable, r.reply.Status, r.reply.Body)
-		require.Empty(t, s.runs(r.call.ID))
+		require.Empty(t, s.serversThatRan(r.call.ID))
 		after, err := strconv.ParseFloat(r.reply.RetryAfter, 64)
 		require.NoError(t, err)
 		require.Positive(t, after)
@@ -208,14 +208,14 @@
 
 // Guards against limits whose values cannot be meant: they bound nothing, and take nothing
 // back that was named before.
-func TestLimitsThatCannotBeMeant(t *testing.T) {
+func TestInvalidRateLimitsAreIgnored(t *testing.T) {
 	for _, text := range []string{"soon", "-3", "NaN", "1e300", "Inf"} {
 		t.Run(text, func(t *testing.T) {
-			s := newSite(t)
-			server := s.threeServers("", nil)
-			daemons := s.limitDaemons(1)
+			s := newTestbed(t)
+			server := s.startThreeServers("", nil)
+			daemons := s.startDaemons(1)
 			server.Limit(text)
-			l := s.steady(daemons)
+			l := s.startLoad(daemons)
 			const requests = 30
 			s.eventually(func() error {
 				if n := len(server.Seen()); n < requests {
@@ -223,51 +223,51 @@
 				}
 				return nil
 			})
-			s.allServed(l.all())
+			s.requireAllServed(l.finish())
 		})
 	}
 }
 
 // Guards against a limit that is lost when the daemons that heard it are replaced, while
 // the store is away.
-func TestLimitOutlivesTheDaemonsThatHeardIt(t *testing.T) {
-	s := newSite(t)
-	limited := s.threeServers("", nil)
+func TestRateLimitSurvivesReplacementOfDaemons(t *testing.T) {
+	s := newTestbed(t)
+	limited := s.startThreeServers("", nil)
 	limited.Limit("1")
-	first := s.limitDaemons(3)
-	s.reached(limited, first[0])
+	first := s.startDaemons(3)
+	s.sendUntilReached(limited, first[0])
 	for _, d := range first {
-		s.logged(d, "instance.limited", "instance=cat-1")
+		s.waitForLog(d, "instance.limited", "instance=cat-1")
 	}
-	second := s.limitDaemons(3)
+	second := s.startDaemons(3)
 	for _, d := range second {
-		s.logged(d, "instance.limited", "instance=cat-1")
+		s.waitForLog(d, "instance.limited", "instance=cat-1")
 	}
 	s.store.SetFault(platformtest.FaultSilent)
 	for _, d := range first {
 		d.Kill()
 	}
-	l := s.steady(second)
+	l := s.startLoad(second)
 	from := time.Now()
-	s.lasts(from.Add(limitWindow + time.Second))
-	require.LessOrEqual(t, limited.MostIn(limitWindow, from), mostAllowed(1))
-	s.allServed(l.all())
+	s.waitUntil(from.Add(limitWindow + time.Second))
+	require.LessOrEqual(t, limited.MostIn(limitWindow, from), maxRequests(1))
+	s.requireAllServed(l.finish())
 }
 
 // Guards against a server that starts again under its ID and is kept at the limit of its
 // earlier life.
-func TestServerThatStartsAgainHasNoLimit(t *testing.T) {
-	s := newSite(t)
-	limited := s.threeServers("", nil)
+func TestRestartedServerHasNoRateLimit(t *testing.T) {
+	s := newTestbed(t)
+	limited := s.startThreeServers("", nil)
 	limited.Limit("0.1")
-	d := s.serving()
-	s.reached(limited, d)
-	s.logged(d, "instance.limited", "instance=cat-1")
+	d := s.startReadyDaemon()
+	s.sendUntilReached(limited, d)
+	s.waitForLog(d, "instance.limited", "instance=cat-1")
 	limited.Lose()
-	again := s.newServer(platformtest.ServerOptions{ID: "cat-1", Service: plain, Born: 2})
+	again := s.newServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService, Born: 2})
 	const requests = 20
 	s.eventually(func() error {
-		s.send(s.call(pathSafe), d)
+		s.send(s.newCall(pathSafe), d)
 		if n := len(again.Seen()); n < requests {
 			return trace.Errorf("the new life has had %d requests", n)
 		}
@@ -277,8 +277,8 @@
 
 // Guards against streams that go beyond a server's limit as larger models are asked, cut
 // streams go on elsewhere, and prompts return to the server that has read them.
-func TestStreamsKeepLimits(t *testing.T) {
-	s := newSite(t)
+func TestStreamsKeepRateLimit(t *testing.T) {
+	s := newTestbed(t)
 	cutSome := func(seen platformtest.Seen) platformtest.Behaviour {
 		if len(seen.ID)%2 == 0 && seen.Header.Get(wire.HeaderLastEvent) == "" {
 			return platformtest.CutInside
@@ -286,19 +286,19 @@
 		return platformtest.Answer
 	}
 	for n := range 3 {
-		s.server(platformtest.ServerOptions{
-			ID: fmt.Sprint("eng-", n), Service: engines, Slots: 64, Events: 4, Work: 5 * time.Millisecond,
+		s.startServer(platformtest.ServerOptions{
+			ID: fmt.Sprint("eng-", n), Service: engineService, Slots: 64, Events: 4, Work: 5 * time.Millisecond,
 			Confidence: map[string]int{"small": 20, "large": 90}, Behave: cutSome,
 		})
 	}
 	var daemons []*daemon
 	for range 5 {
 		// Each stream takes a repeat for the larger model, and some one more to go on.
-		d := s.start(func(r *settings.Routes) { r.RetryRatio = 3 })
-		s.logged(d, "daemon.offered")
+		d := s.startDaemon(func(r *settings.Routes) { r.RetryRatio = 3 })
+		s.waitForLog(d, "daemon.offered")
 		daemons = append(daemons, d)
 	}
-	l := s.steadily(daemons, pathTurns)
+	l := s.startLoadOf(daemons, pathStream)
 	limited := s.servers["eng-1"]
 	s.eventually(func() error {
 		if len(limited.Seen()) == 0 {
@@ -307,81 +307,81 @@
 		return nil
 	})
 	limited.Limit("1")
-	from := time.Now().Add(limitTold)
-	s.lasts(from.Add(limitWindow + time.Second))
+	from := time.Now().Add(limitPropagation)
+	s.waitUntil(from.Add(limitWindow + time.Second))
 	limited.Limit("")
-	s.lasts(time.Now().Add(2 * time.Second))
+	s.waitUntil(time.Now().Add(2 * time.Second))
 	for _, d := range daemons {
-		require.NotEmpty(t, d.line("instance.limit_lifted", "instance=eng-1"), "%s holds the server for limited", d.Name)
+		require.NotEmpty(t, d.logLine("instance.limit_lifted", "instance=eng-1"), "%s holds the server for limited", d.Name)
 	}
-	replies := l.all()
+	replies := l.finish()
 	within := 0
 	for _, seen := range limited.SeenSince(from) {
 		if seen.At.Before(from.Add(limitWindow)) {
 			within++
 		}
 	}
-	require.LessOrEqual(t, within, mostAllowed(1))
+	require.LessOrEqual(t, within, maxRequests(1))
 	for _, r := range replies {
 		require.NoError(t, r.reply.Err)
 		require.Equal(t, http.StatusOK, r.reply.Status, r.reply.Body)
-		require.Equal(t, events(r.call.ID, 4), r.reply.Body)
+		require.Equal(t, eventStream(r.call.ID, 4), r.reply.Body)
 	}
 }
 
 // Guards against a limit that daemons do not keep which were frozen when it was named, or
 // which have just started.
-func TestDaemonsThatMissedALimitKeepIt(t *testing.T) {
-	s := newSite(t)
-	limited := s.threeServers("", nil)
-	daemons := s.limitDaemons(4)
+func TestRateLimitReachesFrozenAndNewDaemons(t *testing.T) {
+	s := newTestbed(t)
+	limited := s.startThreeServers("", nil)
+	daemons := s.startDaemons(4)
 	require.NoError(t, daemons[3].Freeze())
 	limited.Limit("1")
-	s.reached(limited, daemons[0])
+	s.sendUntilReached(limited, daemons[0])
 	for _, d := range daemons[:3] {
-		s.logged(d, "instance.limited", "instance=cat-1")
+		s.waitForLog(d, "instance.limited", "instance=cat-1")
 	}
 	daemons[3].Wake()
-	daemons = append(daemons, s.serving())
-	l := s.steady(daemons)
-	from := time.Now().Add(limitTold)
-	s.lasts(from.Add(limitWindow + time.Second))
-	require.LessOrEqual(t, limited.MostIn(limitWindow, from), mostAllowed(1))
-	s.allServed(l.all())
+	daemons = append(daemons, s.startReadyDaemon())
+	l := s.startLoad(daemons)
+	from := time.Now().Add(limitPropagation)
+	s.waitUntil(from.Add(limitWindow + time.Second))
+	require.LessOrEqual(t, limited.MostIn(limitWindow, from), maxRequests(1))
+	s.requireAllServed(l.finish())
 }
 
 // Guards against a server that names a limit and is cold, and gets what one of the two
 // allows; the lower one counts.
-func TestColdServerThatNamesALimit(t *testing.T) {
+func TestColdServerWithRateLimit(t *testing.T) {
 	for _, perSecond := range []string{"1", "100"} {
 		t.Run(perSecond, func(t *testing.T) {
 			t.Parallel()
-			s := newSite(t)
-			s.store.Declare(warming(5))
-			s.twoPerHall()
-			daemons := s.limitDaemons(5)
-			cold := s.cold("hall-a-new", "hall-a", limitTold+limitWindow)
+			s := newTestbed(t)
+			s.store.Declare(coldStartManifest(5))
+			s.startTwoPerDomain()
+			daemons := s.startDaemons(5)
+			cold := s.startCold("hall-a-new", "hall-a", limitPropagation+limitWindow)
 			cold.Limit(perSecond)
-			l := s.steady(daemons)
-			from := time.Now().Add(limitTold)
-			s.lasts(from.Add(limitWindow))
+			l := s.startLoad(daemons)
+			from := time.Now().Add(limitPropagation)
+			s.waitUntil(from.Add(limitWindow))
 			rate, err := strconv.ParseFloat(perSecond, 64)
 			require.NoError(t, err)
-			require.LessOrEqual(t, cold.MostIn(limitWindow, from), mostAllowed(rate))
+			require.LessOrEqual(t, cold.MostIn(limitWindow, from), maxRequests(rate))
 			require.False(t, cold.Overrun())
-			s.allServed(l.all())
+			s.requireAllServed(l.finish())
 		})
 	}
 }
 
 // Guards against a server whose limit goes up and down with each answer, and that gets more
 // than the higher one.
-func TestServerWhoseLimitChangesAllTheTime(t *testing.T) {
-	s := newSite(t)
+func TestChangingRateLimit(t *testing.T) {
+	s := newTestbed(t)
 	var limited *platformtest.Server
 	var mu sync.Mutex
 	answers := 0
-	limited = s.threeServers("", func(platformtest.Seen) platformtest.Behaviour {
+	limited = s.startThreeServers("", func(platformtest.Seen) platformtest.Behaviour {
 		mu.Lock()
 		defer mu.Unlock()
 		answers++
@@ -389,11 +389,11 @@
 		return platformtest.Answer
 	})
 	limited.Limit("1")
-	daemons := s.limitDaemons(5)
-	l := s.steady(daemons)
-	s.reached(limited, daemons[0])
-	from := time.Now().Add(limitTold)
-	s.lasts(from.Add(limitWindow + 2*time.Second))
-	require.LessOrEqual(t, limited.MostIn(limitWindow, from), mostAllowed(1))
-	s.allServed(l.all())
+	daemons := s.startDaemons(5)
+	l := s.startLoad(daemons)
+	s.sendUntilReached(limited, daemons[0])
+	from := time.Now().Add(limitPropagation)
+	s.waitUntil(from.Add(limitWindow + 2*time.Second))
+	require.LessOrEqual(t, limited.MostIn(limitWindow, from), maxRequests(1))
+	s.requireAllServed(l.finish())
 }
--- a/test/routes/path_test.go
+++ b/test/routes/path_test.go
@@ -23,17 +23,17 @@
 // The whole path on a calm day: three kinds of requests are answered whole, by
 // the services that their routes name, and the server sees exactly what the
 // caller sent, with the organisation in place of the key.
-func TestCalmDay(t *testing.T) {
-	s := newSite(t)
-	s.server(platformtest.ServerOptions{ID: "cat-1", Service: plain})
-	s.server(platformtest.ServerOptions{ID: "eng-1", Service: engines, Events: 5, Confidence: map[string]int{"small": 90}})
-	d := s.serving()
+func TestRequestsAreForwarded(t *testing.T) {
+	s := newTestbed(t)
+	s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService})
+	s.startServer(platformtest.ServerOptions{ID: "eng-1", Service: engineService, Events: 5, Confidence: map[string]int{"small": 90}})
+	d := s.startReadyDaemon()
 
-	once := s.call(pathOnce + "?a=1&b=%2F")
+	once := s.newCall(pathUnsafe + "?a=1&b=%2F")
 	once.Extra = http.Header{wire.HeaderTenant: {"forged"}, wire.HeaderHold: {"forged"}, "Accept-Language": {"sv"}}
-	s.whole(once, s.send(once, d), "cat-1")
+	s.requireWholeAnswer(once, s.send(once, d), "cat-1")
 	seen := s.servers["cat-1"].Seen()[0]
-	require.Equal(t, pathOnce+"?a=1&b=%2F", seen.Target)
+	require.Equal(t, pathUnsafe+"?a=1&b=%2F", seen.Target)
 	require.Equal(t, "body of a request", seen.Body)
 	require.Equal(t, host, seen.Host)
 	require.Equal(t, "visrad", seen.Organisation)
@@ -41,44 +41,44 @@
 	require.Empty(t, seen.Header.Get(wire.HeaderHold))
 	require.Equal(t, "sv", seen.Header.Get("Accept-Language"))
 
-	safe := s.call(pathSafe)
-	s.whole(safe, s.send(safe, d), "cat-1")
+	safe := s.newCall(pathSafe)
+	s.requireWholeAnswer(safe, s.send(safe, d), "cat-1")
 
-	turns := s.call(pathTurns)
+	turns := s.newCall(pathStream)
 	reply := s.send(turns, d)
 	require.NoError(t, reply.Err)
-	require.Equal(t, events(turns.ID, 5), reply.Body)
+	require.Equal(t, eventStream(turns.ID, 5), reply.Body)
 	require.Equal(t, "small", s.servers["eng-1"].Seen()[0].Model)
 }
 
 // An operator asks a daemon what it believes and sees routes, upstream instances
 // and daemons with their age.
-func TestBeliefsAreShown(t *testing.T) {
-	s := newSite(t)
-	s.server(platformtest.ServerOptions{ID: "cat-1", Service: plain})
-	d := s.serving()
-	out, err := exec.Command(binaries.Path("hornbeamsill"), "--output", "json", "entry", "show", "--metrics", d.metrics).Output()
+func TestEntryShowPrintsStatus(t *testing.T) {
+	s := newTestbed(t)
+	s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService})
+	d := s.startReadyDaemon()
+	out, err := exec.Command(binaries.Path("hornbeamsill"), "--output", "json", "entry", "show", "--metrics", d.metricsAddress).Output()
 	require.NoError(t, err)
 	var b entry.Beliefs
 	require.NoError(t, json.Unmarshal(out, &b))
 	require.True(t, b.Ready)
 	require.EqualValues(t, 3, b.Config.Version)
 	require.Len(t, b.Config.Routes, 3)
-	require.Equal(t, "cat-1", b.List.Instances[plain][0].Instance.ID)
-	text, err := exec.Command(binaries.Path("hornbeamsill"), "entry", "show", "--metrics", d.metrics).Output()
+	require.Equal(t, "cat-1", b.List.Instances[plainService][0].Instance.ID)
+	text, err := exec.Command(binaries.Path("hornbeamsill"), "entry", "show", "--metrics", d.metricsAddress).Output()
 	require.NoError(t, err)
 	require.Contains(t, string(text), host+"/lookup/")
 }
 
 // Events reach the caller as they are made: a clerk sees the first words of a
 // note while the engine still writes.
-func TestEventsArriveAsTheyAreMade(t *testing.T) {
-	s := newSite(t)
-	s.server(platformtest.ServerOptions{ID: "eng-1", Service: engines, Events: 1 << 20, Work: 5 * time.Millisecond})
-	d := s.serving()
+func TestEventsAreStreamed(t *testing.T) {
+	s := newTestbed(t)
+	s.startServer(platformtest.ServerOptions{ID: "eng-1", Service: engineService, Events: 1 << 20, Work: 5 * time.Millisecond})
+	d := s.startReadyDaemon()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	resp, err := s.call(pathTurns).Open(ctx, s.client, d.callers)
+	resp, err := s.newCall(pathStream).Open(ctx, s.client, d.callerAddress)
 	require.NoError(t, err)
 	defer resp.Body.Close()
 	first := make([]byte, 4)
@@ -89,10 +89,10 @@
 
 // What is not proper is refused with its own status and runs nowhere, while
 // proper requests beside it are served.
-func TestImproperRequests(t *testing.T) {
-	s := newSite(t)
-	s.server(platformtest.ServerOptions{ID: "cat-1", Service: plain})
-	d := s.serving()
+func TestInvalidRequestsAreRefused(t *testing.T) {
+	s := newTestbed(t)
+	s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService})
+	d := s.startReadyDaemon()
 	for name, test := range map[string]struct {
 		change func(*platformtest.Call)
 		status int
@@ -108,26 +108,26 @@
 		"prompt not parts": {func(c *platformtest.Call) { c.Prompt = "aa" }, http.StatusBadRequest},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := s.call(pathOnce)
+			c := s.newCall(pathUnsafe)
 			test.change(&c)
 			reply := s.send(c, d)
 			require.Equal(t, test.status, reply.Status)
-			require.Empty(t, s.runs(c.ID))
+			require.Empty(t, s.serversThatRan(c.ID))
 		})
 	}
-	proper := s.call(pathOnce)
-	s.whole(proper, s.send(proper, d), "cat-1")
+	proper := s.newCall(pathUnsafe)
+	s.requireWholeAnswer(proper, s.send(proper, d), "cat-1")
 }
 
 // A request hidden in the body of another, or with two lengths, must not reach
 // a server as a request of its own.
 func TestSmuggledRequests(t *testing.T) {
-	s := newSite(t)
-	s.server(platformtest.ServerOptions{ID: "cat-1", Service: plain})
-	d := s.serving()
-	inner := "POST " + pathOnce + " HTTP/1.1\r\nHost: " + host + "\r\n" + wire.HeaderRequestID + ": inner\r\n" +
+	s := newTestbed(t)
+	s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService})
+	d := s.startReadyDaemon()
+	inner := "POST " + pathUnsafe + " HTTP/1.1\r\nHost: " + host + "\r\n" + wire.HeaderRequestID + ": inner\r\n" +
 		wire.HeaderCredential + ": " + key + "\r\nContent-Length: 0\r\n\r\n"
-	head := "POST " + pathOnce + " HTTP/1.1\r\nHost: " + host + "\r\n" + wire.HeaderRequestID + ": outer\r\n" +
+	head := "POST " + pathUnsafe + " HTTP/1.1\r\nHost: " + host + "\r\n" + wire.HeaderRequestID + ": outer\r\n" +
 		wire.HeaderCredential + ": " + key + "\r\nConnection: close\r\n"
 	for name, raw := range map[string]string{
 		"two lengths":        head + "Content-Length: 0\r\nContent-Length: 200\r\n\r\n" + inner,
@@ -136,9 +136,9 @@
 		"space before colon": head + "Content-Length : 200\r\n\r\n" + inner,
 	} {
 		t.Run(name, func(t *testing.T) {
-			reply := rawExchange(t, d.callers, raw)
+			reply := rawExchange(t, d.callerAddress, raw)
 			require.NotContains(t, reply, "answer to inner")
-			require.Empty(t, s.runs("inner"))
+			require.Empty(t, s.serversThatRan("inner"))
 		})
 	}
 }
@@ -146,74 +146,74 @@
 // A caller stops in the middle of its body. It is told so at its deadline, and
 // nothing ran; the daemon does not hold the request for ever.
 func TestSlowSender(t *testing.T) {
-	s := newSite(t)
-	s.server(platformtest.ServerOptions{ID: "cat-1", Service: plain})
-	d := s.serving()
-	reply := rawExchange(t, d.callers, "POST "+pathOnce+" HTTP/1.1\r\nHost: "+host+"\r\n"+wire.HeaderRequestID+": slow\r\n"+
+	s := newTestbed(t)
+	s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService})
+	d := s.startReadyDaemon()
+	reply := rawExchange(t, d.callerAddress, "POST "+pathUnsafe+" HTTP/1.1\r\nHost: "+host+"\r\n"+wire.HeaderRequestID+": slow\r\n"+
 		wire.HeaderCredential+": "+key+"\r\n"+wire.HeaderDeadline+": 300\r\nContent-Length: 100\r\n\r\nhalf")
 	require.Contains(t, reply, "HTTP/1.1 408 ")
-	require.Empty(t, s.runs("slow"))
+	require.Empty(t, s.serversThatRan("slow"))
 }
 
 // A caller's connection hangs in the head of a request, and another one lies
 // unused. Both get the times that are declared now, not those from the start of
 // the daemon: the slow caller is told that nothing ran, the unused connection is
 // closed, and one with a request under way is left alone.
-func TestDeclaredTimesOfConnections(t *testing.T) {
-	s := newSite(t)
-	s.server(platformtest.ServerOptions{ID: "cat-1", Service: plain, Work: 600 * time.Millisecond})
-	d := s.serving()
-	next := declaration(4)
+func TestConnectionTimeoutsFollowConfiguration(t *testing.T) {
+	s := newTestbed(t)
+	s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService, Work: 600 * time.Millisecond})
+	d := s.startReadyDaemon()
+	next := newManifest(4)
 	next.Limits.HeaderTimeoutMS, next.Limits.IdleTimeoutMS = 300, 400
 	s.store.Declare(next)
-	s.logged(d, "msg=config.in_force", "version=4")
+	s.waitForLog(d, "msg=config.in_force", "version=4")
 
-	head := "POST " + pathOnce + " HTTP/1.1\r\nHost: " + host + "\r\n" + wire.HeaderCredential + ": " + key + "\r\n" + wire.HeaderRequestID
-	reply := rawExchange(t, d.callers, head)
+	head := "POST " + pathUnsafe + " HTTP/1.1\r\nHost: " + host + "\r\n" + wire.HeaderCredential + ": " + key + "\r\n" + wire.HeaderRequestID
+	reply := rawExchange(t, d.callerAddress, head)
 	require.Contains(t, reply, "HTTP/1.1 408 ")
 	require.NotContains(t, reply, "200 OK")
 
-	reply = rawExchange(t, d.callers, head+": whole\r\nContent-Length: 0\r\n\r\n")
+	reply = rawExchange(t, d.callerAddress, head+": whole\r\nContent-Length: 0\r\n\r\n")
 	require.Contains(t, reply, "HTTP/1.1 200 ", "served, though longer than either time, and closed after")
-	require.Len(t, s.runs("whole"), 1)
-	require.Empty(t, rawExchange(t, d.callers, ""), "never used")
+	require.Len(t, s.serversThatRan("whole"), 1)
+	require.Empty(t, rawExchange(t, d.callerAddress, ""), "never used")
 }
 
 // More callers connect than there are descriptors for. Those beyond the bound
 // wait for a place; those inside are served.
 func TestManyConnections(t *testing.T) {
-	s := newSite(t)
-	s.server(platformtest.ServerOptions{ID: "cat-1", Service: plain})
-	d := s.start(func(r *settings.Routes) { r.Descriptors = 320 })
+	s := newTestbed(t)
+	s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService})
+	d := s.startDaemon(func(r *settings.Routes) { r.Descriptors = 320 })
 	s.eventually(func() error {
-		if !platformtest.Ready(context.Background(), s.client, d.ready) {
+		if !platformtest.Ready(context.Background(), s.client, d.readyAddress) {
 			return trace.Errorf("not ready")
 		}
 		return nil
 	})
 	var idle []net.Conn
 	for range 12 {
-		conn, err := net.Dial("tcp", d.callers)
+		conn, err := net.Dial("tcp", d.callerAddress)
 		require.NoError(t, err)
 		idle = append(idle, conn)
 	}
 	got := make(chan platformtest.Reply, 1)
-	c := s.call(pathOnce)
+	c := s.newCall(pathUnsafe)
 	go func() { got <- s.send(c, d) }()
 	for _, conn := range idle {
 		conn.Close()
 	}
-	s.whole(c, <-got, "cat-1")
+	s.requireWholeAnswer(c, <-got, "cat-1")
 }
 
 // A stream's caller leaves in the middle of an answer. The engine must not go
 // on working for nobody: the connection to it is closed at once.
-func TestCallerLeaves(t *testing.T) {
-	s := newSite(t)
-	engine := s.server(platformtest.ServerOptions{ID: "eng-1", Service: engines, Events: 1 << 20, Work: 5 * time.Millisecond})
-	d := s.serving()
+func TestCancelledStreamEndsUpstreamRequest(t *testing.T) {
+	s := newTestbed(t)
+	engine := s.startServer(platformtest.ServerOptions{ID: "eng-1", Service: engineService, Events: 1 << 20, Work: 5 * time.Millisecond})
+	d := s.startReadyDaemon()
 	ctx, cancel := context.WithCancel(context.Background())
-	resp, err := s.call(pathTurns).Open(ctx, s.client, d.callers)
+	resp, err := s.newCall(pathStream).Open(ctx, s.client, d.callerAddress)
 	require.NoError(t, err)
 	defer resp.Body.Close()
 	cancel()
@@ -227,14 +227,14 @@
 
 // The small model is not sure of its answer. The caller gets the large model's
 // answer, whole, and nothing of the small one's.
-func TestUnsureAnswersGoToTheLargeModel(t *testing.T) {
-	s := newSite(t)
-	engine := s.server(platformtest.ServerOptions{ID: "eng-1", Service: engines, Events: 4, Confidence: map[string]int{"small": 10, "large": 20}})
-	d := s.serving()
-	c := s.call(pathTurns)
+func TestLowConfidenceEscalatesToLargeModel(t *testing.T) {
+	s := newTestbed(t)
+	engine := s.startServer(platformtest.ServerOptions{ID: "eng-1", Service: engineService, Events: 4, Confidence: map[string]int{"small": 10, "large": 20}})
+	d := s.startReadyDaemon()
+	c := s.newCall(pathStream)
 	reply := s.send(c, d)
 	require.NoError(t, reply.Err)
-	require.Equal(t, events(c.ID, 4), reply.Body)
+	require.Equal(t, eventStream(c.ID, 4), reply.Body)
 	var models []string
 	for _, seen := range engine.Seen() {
 		models = append(models, seen.Model)
--- a/test/routes/poison_test.go
+++ b/test/routes/poison_test.go
@@ -23,8 +23,8 @@
 
 // poisoned returns a call that crashes the servers that run it: the same request each
 // time, with an id of its own.
-func (s *site) poisoned(path string) platformtest.Call {
-	c := s.call(path)
+func (s *testbed) poisonCall(path string) platformtest.Call {
+	c := s.newCall(path)
 	c.Path += "-" + poison
 	c.Body = poison
 	c.Extra = http.Header{"X-Poison": []string{"1"}}
@@ -39,7 +39,7 @@
 // that it was on every ended server, and never ran to its end, is what tells it
 // from those that were beside it.
 func TestRequestThatCrashesServersIsRefused(t *testing.T) {
-	for name, path := range map[string]string{"stream": pathTurns, "look-up": pathSafe, "statement": pathOnce} {
+	for name, path := range map[string]string{"stream": pathStream, "look-up": pathSafe, "statement": pathUnsafe} {
 		t.Run(name, func(t *testing.T) { repeatPoison(t, path) })
 	}
 }
@@ -54,20 +54,20 @@
 
 func repeatPoison(t *testing.T, path string) {
 	const size = 9
-	s := newSite(t)
-	service, events := plain, 0
-	if path == pathTurns {
-		service, events = engines, 8
+	s := newTestbed(t)
+	service, events := plainService, 0
+	if path == pathStream {
+		service, events = engineService, 8
 	}
 	p := s.newPool(service, events, size)
 	for range crashDaemons() {
-		s.serving()
+		s.startReadyDaemon()
 	}
 	for i := range poisonRepeats {
 		before := p.endedServers()
-		reply := s.send(s.poisoned(path), s.daemons[i%len(s.daemons)])
+		reply := s.send(s.poisonCall(path), s.daemons[i%len(s.daemons)])
 		require.NotEqual(t, http.StatusOK, reply.Status)
-		p.whole(size)
+		p.waitRestored(size)
 		t.Logf("repeat %d: %d servers ended so far, status %d", i, p.endedServers(), reply.Status)
 		if p.endedServers() == before {
 			require.Equal(t, http.StatusServiceUnavailable, reply.Status, reply.Body)
@@ -77,7 +77,7 @@
 	}
 	require.LessOrEqual(t, p.endedServers(), 3)
 	for _, d := range s.daemons {
-		c := s.call(path)
+		c := s.newCall(path)
 		reply := s.send(c, d)
 		require.Equal(t, http.StatusOK, reply.Status, reply.Body)
 	}
@@ -85,26 +85,26 @@
 
 // A daemon starts after a request was found to crash servers, while the store is
 // away. It has seen none of the crashes; its peers tell it.
-func TestDaemonThatStartsLaterRefusesToo(t *testing.T) {
+func TestStartingDaemonLearnsQuarantine(t *testing.T) {
 	const size = 9
-	s := newSite(t)
-	p := s.newPool(engines, 8, size)
-	s.serving()
-	s.serving()
+	s := newTestbed(t)
+	p := s.newPool(engineService, 8, size)
+	s.startReadyDaemon()
+	s.startReadyDaemon()
 	for range 4 {
-		s.send(s.poisoned(pathTurns), s.daemons[0])
-		p.whole(size)
+		s.send(s.poisonCall(pathStream), s.daemons[0])
+		p.waitRestored(size)
 	}
 	ended := p.endedServers()
 	s.store.SetFault(platformtest.FaultRefuse)
-	d := s.serving()
+	d := s.startReadyDaemon()
 	s.eventually(func() error {
 		if !d.logsContain("quarantine.learned") {
 			return trace.Errorf("%s knows of no quarantined request", d.Name)
 		}
 		return nil
 	})
-	reply := s.send(s.poisoned(pathTurns), d)
+	reply := s.send(s.poisonCall(pathStream), d)
 	require.Equal(t, http.StatusServiceUnavailable, reply.Status, reply.Body)
 	require.Equal(t, ended, p.endedServers())
 }
@@ -112,17 +112,17 @@
 // Racks lose power three times while clerks' summaries are being written. Many
 // summaries were on three servers that ended, and none of them is the cause: each
 // was beside others on a few of the servers that ended at that moment. All may come again.
-func TestSummariesOnRacksWithoutPowerAreNotRefused(t *testing.T) {
+func TestPowerLossQuarantinesNoRequest(t *testing.T) {
 	const size, rack, clerks, losses = 9, 3, 24, 3
-	s := newSite(t)
-	p := s.newPool(engines, 40, size)
+	s := newTestbed(t)
+	p := s.newPool(engineService, 40, size)
 	for range 3 {
-		s.serving()
+		s.startReadyDaemon()
 	}
 	var mu sync.Mutex
 	var refused []string
-	stop := repeatedly(clerks, func(clerk int) {
-		c := s.call(pathTurns)
+	stop := runWorkers(clerks, func(clerk int) {
+		c := s.newCall(pathStream)
 		c.Body = fmt.Sprint("summary of clerk ", clerk)
 		reply := s.send(c, s.daemons[clerk%len(s.daemons)])
 		if strings.Contains(reply.Body, "request_quarantined") {
@@ -132,14 +132,14 @@
 		}
 	})
 	for i := range losses {
-		p.losePower(rack)
+		p.killServers(rack)
 		s.eventually(func() error {
 			if p.endedServers() < (i+1)*rack {
 				return trace.Errorf("%d servers have ended", p.endedServers())
 			}
 			return nil
 		})
-		p.whole(size)
+		p.waitRestored(size)
 	}
 	stop()
 	require.Empty(t, refused)
@@ -147,17 +147,17 @@
 
 // Nine in ten clerks go on working while one request is repeated that crashes servers. Few of
 // their requests fail, those that were on the ended servers, and none is taken for the cause.
-func TestOthersBesideARequestThatCrashesServers(t *testing.T) {
+func TestOtherRequestsDuringCrashes(t *testing.T) {
 	const size, clerks, others = 9, 12, 250
-	s := newSite(t)
-	p := s.newPool(engines, 8, size)
+	s := newTestbed(t)
+	p := s.newPool(engineService, 8, size)
 	for range 3 {
-		s.serving()
+		s.startReadyDaemon()
 	}
 	var mu sync.Mutex
 	sent, failed, refused := 0, 0, 0
-	stop := repeatedly(clerks, func(clerk int) {
-		reply := s.send(s.call(pathTurns), s.daemons[clerk%len(s.daemons)])
+	stop := runWorkers(clerks, func(clerk int) {
+		reply := s.send(s.newCall(pathStream), s.daemons[clerk%len(s.daemons)])
 		mu.Lock()
 		defer mu.Unlock()
 		sent++
@@ -169,8 +169,8 @@
 		}
 	})
 	for i := range poisonRepeats {
-		s.send(s.poisoned(pathTurns), s.daemons[i%len(s.daemons)])
-		p.whole(size)
+		s.send(s.poisonCall(pathStream), s.daemons[i%len(s.daemons)])
+		p.waitRestored(size)
 	}
 	s.eventually(func() error {
 		mu.Lock()
@@ -191,16 +191,16 @@
 // operator sees which servers ended under it, and lets it run again: at all daemons.
 func TestOperatorReleasesAQuarantinedRequest(t *testing.T) {
 	const size = 9
-	s := newSite(t)
-	p := s.newPool(engines, 8, size)
-	s.serving()
-	s.serving()
+	s := newTestbed(t)
+	p := s.newPool(engineService, 8, size)
+	s.startReadyDaemon()
+	s.startReadyDaemon()
 	for range 4 {
-		s.send(s.poisoned(pathTurns), s.daemons[0])
-		p.whole(size)
+		s.send(s.poisonCall(pathStream), s.daemons[0])
+		p.waitRestored(size)
 	}
 	var list entry.QuarantineReply
-	resp, err := s.client.Get("http://" + s.daemons[0].metrics + entry.QuarantinePath)
+	resp, err := s.client.Get("http://" + s.daemons[0].metricsAddress + entry.QuarantinePath)
 	require.NoError(t, err)
 	require.NoError(t, json.NewDecoder(resp.Body).Decode(&list))
 	resp.Body.Close()
@@ -208,13 +208,13 @@
 	require.Len(t, list.Requests[0].Ended, 3)
 	require.Equal(t, "visrad", list.Requests[0].Organisation)
 
-	resp, err = s.client.Post("http://"+s.daemons[0].metrics+entry.ReleasePath+list.Requests[0].Digest.String(), "", nil)
+	resp, err = s.client.Post("http://"+s.daemons[0].metricsAddress+entry.ReleasePath+list.Requests[0].Digest.String(), "", nil)
 	require.NoError(t, err)
 	resp.Body.Close()
 	require.Equal(t, http.StatusNoContent, resp.StatusCode)
-	s.logged(s.daemons[1], "quarantine.learned", "released=true")
+	s.waitForLog(s.daemons[1], "quarantine.learned", "released=true")
 	for _, d := range s.daemons {
-		c := s.poisoned(pathTurns)
+		c := s.poisonCall(pathStream)
 		c.Extra = nil
 		reply := s.send(c, d)
 		require.Equal(t, http.StatusOK, reply.Status, reply.Body)
@@ -223,34 +223,34 @@
 
 // A daemon is frozen while its peers find out which request crashes servers, and the store
 // is away all the while. Awake again, it learns of it by heartbeats.
-func TestFrozenDaemonLearnsWhatIsQuarantined(t *testing.T) {
+func TestFrozenDaemonLearnsQuarantine(t *testing.T) {
 	const size = 9
-	s := newSite(t)
-	p := s.newPool(engines, 8, size)
+	s := newTestbed(t)
+	p := s.newPool(engineService, 8, size)
 	for range 3 {
-		s.serving()
+		s.startReadyDaemon()
 	}
 	s.store.SetFault(platformtest.FaultSilent)
 	frozen := s.daemons[2]
 	require.NoError(t, frozen.Freeze())
-	ended := p.condemned(size, s.daemons[0])
+	ended := p.crashUntilRefused(size, s.daemons[0])
 	require.LessOrEqual(t, ended, 6, "five where a daemon does not answer, and a retry")
 	frozen.Wake()
-	s.logged(frozen, "quarantine.learned")
-	reply := s.send(s.poisoned(pathTurns), frozen)
+	s.waitForLog(frozen, "quarantine.learned")
+	reply := s.send(s.poisonCall(pathStream), frozen)
 	require.Equal(t, http.StatusServiceUnavailable, reply.Status, reply.Body)
 	require.Equal(t, ended, p.endedServers())
 }
 
 // All daemons end at the same moment, with all that they know. What was quarantined is in
 // the store, and the daemons that start refuse it.
-func TestQuarantineOutlivesAllDaemons(t *testing.T) {
+func TestQuarantineSurvivesRestartOfAllDaemons(t *testing.T) {
 	const size = 9
-	s := newSite(t)
-	p := s.newPool(engines, 8, size)
-	old := []*daemon{s.serving(), s.serving()}
-	ended := p.condemned(size, old[0])
-	c := s.poisoned(pathTurns)
+	s := newTestbed(t)
+	p := s.newPool(engineService, 8, size)
+	old := []*daemon{s.startReadyDaemon(), s.startReadyDaemon()}
+	ended := p.crashUntilRefused(size, old[0])
+	c := s.poisonCall(pathStream)
 	digest := quarantine.NewDigest(http.MethodPost, c.Host, c.Path, "visrad", []byte(c.Body))
 	s.eventually(func() error {
 		if s.store.Value("hornbeamsill", "quarantine/"+digest.String()) == nil {
@@ -262,9 +262,9 @@
 		d.Kill()
 	}
 	s.daemons = nil
-	d := s.serving()
-	s.logged(d, "quarantine.learned", "source=store")
-	reply := s.send(s.poisoned(pathTurns), d)
+	d := s.startReadyDaemon()
+	s.waitForLog(d, "quarantine.learned", "source=store")
+	reply := s.send(s.poisonCall(pathStream), d)
 	require.Equal(t, http.StatusServiceUnavailable, reply.Status, reply.Body)
 	require.Equal(t, ended, p.endedServers())
 }
@@ -272,25 +272,25 @@
 // A caller does not wait for answers: a request that crashes servers comes every 50 ms, at
 // any daemon, or many times at once. Each repeat that was sent before the first crash was
 // known may end a server; a second after the third one no server ends any more.
-func TestRepeatsThatDoNotWait(t *testing.T) {
+func TestConcurrentRepeatsOfCrashingRequest(t *testing.T) {
 	const size, repeats = 18, 30
 	for name, pause := range map[string]time.Duration{"every 50 ms": 50 * time.Millisecond, "at once": 0} {
 		t.Run(name, func(t *testing.T) {
-			s := newSite(t)
-			p := s.newPool(engines, 8, size)
+			s := newTestbed(t)
+			p := s.newPool(engineService, 8, size)
 			for range crashDaemons() {
-				s.serving()
+				s.startReadyDaemon()
 			}
 			var all sync.WaitGroup
 			for i := range repeats {
-				all.Go(func() { s.send(s.poisoned(pathTurns), s.daemons[i%len(s.daemons)]) })
+				all.Go(func() { s.send(s.poisonCall(pathStream), s.daemons[i%len(s.daemons)]) })
 				<-time.After(pause)
 			}
 			all.Wait()
-			p.whole(size)
+			p.waitRestored(size)
 			ended := p.endedServers()
 			t.Logf("%d servers ended", ended)
-			s.send(s.poisoned(pathTurns), s.daemons[0])
+			s.send(s.poisonCall(pathStream), s.daemons[0])
 			require.Equal(t, ended, p.endedServers())
 		})
 	}
--- a/test/routes/pool_test.go
+++ b/test/routes/pool_test.go
@@ -19,7 +19,7 @@
 //
 // Lock order: mu is taken before the locks of servers.
 type pool struct {
-	*site
+	*testbed
 	service string
 	events  int
 
@@ -29,13 +29,13 @@
 	ended int
 	// ending has the servers that are about to end: callers may know of it before they
 	// are counted.
-	ending map[string]bool
+	crashing map[string]bool
 	wg     sync.WaitGroup
 }
 
 // newPool starts size servers.
-func (s *site) newPool(service string, events, size int) *pool {
-	p := &pool{site: s, service: service, events: events, ending: map[string]bool{}}
+func (s *testbed) newPool(service string, events, size int) *pool {
+	p := &pool{testbed: s, service: service, events: events, crashing: map[string]bool{}}
 	for range size {
 		p.startOne()
 	}
@@ -56,7 +56,7 @@
 			if seen.Header.Get("X-Poison") != "" {
 				p.mu.Lock()
 				defer p.mu.Unlock()
-				p.ending[id] = true
+				p.crashing[id] = true
 				return platformtest.Crash
 			}
 			return platformtest.Answer
@@ -71,7 +71,7 @@
 func (p *pool) replace(id string, server *platformtest.Server) {
 	p.mu.Lock()
 	p.ended++
-	delete(p.ending, id)
+	delete(p.crashing, id)
 	for i, s := range p.live {
 		if s == server {
 			p.live = append(p.live[:i:i], p.live[i+1:]...)
@@ -85,7 +85,7 @@
 }
 
 // losePower ends n servers at the same moment. They come back like crashed ones.
-func (p *pool) losePower(n int) {
+func (p *pool) killServers(n int) {
 	p.mu.Lock()
 	var lost []*platformtest.Server
 	lost = append(lost, p.live[:n]...)
@@ -112,12 +112,12 @@
 }
 
 // whole waits until all servers are back.
-func (p *pool) whole(size int) {
+func (p *pool) waitRestored(size int) {
 	p.t.Helper()
 	p.eventually(func() error {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		if len(p.live) != size || len(p.ending) > 0 {
+		if len(p.live) != size || len(p.crashing) > 0 {
 			return trace.Errorf("%d of %d servers run", len(p.live), size)
 		}
 		return nil
@@ -125,11 +125,11 @@
 }
 
 // condemned has a request crash servers until it is refused, and returns how many ended.
-func (p *pool) condemned(size int, through *daemon) int {
+func (p *pool) crashUntilRefused(size int, through *daemon) int {
 	p.t.Helper()
 	p.eventually(func() error {
-		reply := p.send(p.poisoned(pathTurns), through)
-		p.whole(size)
+		reply := p.send(p.poisonCall(pathStream), through)
+		p.waitRestored(size)
 		if !strings.Contains(reply.Body, "request_quarantined") {
 			return trace.Errorf("the request is not refused: %d %s", reply.Status, reply.Body)
 		}
--- a/test/routes/rollout_test.go
+++ b/test/routes/rollout_test.go
@@ -19,21 +19,21 @@
 )
 
 // allowed is the time that roll-outs of these tests get.
-const allowed = 8 * time.Second
+const rolloutTime = 8 * time.Second
 
 // traffic sends sessions of two requests each to all daemons until stopped.
-func (s *site) traffic(workers int) (stop func()) {
-	return repeatedly(workers, func(int) {
-		session := s.call(pathTurns).ID
+func (s *testbed) startSessions(workers int) (stop func()) {
+	return runWorkers(workers, func(int) {
+		session := s.newCall(pathStream).ID
 		for i := range 2 {
-			c := s.call(pathTurns)
+			c := s.newCall(pathStream)
 			c.Session = session
 			s.send(c, s.daemons[i%len(s.daemons)])
 		}
 	})
 }
 
-func (s *site) told(service, state string) {
+func (s *testbed) waitRolloutState(service, state string) {
 	s.t.Helper()
 	s.eventually(func() error {
 		if got := s.store.Rollout(service); got != state {
@@ -46,20 +46,20 @@
 // A good version is brought in while clerks work. The operator learns that it
 // is completed, every request is answered, and afterwards only the new version
 // gets any.
-func TestGoodVersionIsCompleted(t *testing.T) {
-	s := newSite(t)
-	old := s.server(platformtest.ServerOptions{ID: "old", Service: engines, Events: 3, Work: time.Millisecond})
-	s.serving()
-	s.serving()
-	stop := s.traffic(4)
+func TestGoodVersionIsRolledOut(t *testing.T) {
+	s := newTestbed(t)
+	old := s.startServer(platformtest.ServerOptions{ID: "old", Service: engineService, Events: 3, Work: time.Millisecond})
+	s.startReadyDaemon()
+	s.startReadyDaemon()
+	stop := s.startSessions(4)
 	defer stop()
-	s.server(platformtest.ServerOptions{ID: "new", Service: engines, Version: "v2", Events: 3, Work: time.Millisecond})
-	s.store.Order(engines, "v2", allowed)
-	s.told(engines, "running")
-	s.told(engines, "completed")
+	s.startServer(platformtest.ServerOptions{ID: "new", Service: engineService, Version: "v2", Events: 3, Work: time.Millisecond})
+	s.store.Order(engineService, "v2", rolloutTime)
+	s.waitRolloutState(engineService, "running")
+	s.waitRolloutState(engineService, "completed")
 	before := len(old.Seen())
 	for range 20 {
-		require.Equal(t, http.StatusOK, s.send(s.call(pathTurns), s.daemons[0]).Status)
+		require.Equal(t, http.StatusOK, s.send(s.newCall(pathStream), s.daemons[0]).Status)
 	}
 	require.Len(t, old.Seen(), before)
 }
@@ -68,15 +68,15 @@
 // part of the requests has met it, and gets nothing any more. The daemon that
 // holds the duty is killed on the way; another one goes on from what is stored.
 func TestBadVersionIsRolledBack(t *testing.T) {
-	s := newSite(t)
-	s.server(platformtest.ServerOptions{ID: "old", Service: engines, Events: 3, Work: time.Millisecond})
-	first, second := s.serving(), s.serving()
-	s.entries(first, 2)
-	stop := s.traffic(4)
+	s := newTestbed(t)
+	s.startServer(platformtest.ServerOptions{ID: "old", Service: engineService, Events: 3, Work: time.Millisecond})
+	first, second := s.startReadyDaemon(), s.startReadyDaemon()
+	s.waitForDirectory(first, 2)
+	stop := s.startSessions(4)
 	defer stop()
-	bad := s.server(platformtest.ServerOptions{ID: "new", Service: engines, Version: "v2", Events: 3, Behave: always(platformtest.Fail)})
-	s.store.Order(engines, "v2", allowed)
-	s.told(engines, "running")
+	bad := s.startServer(platformtest.ServerOptions{ID: "new", Service: engineService, Version: "v2", Events: 3, Behave: always(platformtest.Fail)})
+	s.store.Order(engineService, "v2", rolloutTime)
+	s.waitRolloutState(engineService, "running")
 	holder := first
 	s.eventually(func() error {
 		for _, d := range []*daemon{first, second} {
@@ -88,48 +88,48 @@
 		return trace.Errorf("no daemon holds the duty")
 	})
 	holder.Kill()
-	s.told(engines, "rolled_back")
+	s.waitRolloutState(engineService, "rolled_back")
 	before := len(bad.Seen())
 	survivor := first
 	if holder == first {
 		survivor = second
 	}
 	for range 20 {
-		require.Equal(t, http.StatusOK, s.send(s.call(pathTurns), survivor).Status)
+		require.Equal(t, http.StatusOK, s.send(s.newCall(pathStream), survivor).Status)
 	}
 	require.Len(t, bad.Seen(), before)
 }
 
 // A bad version was rolled back and the next one is ordered while servers of the
 // bad one still run. None of the sessions may meet the bad version again.
-func TestRolledBackVersionIsNotOldForTheNextOrder(t *testing.T) {
-	s := newSite(t)
-	s.server(platformtest.ServerOptions{ID: "old", Service: engines, Events: 3, Work: time.Millisecond})
-	s.serving()
-	stop := s.traffic(4)
+func TestRolledBackVersionGetsNoRequestsInNextRollout(t *testing.T) {
+	s := newTestbed(t)
+	s.startServer(platformtest.ServerOptions{ID: "old", Service: engineService, Events: 3, Work: time.Millisecond})
+	s.startReadyDaemon()
+	stop := s.startSessions(4)
 	defer stop()
-	bad := s.server(platformtest.ServerOptions{ID: "bad", Service: engines, Version: "v2", Events: 3, Behave: always(platformtest.Fail)})
-	s.store.Order(engines, "v2", allowed)
-	s.told(engines, "rolled_back")
+	bad := s.startServer(platformtest.ServerOptions{ID: "bad", Service: engineService, Version: "v2", Events: 3, Behave: always(platformtest.Fail)})
+	s.store.Order(engineService, "v2", rolloutTime)
+	s.waitRolloutState(engineService, "rolled_back")
 	before := len(bad.Seen())
-	s.server(platformtest.ServerOptions{ID: "next", Service: engines, Version: "v3", Events: 3, Work: time.Millisecond})
-	s.store.Order(engines, "v3", allowed)
-	s.told(engines, "completed")
+	s.startServer(platformtest.ServerOptions{ID: "next", Service: engineService, Version: "v3", Events: 3, Work: time.Millisecond})
+	s.store.Order(engineService, "v3", rolloutTime)
+	s.waitRolloutState(engineService, "completed")
 	require.Len(t, bad.Seen(), before)
 }
 
 // The few instances that try a new version are gone all at once. Requests that
 // would have gone there are answered by the old version instead of refused.
-func TestNewVersionsInstancesAreGone(t *testing.T) {
-	s := newSite(t)
-	s.server(platformtest.ServerOptions{ID: "old", Service: engines, Events: 3, Work: time.Millisecond})
-	d := s.serving()
-	dead := s.server(platformtest.ServerOptions{ID: "new", Service: engines, Version: "v2", Events: 3})
+func TestNewVersionIsUnreachable(t *testing.T) {
+	s := newTestbed(t)
+	s.startServer(platformtest.ServerOptions{ID: "old", Service: engineService, Events: 3, Work: time.Millisecond})
+	d := s.startReadyDaemon()
+	dead := s.startServer(platformtest.ServerOptions{ID: "new", Service: engineService, Version: "v2", Events: 3})
 	dead.Close()
-	s.store.Order(engines, "v2", allowed)
-	s.logged(d, "msg=rollout.state", "share=0.045")
+	s.store.Order(engineService, "v2", rolloutTime)
+	s.waitForLog(d, "msg=rollout.state", "share=0.045")
 	for range 60 {
-		reply := s.send(s.call(pathTurns), d)
+		reply := s.send(s.newCall(pathStream), d)
 		require.Equal(t, http.StatusOK, reply.Status, reply.Body)
 	}
 }
@@ -138,66 +138,66 @@
 // gone. The daemons that start again know from the store that it is completed
 // and serve at once; with the order alone they took it for one that has just
 // begun and refused everything for as long as the dead holder's lease lasted.
-func TestRestartOfAllDaemonsAfterARollout(t *testing.T) {
-	s := newSite(t)
-	old := s.server(platformtest.ServerOptions{ID: "old", Service: engines, Events: 3, Work: time.Millisecond})
-	first := s.serving()
-	stop := s.traffic(2)
-	s.server(platformtest.ServerOptions{ID: "new", Service: engines, Version: "v2", Events: 3, Work: time.Millisecond})
-	s.store.Order(engines, "v2", allowed)
-	s.told(engines, "completed")
+func TestAllDaemonsRestartAfterRollout(t *testing.T) {
+	s := newTestbed(t)
+	old := s.startServer(platformtest.ServerOptions{ID: "old", Service: engineService, Events: 3, Work: time.Millisecond})
+	first := s.startReadyDaemon()
+	stop := s.startSessions(2)
+	s.startServer(platformtest.ServerOptions{ID: "new", Service: engineService, Version: "v2", Events: 3, Work: time.Millisecond})
+	s.store.Order(engineService, "v2", rolloutTime)
+	s.waitRolloutState(engineService, "completed")
 	stop()
 	s.store.Remove(wire.TableInstances, "old")
 	old.Close()
 	first.Kill()
 	s.daemons = nil
-	again := s.serving()
-	reply := s.send(s.call(pathTurns), again)
+	again := s.startReadyDaemon()
+	reply := s.send(s.newCall(pathStream), again)
 	require.Equal(t, http.StatusOK, reply.Status, reply.Body)
-	require.Contains(t, again.line("msg=rollout.state"), "phase=completed")
+	require.Contains(t, again.logLine("msg=rollout.state"), "phase=completed")
 }
 
 // The only daemon loses power in the middle of a roll-out. The one that starts
 // again finds order and state in the store, but not when the order was given, and
 // counted the time allowed from its own start: the operator was told late.
-func TestRestartInTheMiddleOfARollout(t *testing.T) {
-	s := newSite(t)
-	s.server(platformtest.ServerOptions{ID: "old", Service: engines, Events: 3, Work: time.Millisecond})
-	first := s.serving()
-	s.server(platformtest.ServerOptions{ID: "new", Service: engines, Version: "v2", Events: 3, Work: time.Millisecond})
-	s.store.Order(engines, "v2", allowed)
-	s.logged(first, "msg=rollout.state", "share=0.045")
+func TestDaemonRestartsDuringRollout(t *testing.T) {
+	s := newTestbed(t)
+	s.startServer(platformtest.ServerOptions{ID: "old", Service: engineService, Events: 3, Work: time.Millisecond})
+	first := s.startReadyDaemon()
+	s.startServer(platformtest.ServerOptions{ID: "new", Service: engineService, Version: "v2", Events: 3, Work: time.Millisecond})
+	s.store.Order(engineService, "v2", rolloutTime)
+	s.waitForLog(first, "msg=rollout.state", "share=0.045")
 	first.Kill()
 	s.daemons = nil
-	again := s.serving()
-	_, text, _ := strings.Cut(s.logged(again, "msg=rollout.aged"), "age_ms=")
+	again := s.startReadyDaemon()
+	_, text, _ := strings.Cut(s.waitForLog(again, "msg=rollout.aged"), "age_ms=")
 	age, err := strconv.Atoi(strings.Fields(text)[0])
 	require.NoError(t, err)
 	// The first share opens 1.2 s after the order.
 	require.GreaterOrEqual(t, age, 1200)
-	s.told(engines, "completed")
+	s.waitRolloutState(engineService, "completed")
 }
 
 // The store turns the daemon that holds the duty away in the middle of a roll-out
 // and serves all others. The holder goes on through its peers, and the operator
 // is told in time. Without that its lease lapsed, and another daemon took the
 // duty seven seconds later.
-func TestHolderIsTurnedAwayByTheStore(t *testing.T) {
-	s := newSite(t)
-	s.server(platformtest.ServerOptions{ID: "old", Service: engines, Events: 3, Work: time.Millisecond})
+func TestLeaseHolderLosesStore(t *testing.T) {
+	s := newTestbed(t)
+	s.startServer(platformtest.ServerOptions{ID: "old", Service: engineService, Events: 3, Work: time.Millisecond})
 	proxies := map[*daemon]*cluster.Proxy{}
 	for range 3 {
-		proxy, err := cluster.NewProxy(s.address)
+		proxy, err := cluster.NewProxy(s.storeAddress)
 		require.NoError(t, err)
 		t.Cleanup(proxy.Close)
-		d := s.start(func(r *settings.Routes) { r.Platform = proxy.Address() })
+		d := s.startDaemon(func(r *settings.Routes) { r.Platform = proxy.Address() })
 		proxies[d] = proxy
-		s.logged(d, "msg=daemon.offered")
+		s.waitForLog(d, "msg=daemon.offered")
 	}
-	s.entries(s.daemons[0], 3)
-	s.server(platformtest.ServerOptions{ID: "new", Service: engines, Version: "v2", Events: 3, Work: time.Millisecond})
-	s.store.Order(engines, "v2", allowed)
-	s.told(engines, "running")
+	s.waitForDirectory(s.daemons[0], 3)
+	s.startServer(platformtest.ServerOptions{ID: "new", Service: engineService, Version: "v2", Events: 3, Work: time.Millisecond})
+	s.store.Order(engineService, "v2", rolloutTime)
+	s.waitRolloutState(engineService, "running")
 	holders := func() (out []*daemon) {
 		for _, d := range s.daemons {
 			if d.logsContain("msg=duty.changed", "held=true") {
@@ -209,7 +209,7 @@
 	require.Len(t, holders(), 1)
 	holder := holders()[0]
 	proxies[holder].Cut()
-	s.told(engines, "completed")
+	s.waitRolloutState(engineService, "completed")
 	require.Equal(t, []*daemon{holder}, holders())
 	require.True(t, holder.logsContain("msg=store.relayed"))
 }
@@ -218,13 +218,13 @@
 // killed: nobody can take its lease. Callers of one daemon meet the failures. That
 // daemon and the others must stop using the version all the same, also a daemon that
 // has seen none of them; it went on to the end of the outage and beyond.
-func TestBadVersionIsStoppedWithoutHolderAndStore(t *testing.T) {
-	s := newSite(t)
-	s.server(platformtest.ServerOptions{ID: "old", Service: engines, Events: 3, Work: time.Millisecond})
-	all := []*daemon{s.serving(), s.serving(), s.serving()}
-	s.entries(all[0], 3)
+func TestBadVersionStopsWithoutLeaseHolderAndStore(t *testing.T) {
+	s := newTestbed(t)
+	s.startServer(platformtest.ServerOptions{ID: "old", Service: engineService, Events: 3, Work: time.Millisecond})
+	all := []*daemon{s.startReadyDaemon(), s.startReadyDaemon(), s.startReadyDaemon()}
+	s.waitForDirectory(all[0], 3)
 	var turned atomic.Bool
-	bad := s.server(platformtest.ServerOptions{ID: "new", Service: engines, Version: "v2", Events: 3,
+	bad := s.startServer(platformtest.ServerOptions{ID: "new", Service: engineService, Version: "v2", Events: 3,
 		Behave: func(platformtest.Seen) platformtest.Behaviour {
 			if turned.Load() {
 				return platformtest.Fail
@@ -232,8 +232,8 @@
 			return platformtest.Answer
 		}})
 	const long = time.Minute
-	s.store.Order(engines, "v2", long)
-	s.told(engines, "running")
+	s.store.Order(engineService, "v2", long)
+	s.waitRolloutState(engineService, "running")
 	var holder *daemon
 	s.eventually(func() error {
 		for _, d := range all {
@@ -252,7 +252,7 @@
 	others := slices.DeleteFunc(all, func(d *daemon) bool { return d == holder })
 	busy, idle := others[0], others[1]
 	s.eventually(func() error {
-		s.send(s.call(pathTurns), busy)
+		s.send(s.newCall(pathStream), busy)
 		if !idle.logsContain("msg=rollout.state", "stopped=true") && !idle.logsContain("msg=rollout.stopped") {
 			return trace.Errorf("%s was not told to stop\n%s", idle.Name, idle.Log())
 		}
@@ -260,7 +260,7 @@
 	})
 	before := len(bad.Seen())
 	for range 60 {
-		require.Equal(t, http.StatusOK, s.send(s.call(pathTurns), idle).Status)
+		require.Equal(t, http.StatusOK, s.send(s.newCall(pathStream), idle).Status)
 	}
 	require.Len(t, bad.Seen(), before)
 }
--- a/test/routes/server_words_test.go
+++ b/test/routes/server_words_test.go
@@ -15,31 +15,31 @@
 )
 
 // threeServers starts three servers of the plain service; the first treats requests so.
-func (s *site) threeServers(rest string, behave func(platformtest.Seen) platformtest.Behaviour) *platformtest.Server {
-	first := s.server(platformtest.ServerOptions{ID: "cat-1", Service: plain, Rest: rest, Behave: behave})
-	s.server(platformtest.ServerOptions{ID: "cat-2", Service: plain})
-	s.server(platformtest.ServerOptions{ID: "cat-3", Service: plain})
+func (s *testbed) startThreeServers(rest string, behave func(platformtest.Seen) platformtest.Behaviour) *platformtest.Server {
+	first := s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService, Rest: rest, Behave: behave})
+	s.startServer(platformtest.ServerOptions{ID: "cat-2", Service: plainService})
+	s.startServer(platformtest.ServerOptions{ID: "cat-3", Service: plainService})
 	return first
 }
 
 // servedWithout requires that requests are served, and that none of them reaches a server.
-func (s *site) servedWithout(server *platformtest.Server, d *daemon) {
+func (s *testbed) requireServedWithout(server *platformtest.Server, d *daemon) {
 	s.t.Helper()
 	const requests = 40
 	before := len(server.Seen())
 	for range requests {
-		reply := s.send(s.call(pathSafe), d)
+		reply := s.send(s.newCall(pathSafe), d)
 		require.Equal(s.t, http.StatusOK, reply.Status, reply.Body)
 	}
 	require.Equal(s.t, before, len(server.Seen()), "requests at the server")
 }
 
 // reached sends requests until a server has got one from a daemon.
-func (s *site) reached(server *platformtest.Server, d *daemon) {
+func (s *testbed) sendUntilReached(server *platformtest.Server, d *daemon) {
 	s.t.Helper()
 	before := len(server.Seen())
 	s.eventually(func() error {
-		s.send(s.call(pathSafe), d)
+		s.send(s.newCall(pathSafe), d)
 		if len(server.Seen()) == before {
 			return trace.Errorf("the server got nothing")
 		}
@@ -52,36 +52,36 @@
 // seconds, until the store was back: requests ran into its end. What an answer says is
 // newer than any row, so an older row that says "ready", or comes back after it
 // lapsed, undoes nothing either.
-func TestServerThatSaysItLeavesGetsNothingMore(t *testing.T) {
-	s := newSite(t)
-	leaving := s.threeServers("", nil)
-	d := s.serving()
+func TestServerLeavesWhileStoreIsDown(t *testing.T) {
+	s := newTestbed(t)
+	leaving := s.startThreeServers("", nil)
+	d := s.startReadyDaemon()
 	s.store.SetFault(platformtest.FaultSilent)
 	leaving.Leave()
-	s.reached(leaving, d)
-	s.servedWithout(leaving, d)
+	s.sendUntilReached(leaving, d)
+	s.requireServedWithout(leaving, d)
 
 	s.store.SetFault(platformtest.FaultNone)
 	leaving.Register(s.store, wire.StateReady)
-	s.store.Declare(declaration(5))
-	s.logged(d, "config.in_force", "version=5 ")
-	s.servedWithout(leaving, d)
+	s.store.Declare(newManifest(5))
+	s.waitForLog(d, "config.in_force", "version=5 ")
+	s.requireServedWithout(leaving, d)
 
 	s.store.Remove(wire.TableInstances, "cat-1")
-	s.gone(d, "cat-1")
+	s.waitUnlisted(d, "cat-1")
 	leaving.Register(s.store, wire.StateReady)
-	s.store.Declare(declaration(7))
-	s.logged(d, "config.in_force", "version=7 ")
-	s.server(platformtest.ServerOptions{ID: "cat-4", Service: plain})
-	s.reached(s.servers["cat-4"], d)
-	s.servedWithout(leaving, d)
+	s.store.Declare(newManifest(7))
+	s.waitForLog(d, "config.in_force", "version=7 ")
+	s.startServer(platformtest.ServerOptions{ID: "cat-4", Service: plainService})
+	s.sendUntilReached(s.servers["cat-4"], d)
+	s.requireServedWithout(leaving, d)
 }
 
 // gone waits until a daemon holds a server for gone.
-func (s *site) gone(d *daemon, id string) {
+func (s *testbed) waitUnlisted(d *daemon, id string) {
 	s.t.Helper()
 	s.eventually(func() error {
-		for _, v := range s.beliefs(d).List.Instances[plain] {
+		for _, v := range s.status(d).List.Instances[plainService] {
 			if v.Instance.ID == id {
 				return trace.Errorf("%s is still listed", id)
 			}
@@ -92,47 +92,47 @@
 
 // A server is overrun and turns a request away: it wants nothing for three seconds. The
 // daemon went on sending to it, a third of all its requests, each refused in turn.
-func TestServerThatAsksForRestGetsNone(t *testing.T) {
-	s := newSite(t)
-	busy := s.threeServers("3", firstOnly(platformtest.Rest))
-	d := s.serving()
-	s.reached(busy, d)
-	s.servedWithout(busy, d)
+func TestRetryAfterIsObeyed(t *testing.T) {
+	s := newTestbed(t)
+	busy := s.startThreeServers("3", firstOnly(platformtest.Rest))
+	d := s.startReadyDaemon()
+	s.sendUntilReached(busy, d)
+	s.requireServedWithout(busy, d)
 }
 
 // The time for which a server wants nothing is over: it is used again. Parts of a second
 // count, and what is no time at all is no reason to leave a server out.
-func TestRestIsOver(t *testing.T) {
+func TestRetryAfterExpires(t *testing.T) {
 	for _, rest := range []string{"0.2", "-5", "soon", "NaN"} {
 		t.Run(rest, func(t *testing.T) {
-			s := newSite(t)
-			busy := s.threeServers(rest, firstOnly(platformtest.Rest))
-			d := s.serving()
-			s.reached(busy, d)
-			s.reached(busy, d)
+			s := newTestbed(t)
+			busy := s.startThreeServers(rest, firstOnly(platformtest.Rest))
+			d := s.startReadyDaemon()
+			s.sendUntilReached(busy, d)
+			s.sendUntilReached(busy, d)
 		})
 	}
 }
 
 // All servers of a service want nothing for a while. Callers are told at once, and when the
 // first of them can be asked again.
-func TestAllServersAskForRest(t *testing.T) {
-	s := newSite(t)
+func TestAllServersSendRetryAfter(t *testing.T) {
+	s := newTestbed(t)
 	for id, rest := range map[string]string{"cat-1": "30", "cat-2": "7.5"} {
-		s.server(platformtest.ServerOptions{ID: id, Service: plain, Rest: rest, Behave: always(platformtest.Rest)})
+		s.startServer(platformtest.ServerOptions{ID: id, Service: plainService, Rest: rest, Behave: always(platformtest.Rest)})
 	}
-	d := s.serving()
+	d := s.startReadyDaemon()
 	s.eventually(func() error {
-		s.send(s.call(pathSafe), d)
+		s.send(s.newCall(pathSafe), d)
 		if len(s.servers["cat-1"].Seen()) == 0 || len(s.servers["cat-2"].Seen()) == 0 {
 			return trace.Errorf("one was not asked yet")
 		}
 		return nil
 	})
-	c := s.call(pathOnce)
+	c := s.newCall(pathUnsafe)
 	reply := s.send(c, d)
 	require.Equal(t, http.StatusServiceUnavailable, reply.Status)
-	require.Empty(t, s.runs(c.ID))
+	require.Empty(t, s.serversThatRan(c.ID))
 	after, err := strconv.ParseFloat(reply.RetryAfter, 64)
 	require.NoError(t, err)
 	require.InDelta(t, 7.5, after, 5)
@@ -143,28 +143,28 @@
 
 // A daemon hears from a server that it leaves. The others hear it from that daemon, before
 // any of them asks the server or the store.
-func TestPeersHearThatAServerLeaves(t *testing.T) {
-	s := newSite(t)
-	leaving := s.threeServers("", nil)
-	first, second := s.serving(), s.serving()
+func TestLeavingServerIsAnnouncedToPeers(t *testing.T) {
+	s := newTestbed(t)
+	leaving := s.startThreeServers("", nil)
+	first, second := s.startReadyDaemon(), s.startReadyDaemon()
 	s.store.SetFault(platformtest.FaultSilent)
 	leaving.Leave()
-	s.reached(leaving, first)
-	s.logged(second, "instance.leaving", "instance=cat-1")
-	s.servedWithout(leaving, second)
+	s.sendUntilReached(leaving, first)
+	s.waitForLog(second, "instance.leaving", "instance=cat-1")
+	s.requireServedWithout(leaving, second)
 }
 
 // beliefs asks a daemon what it believes.
-func (s *site) beliefs(d *daemon) entry.Beliefs {
+func (s *testbed) status(d *daemon) entry.Beliefs {
 	s.t.Helper()
-	b, err := s.askBeliefs(d)
+	b, err := s.fetchStatus(d)
 	require.NoError(s.t, err)
 	return b
 }
 
 // askBeliefs is beliefs for a daemon that may have ended.
-func (s *site) askBeliefs(d *daemon) (b entry.Beliefs, err error) {
-	resp, err := s.client.Get("http://" + d.metrics + entry.BeliefsPath)
+func (s *testbed) fetchStatus(d *daemon) (b entry.Beliefs, err error) {
+	resp, err := s.client.Get("http://" + d.metricsAddress + entry.BeliefsPath)
 	if err != nil {
 		return b, err
 	}
--- a/test/routes/soak_test.go
+++ b/test/routes/soak_test.go
@@ -33,11 +33,11 @@
 	// soakPause is the longest time between two faults.
 	soakPause = 400 * time.Millisecond
 	// soakKept is the longest time that a fault lasts.
-	soakKept = 2500 * time.Millisecond
+	soakFaultTime = 2500 * time.Millisecond
 )
 
 // soakKinds is the number of kinds of faults.
-const soakKinds = 17
+const soakFaultKinds = 17
 
 // soakCase is a seed, with the number of kinds of faults from which its faults are drawn.
 type soakCase struct {
@@ -63,7 +63,7 @@
 func TestSoak(t *testing.T) {
 	cases := append([]soakCase{}, soakCases...)
 	for i := range envInt("SOAK_SEEDS", 2) {
-		cases = append(cases, soakCase{seed: uint64(envInt("SOAK_FIRST", 1) + i), kinds: soakKinds})
+		cases = append(cases, soakCase{seed: uint64(envInt("SOAK_FIRST", 1) + i), kinds: soakFaultKinds})
 	}
 	for _, c := range cases {
 		t.Run(fmt.Sprint("seed-", c.seed), func(t *testing.T) { newSoak(t, c).run() })
@@ -71,82 +71,82 @@
 }
 
 // sent is a call with its reply.
-type sent struct {
+type exchange struct {
 	call  platformtest.Call
 	reply platformtest.Reply
 }
 
 type soak struct {
-	*site
+	*testbed
 	soakCase
 	random *rand.Rand
 	// stores are the proxies between daemons and the store, by daemon.
-	stores  map[*daemon]*cluster.Proxy
+	storeProxies  map[*daemon]*cluster.Proxy
 	version int64
 
 	mu   sync.Mutex
 	live []*daemon
-	log  []sent
+	exchanges  []exchange
 	// heals undo faults.
-	heals sync.WaitGroup
+	undoing sync.WaitGroup
 	ended chan struct{}
 	// crashed counts the servers that ended under the crashing request, and started the
 	// daemons.
-	crashed, started int
+	serversCrashed, daemonsStarted int
 	// serverIDs has the IDs of the servers that run, by their place, and leaving what
 	// servers had seen when they began to say that they leave.
 	serverIDs map[string]string
 	leaving   map[*platformtest.Server]int
 	// limited has what servers had seen when they began to name a limit, and limitedFor
 	// what came until they named none any more.
-	limited, limitedFor map[*platformtest.Server]int
+	limited, requestsWhileLimited map[*platformtest.Server]int
 
-	renamed int
+	serversStarted int
 }
 
 func newSoak(t *testing.T, c soakCase) *soak {
 	s := &soak{
-		site: newSite(t), soakCase: c, random: rand.New(rand.NewPCG(c.seed, 1)), stores: map[*daemon]*cluster.Proxy{},
+		testbed: newTestbed(t), soakCase: c, random: rand.New(rand.NewPCG(c.seed, 1)), storeProxies: map[*daemon]*cluster.Proxy{},
 		version: 3, ended: make(chan struct{}), serverIDs: map[string]string{}, leaving: map[*platformtest.Server]int{},
-		limited: map[*platformtest.Server]int{}, limitedFor: map[*platformtest.Server]int{},
+		limited: map[*platformtest.Server]int{}, requestsWhileLimited: map[*platformtest.Server]int{},
 	}
-	s.store.Declare(s.declared())
+	s.store.Declare(s.manifest())
 	for i := range 3 {
-		s.soakServer(fmt.Sprint("cat-", i), c.seed, 0)
-		s.soakServer(fmt.Sprint("eng-", i), c.seed, 0)
+		s.startSoakServer(fmt.Sprint("cat-", i), c.seed, 0)
+		s.startSoakServer(fmt.Sprint("eng-", i), c.seed, 0)
 	}
 	for range soakDaemons {
-		s.startOne()
+		s.startSoakDaemon()
 	}
 	return s
 }
 
 const (
 	// soakCold is for how long a server is cold that takes another one's place.
-	soakCold = 1500 * time.Millisecond
+	soakColdTime = 1500 * time.Millisecond
 	// soakCopyAge is how much the store loses when it comes back from a copy, and soakAway
 	// how long it is away before, and how long what it lost is missing.
-	soakCopyAge = 1 * time.Second
-	soakAway    = 500 * time.Millisecond
+	soakBackupAge = 1 * time.Second
+	soakOutage    = 500 * time.Millisecond
 	// soakHall is the failure domain that is evacuated; the first servers of each service
 	// are there.
-	soakHall = "hall-b"
+	soakDomain = "hall-b"
 )
 
 // declared is the configuration in force.
-func (s *soak) declared() wire.Manifest { return warming(s.version) }
+func (s *soak) manifest() wire.Manifest { return coldStartManifest(s.version) }
 
 // soakServer starts the server of a place, "cat-N" or "eng-N", which is cold for some time
 // and treats a few requests badly, drawn by their id so that a seed plays the same.
-func (s *soak) soakServer(place string, seed uint64, cold time.Duration) {
+func (s *soak) startSoakServer(place string, seed uint64, cold time.Duration) {
 	s.mu.Lock()
-	s.renamed++
-	o := platformtest.ServerOptions{ID: fmt.Sprint(place, "-", s.renamed), Service: plain, Work: 5 * time.Millisecond, Rest: soakRest, Cold: cold, ColdPerS: coldLimit}
+	s.serversStarted++
+	o := platformtest.ServerOptions{ID: fmt.Sprint(place, "-", s.serversStarted), Service: plainService, Work: 5 * time.Millisecond, Rest: soakRetryAfter, Cold: cold, ColdPerS: coldCrashRate}
 	if strings.HasSuffix(place, "-0") {
-		o.FailureDomain = soakHall
+		o.FailureDomain = soakDomain
 	}
 	if strings.HasPrefix(place, "eng-") {
-		o.Service, o.Events, o.Confidence = engines, 8, map[string]int{"small": 80}
+		o.Service, o.Events, o.Confidence = engineService, 8, map[string]int{"small": 80}
 	}
 	s.serverIDs[place] = o.ID
 	s.mu.Unlock()
@@ -181,53 +181,53 @@
 // replaceServer starts a server anew, some time after its process has ended.
 func (s *soak) replaceServer(place string, seed uint64) {
 	s.mu.Lock()
-	s.crashed++
+	s.serversCrashed++
 	old := s.serverIDs[place]
 	s.mu.Unlock()
 	<-time.After(restartTime)
 	s.store.Remove(wire.TableInstances, old)
-	s.soakServer(place, seed, soakCold)
+	s.startSoakServer(place, seed, soakColdTime)
 }
 
 // running returns the server of a place.
-func (s *soak) running(place string) *platformtest.Server {
+func (s *soak) serverAt(place string) *platformtest.Server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.servers[s.serverIDs[place]]
 }
 
 // startOne starts a daemon with a proxy of its own before the store.
-func (s *soak) startOne() {
-	proxy, err := cluster.NewProxy(s.address)
+func (s *soak) startSoakDaemon() {
+	proxy, err := cluster.NewProxy(s.storeAddress)
 	require.NoError(s.t, err)
 	s.t.Cleanup(proxy.Close)
 	s.mu.Lock()
 	var seeds []string
 	for _, d := range s.live {
-		seeds = append(seeds, d.peers)
+		seeds = append(seeds, d.peerAddress)
 	}
 	s.mu.Unlock()
-	d := s.start(func(r *settings.Routes) {
+	d := s.startDaemon(func(r *settings.Routes) {
 		r.Platform = proxy.Address()
 		r.Seeds = append([]string{}, seeds...)
 		r.StopS = 4
 	})
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.stores[d] = proxy
+	s.storeProxies[d] = proxy
 	s.live = append(s.live, d)
-	s.started++
+	s.daemonsStarted++
 }
 
 // pick draws a live daemon.
-func (s *soak) pick(random *rand.Rand) *daemon {
+func (s *soak) pickDaemon(random *rand.Rand) *daemon {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.live[random.IntN(len(s.live))]
 }
 
 // drop takes a daemon out of those that callers use.
-func (s *soak) drop(d *daemon) {
+func (s *soak) removeLive(d *daemon) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i, other := range s.live {
@@ -245,12 +245,12 @@
 	}
 	end := time.Now().Add(time.Duration(envInt("SOAK_SECONDS", 6)) * time.Second)
 	for time.Now().Before(end) {
-		s.fault()
+		s.injectFault()
 		<-time.After(time.Duration(s.random.Int64N(int64(soakPause))))
 	}
-	s.heals.Wait()
-	s.recovers()
-	s.evacuates()
+	s.undoing.Wait()
+	s.requireRecovery()
+	s.requireEvacuation()
 	close(s.ended)
 	load.Wait()
 	s.check()
@@ -258,87 +258,87 @@
 
 // worker sends requests of all kinds until the soak ends.
 func (s *soak) worker(random *rand.Rand) {
-	paths := []string{pathOnce, pathSafe, pathTurns}
+	paths := []string{pathUnsafe, pathSafe, pathStream}
 	for {
 		select {
 		case <-s.ended:
 			return
 		default:
 		}
-		c := s.call(paths[random.IntN(len(paths))])
+		c := s.newCall(paths[random.IntN(len(paths))])
 		ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
-		reply := c.Send(ctx, s.client, s.pick(random).callers)
+		reply := c.Send(ctx, s.client, s.pickDaemon(random).callerAddress)
 		cancel()
 		s.mu.Lock()
-		s.log = append(s.log, sent{c, reply})
+		s.exchanges = append(s.exchanges, exchange{c, reply})
 		s.mu.Unlock()
 	}
 }
 
 // later undoes a fault after a while.
-func (s *soak) later(undo func()) {
-	kept := time.Duration(s.random.Int64N(int64(soakKept)))
-	s.heals.Go(func() {
+func (s *soak) undoLater(undo func()) {
+	kept := time.Duration(s.random.Int64N(int64(soakFaultTime)))
+	s.undoing.Go(func() {
 		<-time.After(kept)
 		undo()
 	})
 }
 
 // fault brings one fault about.
-func (s *soak) fault() {
-	d := s.pick(s.random)
-	store := s.stores[d]
+func (s *soak) injectFault() {
+	d := s.pickDaemon(s.random)
+	store := s.storeProxies[d]
 	switch s.random.IntN(s.kinds) {
 	case 0:
-		s.drop(d)
+		s.removeLive(d)
 		d.Kill()
-		s.startOne()
+		s.startSoakDaemon()
 	case 1:
-		d.stop()
-		s.later(func() { s.drop(d) })
-		s.startOne()
+		d.terminate()
+		s.undoLater(func() { s.removeLive(d) })
+		s.startSoakDaemon()
 	case 2:
 		if d.Freeze() == nil {
-			s.later(d.Wake)
+			s.undoLater(d.Wake)
 		}
 	case 3:
 		store.Cut()
-		s.later(func() { s.restore(store) })
+		s.undoLater(func() { s.restoreProxy(store) })
 	case 4:
 		if store.Hold([]string{"upstream", "downstream"}[s.random.IntN(2)]) == nil {
-			s.later(store.Heal)
+			s.undoLater(store.Heal)
 		}
 	case 5:
 		if store.Slow("200") == nil {
-			s.later(store.Heal)
+			s.undoLater(store.Heal)
 		}
 	case 6:
 		s.store.SetFault([]platformtest.Fault{
 			platformtest.FaultRefuse, platformtest.FaultBusy, platformtest.FaultReset, platformtest.FaultSilent, platformtest.FaultLoseAnswer,
 		}[s.random.IntN(5)])
-		s.later(func() { s.store.SetFault(platformtest.FaultNone) })
+		s.undoLater(func() { s.store.SetFault(platformtest.FaultNone) })
 	case 7:
 		s.store.Compact()
 	case 8:
 		s.version += 1 + s.random.Int64N(3)
-		s.store.Declare(s.declared())
+		s.store.Declare(s.manifest())
 	case 9:
-		place := s.place()
-		s.store.Remove(wire.TableInstances, s.idAt(place))
-		s.later(func() { s.running(place).Register(s.store, wire.StateReady) })
+		place := s.drawPlace()
+		s.store.Remove(wire.TableInstances, s.serverIDAt(place))
+		s.undoLater(func() { s.serverAt(place).Register(s.store, wire.StateReady) })
 	case 10:
 		d.Signal(1)
 	case 11:
 		s.store.LoseHeld()
 	case 12:
-		s.heals.Go(s.repeatCrashing)
+		s.undoing.Go(s.repeatPoisonCall)
 	case 13:
-		s.leave(s.place())
+		s.leaveServer(s.drawPlace())
 	case 14:
-		s.store.Evacuate(soakHall)
-		s.later(func() { s.store.Restore(soakHall) })
+		s.store.Evacuate(soakDomain)
+		s.undoLater(func() { s.store.Restore(soakDomain) })
 	case 15:
-		s.limit(s.place())
+		s.limitServer(s.drawPlace())
 	case 16:
 		s.restoreStore()
 	}
@@ -348,20 +348,20 @@
 // servers write again what it has lost.
 func (s *soak) restoreStore() {
 	copied := s.store.Copy()
-	s.heals.Go(func() {
-		<-time.After(soakCopyAge)
+	s.undoing.Go(func() {
+		<-time.After(soakBackupAge)
 		s.store.SetFault(platformtest.FaultReset)
-		<-time.After(soakAway)
+		<-time.After(soakOutage)
 		lost := s.store.RestoreFrom(copied)
 		s.store.SetFault(platformtest.FaultNone)
-		<-time.After(soakAway)
+		<-time.After(soakOutage)
 		s.store.WriteAgain(lost)
 	})
 }
 
 // limit has a server name a limit for a while, which changes once.
-func (s *soak) limit(place string) {
-	server := s.running(place)
+func (s *soak) limitServer(place string) {
+	server := s.serverAt(place)
 	s.mu.Lock()
 	if _, already := s.limited[server]; already {
 		s.mu.Unlock()
@@ -370,22 +370,22 @@
 	s.limited[server] = len(server.Seen())
 	s.mu.Unlock()
 	server.Limit(fmt.Sprint(s.random.IntN(3)))
-	s.later(func() { server.Limit("0.5") })
-	s.later(func() {
+	s.undoLater(func() { server.Limit("0.5") })
+	s.undoLater(func() {
 		s.mu.Lock()
 		since := s.limited[server]
-		s.limitedFor[server] = len(server.Seen()) - since
+		s.requestsWhileLimited[server] = len(server.Seen()) - since
 		s.mu.Unlock()
 		server.Limit("")
 	})
 }
 
 // place draws the place of a server.
-func (s *soak) place() string {
+func (s *soak) drawPlace() string {
 	return fmt.Sprint([]string{"cat-", "eng-"}[s.random.IntN(2)], s.random.IntN(3))
 }
 
-func (s *soak) idAt(place string) string {
+func (s *soak) serverIDAt(place string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.serverIDs[place]
@@ -397,16 +397,16 @@
 	// soakCrashes bounds the servers that it may end: five where some daemons do not
 	// answer, the attempts of the repeat that ends the last of them, and those of the
 	// second in which other daemons are chosen to judge, since both may be killed.
-	soakCrashes = 5 + 3 + 6
+	maxSoakCrashes = 5 + 3 + 6
 	// soakRest is the time for which servers that ask for it want no requests.
-	soakRest = "0.3"
+	soakRetryAfter = "0.3"
 )
 
 // repeatCrashing has a caller repeat the one request that crashes servers.
-func (s *soak) repeatCrashing() {
+func (s *soak) repeatPoisonCall() {
 	for range soakRepeats {
 		ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
-		s.poisoned(pathTurns).Send(ctx, s.client, s.pick(rand.New(rand.NewPCG(rand.Uint64(), 4))).callers)
+		s.poisonCall(pathStream).Send(ctx, s.client, s.pickDaemon(rand.New(rand.NewPCG(rand.Uint64(), 4))).callerAddress)
 		cancel()
 		<-time.After(restartTime)
 	}
@@ -414,9 +414,9 @@
 
 // leave has a server say in its answers that it leaves, and a new one take its place. Its
 // row says "ready" until it is gone.
-func (s *soak) leave(place string) {
-	server := s.running(place)
-	old := s.idAt(place)
+func (s *soak) leaveServer(place string) {
+	server := s.serverAt(place)
+	old := s.serverIDAt(place)
 	s.mu.Lock()
 	if _, already := s.leaving[server]; already {
 		s.mu.Unlock()
@@ -425,27 +425,27 @@
 	s.leaving[server] = len(server.Seen())
 	s.mu.Unlock()
 	server.Leave()
-	s.soakServer(place, s.seed, soakCold)
-	s.later(func() { s.store.Remove(wire.TableInstances, old) })
+	s.startSoakServer(place, s.seed, soakColdTime)
+	s.undoLater(func() { s.store.Remove(wire.TableInstances, old) })
 }
 
-func (s *soak) restore(p *cluster.Proxy) {
+func (s *soak) restoreProxy(p *cluster.Proxy) {
 	// A proxy whose daemon is gone may be closed already.
 	_ = p.Restore()
 }
 
 // recovers requires that every live daemon serves once all faults are over, by the
 // configuration that is accepted then.
-func (s *soak) recovers() {
+func (s *soak) requireRecovery() {
 	s.mu.Lock()
 	live := append([]*daemon{}, s.live...)
 	s.mu.Unlock()
 	s.version++
-	s.store.Declare(s.declared())
+	s.store.Declare(s.manifest())
 	for _, d := range live {
-		s.logged(d, "msg=config.in_force", fmt.Sprint("version=", s.version, " "))
+		s.waitForLog(d, "msg=config.in_force", fmt.Sprint("version=", s.version, " "))
 		s.eventually(func() error {
-			c := s.call(pathSafe)
+			c := s.newCall(pathSafe)
 			if r := s.send(c, d); r.Err != nil || r.Status != http.StatusOK {
 				return trace.Errorf("%s does not serve: %d %v\n%s", d.Name, r.Status, r.Err, d.Log())
 			}
@@ -455,29 +455,29 @@
 }
 
 // evacuates requires that an evacuation empties a failure domain at every live daemon.
-func (s *soak) evacuates() {
-	s.store.Evacuate(soakHall)
-	defer s.store.Restore(soakHall)
+func (s *soak) requireEvacuation() {
+	s.store.Evacuate(soakDomain)
+	defer s.store.Restore(soakDomain)
 	s.mu.Lock()
 	live := append([]*daemon{}, s.live...)
 	s.mu.Unlock()
 	for _, d := range s.daemons {
-		s.eventually(func() error { return s.emptied(d, slices.Contains(live, d)) })
+		s.eventually(func() error { return s.checkEvacuated(d, slices.Contains(live, d)) })
 	}
-	before := s.seenInHall()
+	before := s.requestsInDomain()
 	for _, d := range live {
 		const requests = 20
 		for range requests {
-			s.send(s.call(pathSafe), d)
+			s.send(s.newCall(pathSafe), d)
 		}
 	}
-	require.Equal(s.t, before, s.seenInHall(), "requests in an evacuated failure domain")
+	require.Equal(s.t, before, s.requestsInDomain(), "requests in an evacuated failure domain")
 }
 
 // emptied reports whether a daemon has emptied the evacuated failure domain. One that is
 // stopping is told nothing by others: it finds out by itself, or ends before.
-func (s *soak) emptied(d *daemon, live bool) error {
-	b, err := s.askBeliefs(d)
+func (s *soak) checkEvacuated(d *daemon, live bool) error {
+	b, err := s.fetchStatus(d)
 	switch {
 	case b.Instance != d.Name && !live:
 		// It has ended; another process may have its port.
@@ -486,16 +486,16 @@
 		return trace.Wrap(err)
 	}
 	for _, e := range b.Evacuations {
-		if e.FailureDomain == soakHall && e.Open == 0 {
+		if e.FailureDomain == soakDomain && e.Open == 0 {
 			return nil
 		}
 	}
-	return trace.Errorf("%s has not emptied %s\n%s", d.Name, soakHall, d.Log())
+	return trace.Errorf("%s has not emptied %s\n%s", d.Name, soakDomain, d.Log())
 }
 
 // seenInHall is the number of requests that the servers of the evacuated failure domain
 // have got.
-func (s *soak) seenInHall() int {
+func (s *soak) requestsInDomain() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
@@ -512,15 +512,15 @@
 	runs := map[string]int{}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	require.LessOrEqual(s.t, s.crashed, soakCrashes, "servers ended under the crashing request")
+	require.LessOrEqual(s.t, s.serversCrashed, maxSoakCrashes, "servers ended under the crashing request")
 	for server, before := range s.leaving {
 		// What each daemon had under way when the first answer told it.
-		require.LessOrEqual(s.t, len(server.Seen())-before, soakWorkers*s.started, "requests at a leaving server")
+		require.LessOrEqual(s.t, len(server.Seen())-before, soakWorkers*s.daemonsStarted, "requests at a leaving server")
 	}
-	for _, got := range s.limitedFor {
+	for _, got := range s.requestsWhileLimited {
 		// What each daemon had under way when the first answer told it, and the highest
 		// limit of the soak over the longest time.
-		require.LessOrEqual(s.t, got, soakWorkers*s.started+mostAllowed(2), "requests at a server that names a limit")
+		require.LessOrEqual(s.t, got, soakWorkers*s.daemonsStarted+maxRequests(2), "requests at a server that names a limit")
 	}
 	for id, server := range s.servers {
 		require.False(s.t, server.Overrun(), "%s got more than it bears while it was cold", id)
@@ -532,14 +532,14 @@
 		}
 	}
 	served := 0
-	for _, one := range s.log {
+	for _, one := range s.exchanges {
 		id, r := one.call.ID, one.reply
 		switch {
 		case r.Err != nil:
 		case r.Status == http.StatusOK:
 			served++
 			require.Equal(s.t, id, r.ID)
-			s.wholeAnswer(one)
+			s.requireWhole(one)
 		case strings.Contains(r.Body, "request_quarantined"):
 			require.Fail(s.t, "refused though it crashes nothing", "%s: %s", id, r.Body)
 		case r.Status == http.StatusServiceUnavailable, r.Status == http.StatusTooManyRequests:
@@ -547,19 +547,19 @@
 		default:
 			require.GreaterOrEqual(s.t, r.Status, http.StatusInternalServerError, "%s is proper", id)
 		}
-		if one.call.Path == pathOnce {
+		if one.call.Path == pathUnsafe {
 			require.LessOrEqual(s.t, runs[id], 1, "%s ran more than once", id)
 		}
 	}
-	s.t.Logf("%d requests, %d served, %d servers crashed, %d left", len(s.log), served, s.crashed, len(s.leaving))
+	s.t.Logf("%d requests, %d served, %d servers crashed, %d left", len(s.exchanges), served, s.serversCrashed, len(s.leaving))
 	require.Positive(s.t, served)
 }
 
 // wholeAnswer requires that a success is the whole answer of one server.
-func (s *soak) wholeAnswer(one sent) {
+func (s *soak) requireWhole(one exchange) {
 	id := one.call.ID
-	if one.call.Path == pathTurns {
-		require.Equal(s.t, events(id, 8), one.reply.Body)
+	if one.call.Path == pathStream {
+		require.Equal(s.t, eventStream(id, 8), one.reply.Body)
 		return
 	}
 	require.True(s.t, strings.HasPrefix(one.reply.Body, "answer to "+id+" by cat-"), one.reply.Body)
