--- a/test/routes/evacuation_test.go
+++ b/test/routes/evacuation_test.go
@@ -18,38 +18,40 @@
 	"github.com/hornbeamsill/hornbeamsill/platform/wire"
 )
 
-// halls are the failure domains of these tests.
+// failureDomains are those of startTwoPerDomain.
 var failureDomains = []string{"hall-a", "hall-b", "hall-c"}
 
-// twoPerHall starts two servers of the plain service in each failure domain.
+// startTwoPerDomain starts two servers of the plain service in each failure domain.
 func (s *testbed) startTwoPerDomain() {
-	for _, hall := range failureDomains {
+	for _, domain := range failureDomains {
 		for n := range 2 {
-			s.startServer(platformtest.ServerOptions{ID: fmt.Sprintf("%s-%d", hall, n), Service: plainService, FailureDomain: hall, Work: 20 * time.Millisecond})
+			s.startServer(platformtest.ServerOptions{ID: fmt.Sprintf("%s-%d", domain, n), Service: plainService, FailureDomain: domain, Work: 20 * time.Millisecond})
 		}
 	}
 }
 
-// arrivals is the number of requests that the servers of a failure domain have got.
-func (s *testbed) requestsIn(hall string) int {
+// requestsIn returns the number of requests that the servers of a failure domain have
+// received.
+func (s *testbed) requestsIn(domain string) int {
 	n := 0
 	for id, server := range s.servers {
-		if strings.HasPrefix(id, hall) {
+		if strings.HasPrefix(id, domain) {
 			n += len(server.Seen())
 		}
 	}
 	return n
 }
 
-// callersAtOnce is enough for a daemon to use all failure domains and not only its own.
+// concurrentCallers is so high that a daemon uses other failure domains beside its own.
 const concurrentCallers = 16
 
-// serves requires that a daemon serves requests, and that none reach some failure domains.
+// requireServedOutside requires that a daemon serves requests and that none reaches the given
+// failure domains.
 func (s *testbed) requireServedOutside(d *daemon, without ...string) {
 	s.t.Helper()
 	before := map[string]int{}
-	for _, hall := range without {
-		before[hall] = s.requestsIn(hall)
+	for _, domain := range without {
+		before[domain] = s.requestsIn(domain)
 	}
 	var callers sync.WaitGroup
 	for range concurrentCallers {
@@ -62,33 +64,33 @@
 		})
 	}
 	callers.Wait()
-	for hall, n := range before {
-		require.Equal(s.t, n, s.requestsIn(hall), "requests in %s through %s", hall, d.Name)
+	for domain, n := range before {
+		require.Equal(s.t, n, s.requestsIn(domain), "requests in %s through %s", domain, d.Name)
 	}
 }
 
-// reachesHall sends requests through a daemon until one reaches a failure domain.
-func (s *testbed) sendUntilDomainReached(d *daemon, hall string) {
+// sendUntilDomainReached sends requests through a daemon until one reaches a failure domain.
+func (s *testbed) sendUntilDomainReached(d *daemon, domain string) {
 	s.t.Helper()
-	before := s.requestsIn(hall)
+	before := s.requestsIn(domain)
 	stop := runWorkers(concurrentCallers, func(int) { s.send(s.newCall(pathSafe), d) })
 	defer stop()
 	s.eventually(func() error {
-		if s.requestsIn(hall) == before {
-			return trace.Errorf("nothing reaches %s", hall)
+		if s.requestsIn(domain) == before {
+			return trace.Errorf("no request reaches %s", domain)
 		}
 		return nil
 	})
 }
 
-// evacuatedAt waits until a daemon has an evacuation in force.
-func (s *testbed) waitEvacuated(d *daemon, hall string) {
+// waitEvacuated waits until an evacuation is in force at a daemon.
+func (s *testbed) waitEvacuated(d *daemon, domain string) {
 	s.t.Helper()
-	s.waitForLog(d, "evacuation.in_force", "failure_domain="+hall)
+	s.waitForLog(d, "evacuation.in_force", "failure_domain="+domain)
 }
 
-// Guards against requests to instances of a failure domain that the operator has emptied,
-// and against one that stays empty once it is taken back.
+// Guards against requests to instances of an evacuated failure domain, and against one that
+// gets no requests after its evacuation has ended.
 func TestEvacuatedDomainGetsNoRequests(t *testing.T) {
 	s := newTestbed(t)
 	s.startTwoPerDomain()
@@ -115,8 +117,8 @@
 	}
 }
 
-// Guards against a daemon that starts in the middle of an evacuation, while the store is
-// away, and serves before it knows of it.
+// Guards against a daemon that starts during an evacuation, while the store does not answer,
+// and serves requests before it has learnt of the evacuation from a peer.
 func TestStartingDaemonKnowsEvacuations(t *testing.T) {
 	s := newTestbed(t)
 	s.startTwoPerDomain()
@@ -128,8 +130,8 @@
 	s.requireServedOutside(second, "hall-b")
 }
 
-// Guards against an evacuation that is missed, or stays in force, because the store has
-// dropped the history in which it began and ended.
+// Guards against evacuations whose start or end a daemon misses because it was written during
+// an outage and the store has dropped that history.
 func TestEvacuationsAfterLostHistory(t *testing.T) {
 	s := newTestbed(t)
 	s.startTwoPerDomain()
@@ -148,23 +150,24 @@
 	s.sendUntilDomainReached(d, "hall-a")
 }
 
-// Guards against a daemon that the store turns away and that so misses an evacuation.
+// Guards against a daemon that cannot reach the store and misses the start or end of an
+// evacuation. It must learn of both from its peers.
 func TestDaemonWithoutStoreLearnsEvacuations(t *testing.T) {
 	s := newTestbed(t)
 	s.startTwoPerDomain()
-	reader, deaf := s.startReadyDaemon(), s.startDaemon(func(r *settings.Routes) { r.Platform = "127.0.0.1:1" })
-	s.waitForLog(deaf, "daemon.offered")
+	reader, isolated := s.startReadyDaemon(), s.startDaemon(func(r *settings.Routes) { r.Platform = "127.0.0.1:1" })
+	s.waitForLog(isolated, "daemon.offered")
 	s.store.Evacuate("hall-b")
 	s.waitEvacuated(reader, "hall-b")
-	s.waitEvacuated(deaf, "hall-b")
-	s.requireServedOutside(deaf, "hall-b")
+	s.waitEvacuated(isolated, "hall-b")
+	s.requireServedOutside(isolated, "hall-b")
 	s.store.Restore("hall-b")
-	s.waitForLog(deaf, "evacuation.lifted", "failure_domain=hall-b")
-	s.sendUntilDomainReached(deaf, "hall-b")
+	s.waitForLog(isolated, "evacuation.lifted", "failure_domain=hall-b")
+	s.sendUntilDomainReached(isolated, "hall-b")
 }
 
-// Guards against callers that are held until their deadline where all instances are in
-// evacuated failure domains.
+// Guards against callers that wait until their deadline when all instances are in evacuated
+// failure domains.
 func TestRequestsAreRefusedWhenAllIsEvacuated(t *testing.T) {
 	s := newTestbed(t)
 	s.startServer(platformtest.ServerOptions{ID: "hall-b-0", Service: plainService, FailureDomain: "hall-b"})
@@ -193,7 +196,7 @@
 	go func() { answer <- s.send(c, d) }()
 	s.eventually(func() error {
 		if len(s.serversThatRan(c.ID)) == 0 {
-			return trace.Errorf("the stream has not begun")
+			return trace.Errorf("the stream has not started")
 		}
 		return nil
 	})
@@ -205,7 +208,8 @@
 	require.Len(t, s.serversThatRan(c.ID), 1)
 }
 
-// warming declares the plain service with instances that bear few requests after a start.
+// coldStartManifest declares that instances are cold for 3 s after their start and take 9
+// requests per second in that time.
 func coldStartManifest(version int64) wire.Manifest {
 	m := newManifest(version)
 	for i := range m.Services {
@@ -214,14 +218,14 @@
 	return m
 }
 
-// coldLimit is how many requests in any second end a cold server of these tests: one and a
-// half times its rate, and five.
+// coldCrashRate is how many requests within a second a cold server survives: 1.5 times the
+// declared rate of 9, and 5 more.
 const coldCrashRate = 18
 
-// cold starts a server that is cold.
-func (s *testbed) startCold(id, hall string, d time.Duration) *platformtest.Server {
+// startCold starts a server of the plain service that is cold for d.
+func (s *testbed) startCold(id, domain string, d time.Duration) *platformtest.Server {
 	server := platformtest.NewServer(platformtest.ServerOptions{
-		ID: id, Service: plainService, FailureDomain: hall, Version: "v1", Slots: 8, Cold: d, ColdPerS: coldCrashRate,
+		ID: id, Service: plainService, FailureDomain: domain, Version: "v1", Slots: 8, Cold: d, ColdPerS: coldCrashRate,
 	})
 	s.t.Cleanup(server.Close)
 	s.servers[id] = server
@@ -229,7 +233,7 @@
 	return server
 }
 
-// flood has callers send through all daemons until it is stopped.
+// startFlood sends requests through all daemons, without a pause, until stop is called.
 func (s *testbed) startFlood(daemons []*daemon) (stop func()) {
 	const perDaemon = 4
 	return runWorkers(perDaemon*len(daemons), func(worker int) {
@@ -237,20 +241,20 @@
 	})
 }
 
-// bears waits until a server has had some requests, and requires that they have not ended
-// it.
+// requireNotOverloaded waits until a server has received a number of requests, and requires
+// that they have not crashed it.
 func (s *testbed) requireNotOverloaded(server *platformtest.Server, requests int) {
 	s.t.Helper()
 	s.eventually(func() error {
 		if n := len(server.Seen()); n < requests && !server.Overrun() {
-			return trace.Errorf("the server has had %d requests", n)
+			return trace.Errorf("the server has received %d requests", n)
 		}
 		return nil
 	})
 	require.False(s.t, server.Overrun())
 }
 
-// listed waits until daemons know a server.
+// waitListed waits until all daemons list a server of the plain service.
 func (s *testbed) waitListed(daemons []*daemon, id string) {
 	s.t.Helper()
 	for _, d := range daemons {
@@ -260,13 +264,13 @@
 					return nil
 				}
 			}
-			return trace.Errorf("%s does not know %s", d.Name, id)
+			return trace.Errorf("%s does not list %s", d.Name, id)
 		})
 	}
 }
 
-// Guards against an instance that ends again and again because the whole fleet sends to it
-// as soon as it has started.
+// Guards against an instance that crashes after each start because all daemons send requests
+// to it as soon as it is listed.
 func TestColdInstanceIsNotOverloaded(t *testing.T) {
 	s := newTestbed(t)
 	s.store.Declare(coldStartManifest(5))
@@ -282,8 +286,8 @@
 	s.requireNotOverloaded(cold, 100)
 }
 
-// Guards against a service that ends as a whole when all of its instances are cold, and
-// against callers that get nothing meanwhile.
+// Guards against a service whose instances all crash when all of them are cold, and against
+// callers that are not served in that time.
 func TestAllInstancesCold(t *testing.T) {
 	s := newTestbed(t)
 	s.store.Declare(coldStartManifest(5))
@@ -303,7 +307,7 @@
 		for _, d := range daemons {
 			for _, v := range s.status(d).List.Instances[plainService] {
 				if !v.Warming {
-					return trace.Errorf("%s takes %s for warm", d.Name, v.Instance.ID)
+					return trace.Errorf("%s treats %s as warm", d.Name, v.Instance.ID)
 				}
 			}
 		}
@@ -316,8 +320,8 @@
 	}
 }
 
-// Guards against a failure domain whose instances all end when it is taken back: they came
-// back cold, and their entries say so late.
+// Guards against a failure domain whose instances crash when its evacuation ends. They have
+// restarted and are cold, but their rows do not say so yet.
 func TestRestoredDomainIsNotOverloaded(t *testing.T) {
 	s := newTestbed(t)
 	s.store.Declare(coldStartManifest(5))
@@ -338,13 +342,13 @@
 	s.requireNotOverloaded(cold, 80)
 }
 
-// Guards against callers for whom no turn at a cold instance comes in time, and who are
-// held while the budget of repeats is spent on asking again.
+// Guards against requests that wait, and use up the retry budget, when the rate limit of a
+// cold instance has no slot for them before their deadline.
 func TestColdInstanceWaitUsesNoRetry(t *testing.T) {
 	s := newTestbed(t)
 	m := coldStartManifest(5)
 	for i := range m.Services {
-		// A turn in more than the time that callers have.
+		// One request per 100 s, which is longer than the deadline of callers.
 		m.Services[i].ColdStartS, m.Services[i].ColdPerS = 60, 0.01
 	}
 	s.store.Declare(m)
@@ -356,7 +360,7 @@
 		c := s.newCall(pathSafe)
 		reply := s.send(c, d)
 		if reply.Status == http.StatusOK {
-			// The one turn.
+			// The one request that the rate limit allows.
 			continue
 		}
 		refused++
--- a/test/routes/failures_test.go
+++ b/test/routes/failures_test.go
@@ -18,8 +18,8 @@
 	"github.com/hornbeamsill/hornbeamsill/platform/wire"
 )
 
-// firstOnly treats the first request of all servers that share it in a way, and
-// answers the rest.
+// firstOnly returns a Behave function that applies b to the first request of all servers that
+// share the function, and answers the other requests.
 func firstOnly(b platformtest.Behaviour) func(platformtest.Seen) platformtest.Behaviour {
 	var count atomic.Int64
 	return func(platformtest.Seen) platformtest.Behaviour {
@@ -30,20 +30,19 @@
 	}
 }
 
-// always treats every request in a way.
+// always returns a Behave function that applies b to every request.
 func always(b platformtest.Behaviour) func(platformtest.Seen) platformtest.Behaviour {
 	return func(platformtest.Seen) platformtest.Behaviour { return b }
 }
 
-// pair starts two servers of the plain service that treat requests alike.
+// startPair starts two servers of the plain service that share a Behave function.
 func (s *testbed) startPair(behave func(platformtest.Seen) platformtest.Behaviour) {
 	s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService, Behave: behave})
 	s.startServer(platformtest.ServerOptions{ID: "cat-2", Service: plainService, Behave: behave})
 }
 
-// A server dies on a statement that may be fetched once only, after it began.
-// The caller must not be told "not run", and no other server may get it: the
-// songwriter would be billed twice.
+// Guards against unsafe requests that run twice, or that are reported as not run, when the
+// server fails after the request has begun. Two runs would bill the customer twice.
 func TestLostAnswerOfUnsafeRequest(t *testing.T) {
 	for name, behaviour := range map[string]platformtest.Behaviour{
 		"reset": platformtest.Reset, "truncated": platformtest.Truncate, "without digest": platformtest.Unsealed,
@@ -62,8 +61,9 @@
 	}
 }
 
-// A server's own failure of a request that may not be repeated reaches the
-// caller as it is: it ran, so neither "not run" nor another attempt is true.
+// Guards against a 500 answer to an unsafe request that is retried or replaced by an error
+// that says that the request did not run. The request ran, so the caller must get the answer
+// of the server unchanged.
 func TestFailureOfUnsafeRequest(t *testing.T) {
 	s := newTestbed(t)
 	s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService, Behave: always(platformtest.Fail)})
@@ -75,8 +75,8 @@
 	require.Equal(t, s.servers["cat-1"].Body(c.ID), reply.Body)
 }
 
-// A server refuses a request without running it, or answers before it has read
-// the body. Another one may get it, also if it may run once only.
+// Guards against unsafe requests that fail although a server refused them without running
+// them, or answered before it read the body. Such requests may be sent to another server.
 func TestRefusedRequestIsRetriedElsewhere(t *testing.T) {
 	for name, behaviour := range map[string]platformtest.Behaviour{"full": platformtest.Refuse, "early": platformtest.Early} {
 		t.Run(name, func(t *testing.T) {
@@ -91,8 +91,8 @@
 	}
 }
 
-// Every server refuses. The caller learns at once that the request has not run
-// and when to come back, instead of waiting for its deadline.
+// Guards against callers that wait for their deadline when every server refuses. The answer
+// must come at once, with Retry-After, and mean that the request did not run.
 func TestAllServersRefuse(t *testing.T) {
 	s := newTestbed(t)
 	s.startPair(always(platformtest.Refuse))
@@ -106,8 +106,9 @@
 	require.Empty(t, s.serversThatRan(c.ID))
 }
 
-// One of two servers fails, breaks off or spoils the answer to a look-up, which
-// may be repeated. The caller gets the whole answer of the other one.
+// Guards against broken answers to safe requests that reach the caller: one of two servers
+// answers 500, resets the connection, truncates the answer or omits its digest. The caller
+// must get the whole answer of the other server.
 func TestBrokenAnswerOfSafeRequest(t *testing.T) {
 	for name, behaviour := range map[string]platformtest.Behaviour{
 		"error": platformtest.Fail, "reset": platformtest.Reset, "truncated": platformtest.Truncate, "without digest": platformtest.Unsealed,
@@ -126,8 +127,8 @@
 	}
 }
 
-// A server answers a request twice on a connection that is kept. The second
-// answer must not become the answer to the next caller's request.
+// Guards against a second answer on a keep-alive connection that is taken for the answer to
+// the next request, which may be of another caller.
 func TestDuplicateAnswerIsDiscarded(t *testing.T) {
 	s := newTestbed(t)
 	s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService, Behave: firstOnly(platformtest.Extra)})
@@ -138,8 +139,8 @@
 	}
 }
 
-// An answer that ends with its connection instead of at a stated length is
-// whole.
+// Guards against answers without Content-Length, which end with the connection, that are taken
+// for broken.
 func TestAnswerWithoutLength(t *testing.T) {
 	s := newTestbed(t)
 	s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService, Behave: always(platformtest.NoLength)})
@@ -148,8 +149,8 @@
 	s.requireWholeAnswer(c, s.send(c, d), "cat-1")
 }
 
-// An engine crashes in the middle of an event. The clerk sees one stream
-// without a gap or a repeat: the rest comes from another engine.
+// Guards against gaps or repeated events in a stream whose engine crashes inside an event, and
+// which another engine resumes.
 func TestStreamResumesOnAnotherServer(t *testing.T) {
 	s := newTestbed(t)
 	behave := firstOnly(platformtest.CutInside)
@@ -164,8 +165,8 @@
 	require.Len(t, s.serversThatRan(c.ID), 2)
 }
 
-// The only engine crashes in the middle of an event and nothing can go on. The
-// answer must not look complete: the caller's connection is cut.
+// Guards against a broken stream that looks complete to the caller. When the only engine
+// crashes inside an event, the connection to the caller must be cut.
 func TestBrokenStreamDoesNotLookComplete(t *testing.T) {
 	s := newTestbed(t)
 	s.startServer(platformtest.ServerOptions{ID: "eng-1", Service: engineService, Events: 6, Behave: always(platformtest.CutInside)})
@@ -174,8 +175,8 @@
 	require.Error(t, reply.Err)
 }
 
-// The address of a server that is gone was given to a server of another
-// service, and the list does not tell yet. The request must not run there.
+// Guards against requests that run on a server of another service, which got the address of a
+// server that is gone but still listed.
 func TestReusedAddress(t *testing.T) {
 	s := newTestbed(t)
 	other := s.startServer(platformtest.ServerOptions{ID: "eng-1", Service: engineService, Events: 3})
@@ -188,8 +189,7 @@
 	require.Empty(t, other.Seen())
 }
 
-// A server says that it leaves. Soon after, nothing new reaches it, while the
-// other one goes on.
+// Guards against new requests to a server whose row says that it is draining.
 func TestLeavingServerGetsNoNewRequests(t *testing.T) {
 	s := newTestbed(t)
 	leaving := s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService})
@@ -199,29 +199,29 @@
 	s.waitUntilAvoided(d, "cat-1")
 }
 
-// sendsAvoid waits until a daemon's requests avoid a server, and requires that
-// they go on to do so.
+// waitUntilAvoided sends requests through a daemon until 20 in a row were served by other
+// servers than the given one.
 func (s *testbed) waitUntilAvoided(d *daemon, server string) {
 	s.t.Helper()
 	const inARow = 20
-	sound := 0
+	avoided := 0
 	s.eventually(func() error {
 		c := s.newCall(pathSafe)
 		reply := s.send(c, d)
 		require.Equal(s.t, http.StatusOK, reply.Status, reply.Body)
 		if reply.Body == s.servers[server].Body(c.ID) {
-			sound = 0
+			avoided = 0
 			return trace.Errorf("%s still gets requests", server)
 		}
-		if sound++; sound < inARow {
-			return trace.Errorf("only %d in a row", sound)
+		if avoided++; avoided < inARow {
+			return trace.Errorf("only %d requests in a row were served elsewhere", avoided)
 		}
 		return nil
 	})
 }
 
-// The store forgets its history while a server leaves. The daemon must read the
-// whole list again; changes alone would never tell it.
+// Guards against a removed server that stays listed because the store dropped the history of
+// its removal during an outage. The daemon must read the whole list again.
 func TestServerLeavesDuringLostHistory(t *testing.T) {
 	s := newTestbed(t)
 	s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService})
@@ -235,8 +235,8 @@
 	s.waitUntilAvoided(d, "cat-1")
 }
 
-// An API key is taken away while its holder is connected. Soon after, it opens
-// nothing any more; other keys do.
+// Guards against a revoked API key that is still accepted, and against other keys that are
+// refused after the change.
 func TestRevokedKey(t *testing.T) {
 	s := newTestbed(t)
 	s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService})
@@ -252,8 +252,8 @@
 	s.requireWholeAnswer(c, s.send(c, d), "cat-1")
 }
 
-// The store is silent when a daemon starts. Alone it knows of no route and must
-// say "not run, come back", never that the route or key does not exist.
+// Guards against a daemon that starts while the store does not answer and tells callers that
+// their route or key does not exist. It must answer 503 with Retry-After and not be ready.
 func TestStartWithoutStore(t *testing.T) {
 	s := newTestbed(t)
 	s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService})
@@ -265,8 +265,8 @@
 	require.False(t, platformtest.Ready(context.Background(), s.client, d.readyAddress))
 }
 
-// The store is silent when a daemon restarts beside another one. It takes
-// configuration and list from its peer and serves.
+// Guards against a daemon that cannot start while the store does not answer although a peer
+// runs. It must take the configuration and the list of instances from its peer.
 func TestRestartWithoutStore(t *testing.T) {
 	s := newTestbed(t)
 	s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService})
@@ -278,8 +278,8 @@
 	require.Contains(t, second.Log(), "source="+first.peerAddress)
 }
 
-// A daemon is told to stop while it writes an answer. Callers are no longer
-// sent to it, the answer ends whole, and the process ends by itself.
+// Guards against answers that are cut when a daemon gets SIGTERM. It must leave the directory
+// and stop being ready, finish the answers in progress, and exit.
 func TestGracefulStop(t *testing.T) {
 	s := newTestbed(t)
 	s.startServer(platformtest.ServerOptions{ID: "eng-1", Service: engineService, Events: 200, Work: 10 * time.Millisecond})
@@ -290,7 +290,7 @@
 	go func() { got <- s.send(c, second) }()
 	s.eventually(func() error {
 		if len(s.serversThatRan(c.ID)) == 0 {
-			return trace.Errorf("the request has not begun")
+			return trace.Errorf("the request has not started")
 		}
 		return nil
 	})
@@ -304,20 +304,20 @@
 	require.Contains(t, second.Log(), "msg=daemon.stopped cut=0")
 }
 
-// entries waits until a daemon's directory names n daemons.
+// waitForDirectory waits until the directory of a daemon returns n daemons.
 func (s *testbed) waitForDirectory(d *daemon, n int) {
 	s.t.Helper()
 	s.eventually(func() error {
 		addresses, err := platformtest.Entries(context.Background(), s.client, d.directoryAddress, host, "hall-a")
 		if err == nil && len(addresses) != n {
-			err = trace.Errorf("%d daemons are named, not %d", len(addresses), n)
+			err = trace.Errorf("the directory returns %d daemons, want %d", len(addresses), n)
 		}
 		return err
 	})
 }
 
-// A daemon is killed. Its peers notice without the store and leave it out of
-// what callers are told.
+// Guards against a killed daemon that stays in the directory while the store does not answer.
+// The other daemons must detect its failure themselves.
 func TestKilledDaemonLeavesDirectory(t *testing.T) {
 	s := newTestbed(t)
 	first, second := s.startReadyDaemon(), s.startReadyDaemon()
@@ -327,8 +327,8 @@
 	s.waitForDirectory(first, 1)
 }
 
-// The settings file changes and SIGHUP says so. A daemon without a handler for
-// it ends on the spot and cuts every answer under way.
+// Guards against a daemon without a handler for SIGHUP: the signal, which asks it to reload
+// its settings, would end the process and cut all answers in progress.
 func TestSIGHUPDoesNotEndDaemon(t *testing.T) {
 	s := newTestbed(t)
 	s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService})
@@ -339,15 +339,15 @@
 	s.requireWholeAnswer(c, s.send(c, d), "cat-1")
 }
 
-// Bad settings are refused with the name of the field before anything starts.
+// Guards against invalid settings that are accepted, or refused without the path of the field.
 func TestSettingsAreChecked(t *testing.T) {
 	r := settings.Routes{FailureDomain: "hall-a"}
 	require.ErrorContains(t, r.Check(), "/routes/caller_listen")
 }
 
-// Two of three daemons read the store for all. Whichever two die, a change of
-// the configuration and of the list reaches the third one: it notices that news
-// is late and reads by itself.
+// Guards against changes that no longer arrive when the daemons that read the store for the
+// others fail. Two of three daemons read it; when two are killed, the third one must
+// notice that updates are late and read the store itself.
 func TestStoreReadersAreKilled(t *testing.T) {
 	s := newTestbed(t)
 	s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService})
@@ -362,8 +362,9 @@
 	s.waitUntilAvoided(all[1], "cat-1")
 }
 
-// A configuration of a megabyte is not passed on between daemons, whose links
-// may be slow; each of them reads it, and it is in force everywhere.
+// Guards against a configuration of about a megabyte that some daemons never get. Daemons do
+// not forward one of this size to each other, since links between them may be slow; each reads
+// it from the store.
 func TestLargeConfiguration(t *testing.T) {
 	s := newTestbed(t)
 	s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService})
@@ -384,9 +385,9 @@
 	}
 }
 
-// Guards against repeats that are spent on instances to which nothing can be sent: a small
-// model's answer was dropped, the larger model's instance refused the connection, and the
-// caller got 502.
+// Guards against the retry budget being spent on instances that refuse the connection: the
+// answer of the small model was discarded, the instance of the large model refused the
+// connection, and the caller got 502.
 func TestUnreachableInstancesUseNoRetries(t *testing.T) {
 	s := newTestbed(t)
 	const pieces = 3
@@ -397,7 +398,7 @@
 	}
 	s.startServer(platformtest.ServerOptions{ID: "live", Service: engineService, Events: pieces, Confidence: confidence})
 	d := s.startDaemon(func(r *settings.Routes) {
-		// One repeat for each request.
+		// Allows one retry for each request.
 		r.RetryRatio, r.RetrySlack = 1.3, 0
 	})
 	s.waitForLog(d, "daemon.offered")
--- a/test/routes/harness_test.go
+++ b/test/routes/harness_test.go
@@ -1,6 +1,6 @@
-// Package routes_test runs real daemons as processes before stand-ins of the
-// platform's store and of upstream servers, and proves the promises to plain
-// HTTP callers under failures.
+// Package routes_test runs real daemons as processes against stand-ins for the store of the
+// platform and for upstream servers. It tests what plain HTTP callers observe while parts of
+// the system fail.
 package routes_test
 
 import (
@@ -30,19 +30,19 @@
 
 func TestMain(m *testing.M) { os.Exit(cluster.RunTests(m, &binaries)) }
 
-// Names of the declared installation.
+// Names in the manifest of the tests.
 const (
-	host      = "shop.example"
-	key       = "key-of-visrad"
-	otherKey  = "key-of-mtkvari"
-	plainService     = "catalogue"
-	engineService   = "clearance"
-	pathSafe  = "/lookup/one"
-	pathUnsafe  = "/statement/one"
-	pathStream = "/notes/one"
+	host          = "shop.example"
+	key           = "key-of-visrad"
+	otherKey      = "key-of-mtkvari"
+	plainService  = "catalogue"
+	engineService = "clearance"
+	pathSafe      = "/lookup/one"
+	pathUnsafe    = "/statement/one"
+	pathStream    = "/notes/one"
 )
 
-// declaration is the configuration that most tests start from.
+// newManifest returns the configuration that most tests start with.
 func newManifest(version int64) wire.Manifest {
 	return wire.Manifest{
 		Version: version,
@@ -61,21 +61,21 @@
 	}
 }
 
-// daemon is a running daemon.
+// daemon is a running daemon with its listen addresses.
 type daemon struct {
 	*cluster.Process
 	callerAddress, readyAddress, directoryAddress, metricsAddress, peerAddress string
 }
 
-// site is an installation: a store, servers and daemons.
+// testbed is a store, servers and daemons.
 type testbed struct {
-	t       *testing.T
-	store   *platformtest.Store
+	t            *testing.T
+	store        *platformtest.Store
 	storeAddress string
-	servers map[string]*platformtest.Server
-	daemons []*daemon
-	client  *http.Client
-	lastID     atomic.Int64
+	servers      map[string]*platformtest.Server
+	daemons      []*daemon
+	client       *http.Client
+	lastID       atomic.Int64
 }
 
 func newTestbed(t *testing.T) *testbed {
@@ -89,8 +89,7 @@
 	return s
 }
 
-// keepLogs writes the daemons' logs of a test that failed into the directory that ROUTES_LOGS
-// names.
+// keepLogs writes the logs of the daemons to the directory in ROUTES_LOGS if the test failed.
 func (s *testbed) keepLogs() {
 	dir := os.Getenv("ROUTES_LOGS")
 	if dir == "" || !s.t.Failed() {
@@ -105,14 +104,14 @@
 	}
 }
 
-// server starts an upstream server and puts it on the platform's list.
+// startServer starts an upstream server, registers it in the store and adds it to s.servers.
 func (s *testbed) startServer(o platformtest.ServerOptions) *platformtest.Server {
 	server := s.newServer(o)
 	s.servers[o.ID] = server
 	return server
 }
 
-// newServer starts a server that the site does not keep.
+// newServer starts and registers a server without adding it to s.servers.
 func (s *testbed) newServer(o platformtest.ServerOptions) *platformtest.Server {
 	if o.Slots == 0 {
 		o.Slots = 8
@@ -126,8 +125,8 @@
 	return server
 }
 
-// start starts a daemon whose seeds are the daemons that run. change may alter
-// its settings.
+// startDaemon starts a daemon whose seeds are the daemons started before. change, if not nil,
+// changes its settings.
 func (s *testbed) startDaemon(change func(*settings.Routes)) *daemon {
 	s.t.Helper()
 	name := fmt.Sprintf("entry-%d", len(s.daemons)+1)
@@ -159,7 +158,7 @@
 	return d
 }
 
-// serving starts a daemon and waits until it is ready.
+// startReadyDaemon starts a daemon and waits until it is ready.
 func (s *testbed) startReadyDaemon() *daemon {
 	s.t.Helper()
 	d := s.startDaemon(nil)
@@ -177,10 +176,10 @@
 	require.NoError(s.t, cluster.Eventually(f))
 }
 
-// logsContain reports whether a line of the log contains all parts.
+// logsContain reports whether one line of the log contains all parts.
 func (d *daemon) logsContain(parts ...string) bool { return d.logLine(parts...) != "" }
 
-// line returns the first line of the log that contains all parts.
+// logLine returns the first line of the log that contains all parts, or "".
 func (d *daemon) logLine(parts ...string) string {
 	for line := range strings.SplitSeq(d.Log(), "\n") {
 		all := line != ""
@@ -194,7 +193,7 @@
 	return ""
 }
 
-// logged waits for a line of a daemon's log that contains all parts.
+// waitForLog waits for a line of the log of a daemon that contains all parts, and returns it.
 func (s *testbed) waitForLog(d *daemon, parts ...string) string {
 	s.t.Helper()
 	var found string
@@ -207,7 +206,7 @@
 	return found
 }
 
-// call returns a call with an id of its own.
+// newCall returns a call with a new request ID.
 func (s *testbed) newCall(path string) platformtest.Call {
 	c := platformtest.Call{
 		Host: host, Path: path, Key: key, ID: fmt.Sprintf("request-%d", s.lastID.Add(1)),
@@ -228,7 +227,7 @@
 	return c.Send(context.Background(), s.client, d.callerAddress)
 }
 
-// runs returns the IDs of the servers that ran a request.
+// serversThatRan returns the IDs of the servers that ran a request, one for each run.
 func (s *testbed) serversThatRan(id string) []string {
 	var out []string
 	for name, server := range s.servers {
@@ -241,7 +240,7 @@
 	return out
 }
 
-// events is the whole stream that answers a call.
+// eventStream returns the whole stream of n events that answers a call.
 func eventStream(id string, n int) string {
 	var b strings.Builder
 	for i := range n {
@@ -250,7 +249,7 @@
 	return b.String()
 }
 
-// whole requires a reply that is the whole answer of a server to a call.
+// requireWholeAnswer requires that r is the whole answer of the given server to c.
 func (s *testbed) requireWholeAnswer(c platformtest.Call, r platformtest.Reply, by string) {
 	s.t.Helper()
 	require.NoError(s.t, r.Err)
@@ -260,7 +259,8 @@
 	require.Equal(s.t, s.servers[by].Body(c.ID), r.Body)
 }
 
-// repeatedly has some workers do something again and again until they are stopped.
+// runWorkers calls do repeatedly in each worker until stop is called. stop waits for the
+// workers.
 func runWorkers(workers int, do func(worker int)) (stop func()) {
 	done := make(chan struct{})
 	var all sync.WaitGroup
@@ -282,5 +282,5 @@
 	}
 }
 
-// stop sends SIGTERM.
+// terminate sends SIGTERM.
 func (d *daemon) terminate() { d.Signal(syscall.SIGTERM) }
--- a/test/routes/limit_test.go
+++ b/test/routes/limit_test.go
@@ -17,31 +17,35 @@
 )
 
 const (
-	// limitWindow is the time over which requests at a server that names a limit count,
-	// and limitSlack how many more than one and a half times the limit may come in it.
+	// limitWindow is the time over which requests at a server with a rate limit are
+	// counted. At most 1.5 times the limit, plus limitSlack, may arrive in it.
 	limitWindow = 4 * time.Second
 	limitSlack  = 5
-	// limitTold is the time from a server's first answer that names a limit until all
+	// limitPropagation is the time from the first answer with a rate limit until all
 	// daemons must keep it.
 	limitPropagation = time.Second
 )
 
-// mostAllowed is the most requests that a server may get in limitWindow.
+// maxRequests returns how many requests may arrive in limitWindow at a server with a rate
+// limit.
 func maxRequests(perSecond float64) int {
 	return int(1.5*perSecond*limitWindow.Seconds()) + limitSlack
 }
 
-// load is callers that send through all daemons until they are stopped.
+// load sends requests through all daemons until it is stopped, and keeps the replies.
 type load struct {
 	mu      sync.Mutex
 	replies []exchange
 	stop    func()
 }
 
-// steady sends about 20 plain requests a second through each daemon.
-func (s *testbed) startLoad(daemons []*daemon) *load { return s.startLoadOf(daemons, pathSafe, pathUnsafe) }
+// startLoad sends about 20 safe and unsafe plain requests a second through each daemon.
+func (s *testbed) startLoad(daemons []*daemon) *load {
+	return s.startLoadOf(daemons, pathSafe, pathUnsafe)
+}
 
-// steadily sends about 20 requests a second, to some paths by turns, through each daemon.
+// startLoadOf sends about 20 requests a second, distributed over the given paths, through each
+// daemon.
 func (s *testbed) startLoadOf(daemons []*daemon, paths ...string) *load {
 	l := &load{}
 	pace := time.NewTicker(50 * time.Millisecond)
@@ -88,13 +92,13 @@
 	return l
 }
 
-// all ends the load and returns what callers got.
+// finish stops the load and returns its calls and replies.
 func (l *load) finish() []exchange {
 	l.stop()
 	return l.replies
 }
 
-// lasts lets a load go on until a time.
+// waitUntil waits until the given time.
 func (s *testbed) waitUntil(until time.Time) {
 	s.eventually(func() error {
 		if left := time.Until(until); left > 0 {
@@ -104,7 +108,7 @@
 	})
 }
 
-// allServed requires that callers were served, each by one server.
+// requireAllServed requires that all replies are 200.
 func (s *testbed) requireAllServed(replies []exchange) {
 	s.t.Helper()
 	for _, r := range replies {
@@ -113,7 +117,7 @@
 	}
 }
 
-// limitDaemons starts a fleet.
+// startDaemons starts n daemons and waits until each is ready.
 func (s *testbed) startDaemons(n int) []*daemon {
 	var out []*daemon
 	for range n {
@@ -122,8 +126,8 @@
 	return out
 }
 
-// Guards against a server that gets more than the limit that it names in its answers,
-// summed over a fleet in which each daemon by itself keeps it.
+// Guards against a server that receives more requests than the rate limit in its answers
+// allows because each daemon applies the limit to its own requests only.
 func TestServerRateLimitIsKept(t *testing.T) {
 	for _, perSecond := range []string{"6", "1.2", "1", "0.1", "0"} {
 		t.Run(perSecond, func(t *testing.T) {
@@ -144,8 +148,7 @@
 	}
 }
 
-// Guards against a server that is left at its limit after its answers have ceased to name
-// one.
+// Guards against a server that stays limited after its answers no longer have a rate limit.
 func TestLiftedRateLimit(t *testing.T) {
 	for _, perSecond := range []string{"2", "0"} {
 		t.Run(perSecond, func(t *testing.T) {
@@ -163,13 +166,13 @@
 			s.waitUntil(free.Add(2 * time.Second))
 			s.requireAllServed(l.finish())
 			others := (len(s.servers["cat-2"].SeenSince(free)) + len(s.servers["cat-3"].SeenSince(free))) / 2
-			require.Greater(t, len(limited.SeenSince(free)), others/2, "requests at the server that is free again, others had %d", others)
+			require.Greater(t, len(limited.SeenSince(free)), others/2, "requests at the server without a limit; the others had %d on average", others)
 		})
 	}
 }
 
-// Guards against callers that are held or told something wrong where all servers of a
-// service name limits, and against limits that are not used.
+// Guards against callers that wait, or get a wrong status or Retry-After, when all servers of
+// a service have rate limits, and against limits of which the daemons use less than 80%.
 func TestAllServersRateLimited(t *testing.T) {
 	s := newTestbed(t)
 	s.startThreeServers("", nil)
@@ -206,8 +209,7 @@
 	require.Positive(t, refused)
 }
 
-// Guards against limits whose values cannot be meant: they bound nothing, and take nothing
-// back that was named before.
+// Guards against invalid rate limits that limit a server.
 func TestInvalidRateLimitsAreIgnored(t *testing.T) {
 	for _, text := range []string{"soon", "-3", "NaN", "1e300", "Inf"} {
 		t.Run(text, func(t *testing.T) {
@@ -219,7 +221,7 @@
 			const requests = 30
 			s.eventually(func() error {
 				if n := len(server.Seen()); n < requests {
-					return trace.Errorf("the server has had %d requests", n)
+					return trace.Errorf("the server has received %d requests", n)
 				}
 				return nil
 			})
@@ -228,8 +230,8 @@
 	}
 }
 
-// Guards against a limit that is lost when the daemons that heard it are replaced, while
-// the store is away.
+// Guards against a rate limit that is lost when the daemons that received it are replaced
+// while the store does not answer.
 func TestRateLimitSurvivesReplacementOfDaemons(t *testing.T) {
 	s := newTestbed(t)
 	limited := s.startThreeServers("", nil)
@@ -254,8 +256,8 @@
 	s.requireAllServed(l.finish())
 }
 
-// Guards against a server that starts again under its ID and is kept at the limit of its
-// earlier life.
+// Guards against a server that has restarted under its ID and is still limited by a value from
+// before the restart.
 func TestRestartedServerHasNoRateLimit(t *testing.T) {
 	s := newTestbed(t)
 	limited := s.startThreeServers("", nil)
@@ -269,14 +271,15 @@
 	s.eventually(func() error {
 		s.send(s.newCall(pathSafe), d)
 		if n := len(again.Seen()); n < requests {
-			return trace.Errorf("the new life has had %d requests", n)
+			return trace.Errorf("the restarted server has received %d requests", n)
 		}
 		return nil
 	})
 }
 
-// Guards against streams that go beyond a server's limit as larger models are asked, cut
-// streams go on elsewhere, and prompts return to the server that has read them.
+// Guards against streams that exceed the rate limit of a server by escalation to the large
+// model, by resumption after a cut, or by preference for the server that has the prompt in its
+// cache.
 func TestStreamsKeepRateLimit(t *testing.T) {
 	s := newTestbed(t)
 	cutSome := func(seen platformtest.Seen) platformtest.Behaviour {
@@ -293,7 +296,7 @@
 	}
 	var daemons []*daemon
 	for range 5 {
-		// Each stream takes a repeat for the larger model, and some one more to go on.
+		// Each stream uses one retry for the large model, and some use one more to resume.
 		d := s.startDaemon(func(r *settings.Routes) { r.RetryRatio = 3 })
 		s.waitForLog(d, "daemon.offered")
 		daemons = append(daemons, d)
@@ -302,7 +305,7 @@
 	limited := s.servers["eng-1"]
 	s.eventually(func() error {
 		if len(limited.Seen()) == 0 {
-			return trace.Errorf("nothing has come")
+			return trace.Errorf("the server has received no request")
 		}
 		return nil
 	})
@@ -312,7 +315,7 @@
 	limited.Limit("")
 	s.waitUntil(time.Now().Add(2 * time.Second))
 	for _, d := range daemons {
-		require.NotEmpty(t, d.logLine("instance.limit_lifted", "instance=eng-1"), "%s holds the server for limited", d.Name)
+		require.NotEmpty(t, d.logLine("instance.limit_lifted", "instance=eng-1"), "%s still applies the limit of the server", d.Name)
 	}
 	replies := l.finish()
 	within := 0
@@ -329,8 +332,8 @@
 	}
 }
 
-// Guards against a limit that daemons do not keep which were frozen when it was named, or
-// which have just started.
+// Guards against daemons that do not keep a rate limit because they were frozen when it was
+// announced, or have just started.
 func TestRateLimitReachesFrozenAndNewDaemons(t *testing.T) {
 	s := newTestbed(t)
 	limited := s.startThreeServers("", nil)
@@ -350,8 +353,8 @@
 	s.requireAllServed(l.finish())
 }
 
-// Guards against a server that names a limit and is cold, and gets what one of the two
-// allows; the lower one counts.
+// Guards against a cold server with a rate limit that receives more than the lower one of its
+// limit and its cold-start rate.
 func TestColdServerWithRateLimit(t *testing.T) {
 	for _, perSecond := range []string{"1", "100"} {
 		t.Run(perSecond, func(t *testing.T) {
@@ -374,8 +377,8 @@
 	}
 }
 
-// Guards against a server whose limit goes up and down with each answer, and that gets more
-// than the higher one.
+// Guards against a server whose rate limit alternates between 1 and 1.5 with each answer, and
+// that receives more than maxRequests allows for a limit of 1.
 func TestChangingRateLimit(t *testing.T) {
 	s := newTestbed(t)
 	var limited *platformtest.Server
--- a/test/routes/path_test.go
+++ b/test/routes/path_test.go
@@ -44,10 +44,10 @@
 	safe := s.newCall(pathSafe)
 	s.requireWholeAnswer(safe, s.send(safe, d), "cat-1")
 
-	turns := s.newCall(pathStream)
-	reply := s.send(turns, d)
+	stream := s.newCall(pathStream)
+	reply := s.send(stream, d)
 	require.NoError(t, reply.Err)
-	require.Equal(t, eventStream(turns.ID, 5), reply.Body)
+	require.Equal(t, eventStream(stream.ID, 5), reply.Body)
 	require.Equal(t, "small", s.servers["eng-1"].Seen()[0].Model)
 }
 
--- a/test/routes/pool_test.go
+++ b/test/routes/pool_test.go
@@ -30,7 +30,7 @@
 	// ending has the servers that are about to end: callers may know of it before they
 	// are counted.
 	crashing map[string]bool
-	wg     sync.WaitGroup
+	wg       sync.WaitGroup
 }
 
 // newPool starts size servers.
--- a/test/routes/restore_test.go
+++ b/test/routes/restore_test.go
@@ -12,46 +12,47 @@
 	"github.com/hornbeamsill/hornbeamsill/platform/wire"
 )
 
-// leftBound is the time from a server's acknowledged word that it leaves after which it gets
-// nothing.
+// leavePropagation is the time from the acknowledged row of a draining server until no daemon
+// may send requests to it.
 const leavePropagation = 2 * time.Second
 
-// advance has the operator write rows that mean nothing, so that the store's revisions rise.
+// raiseRevision raises the revision of the store by writing operator rows without a meaning.
 func (s *testbed) raiseRevision(revisions int) {
 	for range revisions {
 		s.store.Put(wire.TableOperator, "note", "nothing")
 	}
 }
 
-// upToDate waits until daemons know all that the store holds.
+// waitUpToDate waits until the daemons have read the newest revision of the store.
 func (s *testbed) waitUpToDate(daemons []*daemon) {
 	s.t.Helper()
 	newest := s.store.Revision()
 	for _, d := range daemons {
 		s.eventually(func() error {
 			if got := s.status(d).List.Revision; got < newest {
-				return trace.Errorf("%s knows %d of %d", d.Name, got, newest)
+				return trace.Errorf("%s has read revision %d of %d", d.Name, got, newest)
 			}
 			return nil
 		})
 	}
 }
 
-// newSiteAheadOfCopy returns a site whose store has moved on by many revisions from a copy, as
-// all daemons know, and the first of three servers.
-func newTestbedAheadOfBackup(t *testing.T) (s *testbed, first *platformtest.Server, daemons []*daemon, copied platformtest.Copy) {
+// newTestbedAheadOfBackup returns a testbed with three servers, of which first is one, and a
+// backup of its store. The store has written more than 32 revisions since the backup, and the
+// daemons have read them.
+func newTestbedAheadOfBackup(t *testing.T) (s *testbed, first *platformtest.Server, daemons []*daemon, backup platformtest.Copy) {
 	s = newTestbed(t)
 	first = s.startThreeServers("", nil)
-	copied = s.store.Copy()
+	backup = s.store.Copy()
 	daemons = s.startDaemons(3)
 	s.raiseRevision(32)
 	s.store.Declare(newManifest(5))
 	s.waitUpToDate(daemons)
-	return s, first, daemons, copied
+	return s, first, daemons, backup
 }
 
-// awayAndBack takes the store away for some time, brings it back from a copy, and waits until
-// daemons have noticed.
+// restoreAfterOutage resets connections to the store until the given daemons have lost it,
+// then restores a backup and ends the outage.
 func (s *testbed) restoreAfterOutage(from platformtest.Copy, daemons ...*daemon) {
 	s.t.Helper()
 	s.store.SetFault(platformtest.FaultReset)
@@ -62,86 +63,86 @@
 	s.store.SetFault(platformtest.FaultNone)
 }
 
-// leaves has a server say that it leaves, and requires that it gets nothing after the bound.
+// requireNoneAfterLeaving registers a server as draining, and requires that it gets no request
+// after leavePropagation while the load is served.
 func (s *testbed) requireNoneAfterLeaving(server *platformtest.Server, l *load) {
 	s.t.Helper()
 	server.Register(s.store, wire.StateDraining)
 	bound := time.Now().Add(leavePropagation)
 	s.waitUntil(bound.Add(2 * time.Second))
 	s.requireAllServed(l.finish())
-	require.Empty(s.t, server.SeenSince(bound), "requests at a server that has left")
+	require.Empty(s.t, server.SeenSince(bound), "requests at a server that is leaving or gone")
 }
 
-// Guards against a leaving server's word that is never seen because the store, back from an
-// older copy, gives revisions out again.
+// Guards against a draining server that daemons do not notice: the store was restored from a
+// backup and assigns revisions again that the daemons have already read.
 func TestServerLeavesAfterStoreRestore(t *testing.T) {
-	s, leaving, daemons, copied := newTestbedAheadOfBackup(t)
-	s.restoreAfterOutage(copied, daemons[0])
+	s, leaving, daemons, backup := newTestbedAheadOfBackup(t)
+	s.restoreAfterOutage(backup, daemons[0])
 	s.store.Declare(newManifest(5))
 	l := s.startLoad(daemons)
 	s.requireNoneAfterLeaving(leaving, l)
 }
 
-// Guards against a second return of the store, shortly after the first, that leaves daemons
-// with revisions of the first.
+// Guards against daemons that keep revisions from before a second restore of the store,
+// shortly after the first one, and so miss that a server is draining.
 func TestServerLeavesAfterTwoStoreRestores(t *testing.T) {
-	s, leaving, daemons, copied := newTestbedAheadOfBackup(t)
-	s.restoreAfterOutage(copied, daemons[0])
+	s, leaving, daemons, backup := newTestbedAheadOfBackup(t)
+	s.restoreAfterOutage(backup, daemons[0])
 	s.raiseRevision(16)
 	s.store.Declare(newManifest(7))
 	for _, d := range daemons {
 		s.waitForLog(d, "config.in_force", "version=7 ")
 	}
-	s.store.RestoreFrom(copied)
+	s.store.RestoreFrom(backup)
 	s.store.Declare(newManifest(7))
 	l := s.startLoad(daemons)
 	s.requireNoneAfterLeaving(leaving, l)
 }
 
-// Guards against a daemon that is frozen while the store comes back older, and compares its
-// revisions with those of before when it wakes.
+// Guards against a daemon that is frozen while the store is restored from a backup, and then
+// compares revisions from before the restore with new ones.
 func TestDaemonFrozenDuringStoreRestore(t *testing.T) {
-	s, leaving, daemons, copied := newTestbedAheadOfBackup(t)
+	s, leaving, daemons, backup := newTestbedAheadOfBackup(t)
 	require.NoError(t, daemons[2].Freeze())
-	s.restoreAfterOutage(copied, daemons[0])
+	s.restoreAfterOutage(backup, daemons[0])
 	s.store.Declare(newManifest(5))
 	daemons[2].Wake()
 	l := s.startLoad(daemons)
 	s.requireNoneAfterLeaving(leaving, l)
 }
 
-// Guards against a server that has left and gets requests again because the copy still lists
-// it.
+// Guards against requests to a removed server that the restored backup still lists.
 func TestRemovedServerStaysRemovedAfterStoreRestore(t *testing.T) {
 	s := newTestbed(t)
 	gone := s.startThreeServers("", nil)
 	daemons := s.startDaemons(3)
-	copied := s.store.Copy()
+	backup := s.store.Copy()
 	s.store.Remove(wire.TableInstances, "cat-1")
 	for _, d := range daemons {
 		s.waitUnlisted(d, "cat-1")
 	}
 	s.waitUpToDate(daemons)
-	s.restoreAfterOutage(copied, daemons[0])
+	s.restoreAfterOutage(backup, daemons[0])
 	l := s.startLoad(daemons)
 	from := time.Now()
 	s.waitUntil(from.Add(2 * time.Second))
 	s.store.Remove(wire.TableInstances, "cat-1")
 	s.waitUntil(from.Add(3 * time.Second))
 	s.requireAllServed(l.finish())
-	require.Empty(t, gone.SeenSince(from), "requests at a server that has left")
+	require.Empty(t, gone.SeenSince(from), "requests at a server that is leaving or gone")
 }
 
-// Guards against servers that are taken for gone because an older copy does not list them
-// yet.
+// Guards against running servers that are treated as gone because the restored backup does not
+// list them yet.
 func TestServersMissingFromBackupAreUsed(t *testing.T) {
 	s := newTestbed(t)
 	daemons := s.startDaemons(1)
-	copied := s.store.Copy()
+	backup := s.store.Copy()
 	s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService})
 	s.waitListed(daemons, "cat-1")
-	// No daemon notices an outage.
-	s.store.RestoreFrom(copied)
+	// There is no outage that daemons could notice.
+	s.store.RestoreFrom(backup)
 	l := s.startLoad(daemons)
 	s.waitUntil(time.Now().Add(time.Second))
 	s.servers["cat-1"].Register(s.store, wire.StateReady)
@@ -149,17 +150,18 @@
 	s.requireAllServed(l.finish())
 }
 
-// Guards against configurations that come late, and against daemons that ask the store again
-// and again, while its revisions are lower than those known.
+// Guards against configurations that come into force late, and against daemons that read the
+// store in a tight loop, while the revisions of the restored store are lower than those that
+// the daemons have read.
 func TestConfigurationAfterStoreRestore(t *testing.T) {
 	s := newTestbed(t)
 	s.startThreeServers("", nil)
-	copied := s.store.Copy()
+	backup := s.store.Copy()
 	daemons := s.startDaemons(3)
 	s.raiseRevision(60)
 	s.store.Declare(newManifest(5))
 	s.waitUpToDate(daemons)
-	s.restoreAfterOutage(copied, daemons[0])
+	s.restoreAfterOutage(backup, daemons[0])
 	before, _ := s.store.Counts()
 	back := time.Now()
 	l := s.startLoad(daemons)
@@ -170,15 +172,15 @@
 	}
 	s.waitUntil(back.Add(4 * time.Second))
 	after, _ := s.store.Counts()
-	require.Less(t, after-before, 60, "reads in 4 s of the return")
+	require.Less(t, after-before, 60, "reads in the 4 s after the restore")
 	s.requireAllServed(l.finish())
 	for _, d := range daemons {
 		require.Equal(t, int64(7), s.status(d).Config.Version)
 	}
 }
 
-// Guards against an evacuation that is undone, or brought back, by what an older copy says
-// of it.
+// Guards against an evacuation that ends, or an ended one that is in force again, because the
+// restored backup has the earlier state.
 func TestEvacuationsAfterStoreRestore(t *testing.T) {
 	s := newTestbed(t)
 	s.startTwoPerDomain()
@@ -187,7 +189,7 @@
 	for _, d := range daemons {
 		s.waitEvacuated(d, "hall-c")
 	}
-	copied := s.store.Copy()
+	backup := s.store.Copy()
 	s.store.Evacuate("hall-b")
 	s.store.Restore("hall-c")
 	for _, d := range daemons {
@@ -195,7 +197,7 @@
 		s.waitForLog(d, "evacuation.lifted", "failure_domain=hall-c")
 	}
 	s.waitUpToDate(daemons)
-	s.restoreAfterOutage(copied, daemons[0])
+	s.restoreAfterOutage(backup, daemons[0])
 	before := s.requestsIn("hall-b")
 	l := s.startLoad(daemons)
 	s.waitUntil(time.Now().Add(1500 * time.Millisecond))
@@ -210,25 +212,25 @@
 	}
 }
 
-// Guards against an evacuation that stands for ever because the store has lost it and the
-// operator does not order it again.
+// Guards against an evacuation that is in force for ever after the store has lost its row and
+// the operator does not order it again.
 func TestEvacuationMissingFromBackupEnds(t *testing.T) {
 	s := newTestbed(t)
 	s.startTwoPerDomain()
 	daemons := s.startDaemons(2)
-	copied := s.store.Copy()
+	backup := s.store.Copy()
 	s.store.Evacuate("hall-b")
 	for _, d := range daemons {
 		s.waitEvacuated(d, "hall-b")
 	}
-	s.restoreAfterOutage(copied, daemons[0])
+	s.restoreAfterOutage(backup, daemons[0])
 	for _, d := range daemons {
 		s.waitForLog(d, "evacuation.lifted", "failure_domain=hall-b")
 	}
 }
 
-// Guards against a roll-out that begins again, and an operator who is not told any more that
-// it is complete, because its order has another revision in the store that came back.
+// Guards against a completed roll-out that starts again, and whose completion the operator no
+// longer sees, because its order has another revision in the restored store.
 func TestRolloutAfterStoreRestore(t *testing.T) {
 	s := newTestbed(t)
 	for n := range 2 {
@@ -236,19 +238,19 @@
 			s.startServer(platformtest.ServerOptions{ID: fmt.Sprintf("cat-%s-%d", version, n), Service: plainService, Version: version})
 		}
 	}
-	copied := s.store.Copy()
+	backup := s.store.Copy()
 	daemons := s.startDaemons(3)
 	l := s.startLoad(daemons)
 	s.raiseRevision(5)
 	s.store.Order(plainService, "v2", 6*time.Second)
 	complete := func() error {
 		if state := s.store.Rollout(plainService); state != "completed" {
-			return trace.Errorf("the operator knows %q", state)
+			return trace.Errorf("the stored roll-out state is %q", state)
 		}
 		return nil
 	}
 	s.eventually(complete)
-	s.restoreAfterOutage(copied, daemons[0])
+	s.restoreAfterOutage(backup, daemons[0])
 	from := time.Now()
 	s.store.Order(plainService, "v2", 6*time.Second)
 	s.eventually(complete)
@@ -258,25 +260,25 @@
 	}
 }
 
-// Guards against daemons that start after the store came back and find no others, since the
-// rows that tell of these are lost.
+// Guards against daemons that start after the store was restored and find no other daemons,
+// because the backup has no rows of these.
 func TestDaemonRowsAreRewrittenAfterStoreRestore(t *testing.T) {
 	s := newTestbed(t)
 	s.startThreeServers("", nil)
-	copied := s.store.Copy()
+	backup := s.store.Copy()
 	first := s.startReadyDaemon()
 	s.waitForLog(first, "daemon.announced")
-	s.restoreAfterOutage(copied, first)
+	s.restoreAfterOutage(backup, first)
 	s.waitForLog(first, "store.restored")
 	s.eventually(func() error {
 		if s.store.Value("hornbeamsill", "daemon/"+first.Name) == nil {
-			return trace.Errorf("the row is lost")
+			return trace.Errorf("the row of the daemon is missing")
 		}
 		return nil
 	})
 }
 
-// Guards against daemons that ask a store which keeps no history as often as it answers.
+// Guards against daemons that read a store that keeps no history in a tight loop.
 func TestStoreWithoutHistory(t *testing.T) {
 	s := newTestbed(t)
 	s.startThreeServers("", nil)
--- a/test/routes/server_words_test.go
+++ b/test/routes/server_words_test.go
@@ -14,15 +14,17 @@
 	"github.com/hornbeamsill/hornbeamsill/platform/wire"
 )
 
-// threeServers starts three servers of the plain service; the first treats requests so.
-func (s *testbed) startThreeServers(rest string, behave func(platformtest.Seen) platformtest.Behaviour) *platformtest.Server {
-	first := s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService, Rest: rest, Behave: behave})
+// startThreeServers starts three servers of the plain service and returns the first one, which
+// has the given RetryAfter and Behave.
+func (s *testbed) startThreeServers(retryAfter string, behave func(platformtest.Seen) platformtest.Behaviour) *platformtest.Server {
+	first := s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService, Rest: retryAfter, Behave: behave})
 	s.startServer(platformtest.ServerOptions{ID: "cat-2", Service: plainService})
 	s.startServer(platformtest.ServerOptions{ID: "cat-3", Service: plainService})
 	return first
 }
 
-// servedWithout requires that requests are served, and that none of them reaches a server.
+// requireServedWithout requires that 40 requests through a daemon are served and that none
+// reaches the given server.
 func (s *testbed) requireServedWithout(server *platformtest.Server, d *daemon) {
 	s.t.Helper()
 	const requests = 40
@@ -34,24 +36,24 @@
 	require.Equal(s.t, before, len(server.Seen()), "requests at the server")
 }
 
-// reached sends requests until a server has got one from a daemon.
+// sendUntilReached sends requests through a daemon until one reaches the given server.
 func (s *testbed) sendUntilReached(server *platformtest.Server, d *daemon) {
 	s.t.Helper()
 	before := len(server.Seen())
 	s.eventually(func() error {
 		s.send(s.newCall(pathSafe), d)
 		if len(server.Seen()) == before {
-			return trace.Errorf("the server got nothing")
+			return trace.Errorf("the server has received no request")
 		}
 		return nil
 	})
 }
 
-// A server begins to leave while the store is away. Its row cannot say so, but each of its
-// answers does. A daemon that had passed on such an answer went on sending to it for five
-// seconds, until the store was back: requests ran into its end. What an answer says is
-// newer than any row, so an older row that says "ready", or comes back after it
-// lapsed, undoes nothing either.
+// Guards against requests to a server that has said in its answers that it is leaving while
+// the store is down and its row still says "ready". A daemon that had forwarded such an answer
+// sent to it for five more seconds, until the store was back, and requests failed when the
+// server ended. The answers are newer than any row: a row that says "ready", or one that is
+// written again after it has expired, does not bring the server back into use.
 func TestServerLeavesWhileStoreIsDown(t *testing.T) {
 	s := newTestbed(t)
 	leaving := s.startThreeServers("", nil)
@@ -77,7 +79,7 @@
 	s.requireServedWithout(leaving, d)
 }
 
-// gone waits until a daemon holds a server for gone.
+// waitUnlisted waits until a daemon no longer lists a server.
 func (s *testbed) waitUnlisted(d *daemon, id string) {
 	s.t.Helper()
 	s.eventually(func() error {
@@ -90,8 +92,8 @@
 	})
 }
 
-// A server is overrun and turns a request away: it wants nothing for three seconds. The
-// daemon went on sending to it, a third of all its requests, each refused in turn.
+// Guards against requests to an overloaded server that has refused one with Retry-After: 3. A
+// daemon went on sending it a third of all its requests, each of which it refused.
 func TestRetryAfterIsObeyed(t *testing.T) {
 	s := newTestbed(t)
 	busy := s.startThreeServers("3", firstOnly(platformtest.Rest))
@@ -100,13 +102,13 @@
 	s.requireServedWithout(busy, d)
 }
 
-// The time for which a server wants nothing is over: it is used again. Parts of a second
-// count, and what is no time at all is no reason to leave a server out.
+// Guards against servers that stay out of use after their Retry-After has passed, and against
+// ones that are left out because of an invalid value. Fractions of a second count.
 func TestRetryAfterExpires(t *testing.T) {
-	for _, rest := range []string{"0.2", "-5", "soon", "NaN"} {
-		t.Run(rest, func(t *testing.T) {
+	for _, retryAfter := range []string{"0.2", "-5", "soon", "NaN"} {
+		t.Run(retryAfter, func(t *testing.T) {
 			s := newTestbed(t)
-			busy := s.startThreeServers(rest, firstOnly(platformtest.Rest))
+			busy := s.startThreeServers(retryAfter, firstOnly(platformtest.Rest))
 			d := s.startReadyDaemon()
 			s.sendUntilReached(busy, d)
 			s.sendUntilReached(busy, d)
@@ -114,18 +116,19 @@
 	}
 }
 
-// All servers of a service want nothing for a while. Callers are told at once, and when the
-// first of them can be asked again.
+// Guards against callers that wait until their deadline, or get a wrong Retry-After, when all
+// servers of a service have sent Retry-After. The answer must come at once and name the time
+// of the server that is available first.
 func TestAllServersSendRetryAfter(t *testing.T) {
 	s := newTestbed(t)
-	for id, rest := range map[string]string{"cat-1": "30", "cat-2": "7.5"} {
-		s.startServer(platformtest.ServerOptions{ID: id, Service: plainService, Rest: rest, Behave: always(platformtest.Rest)})
+	for id, retryAfter := range map[string]string{"cat-1": "30", "cat-2": "7.5"} {
+		s.startServer(platformtest.ServerOptions{ID: id, Service: plainService, Rest: retryAfter, Behave: always(platformtest.Rest)})
 	}
 	d := s.startReadyDaemon()
 	s.eventually(func() error {
 		s.send(s.newCall(pathSafe), d)
 		if len(s.servers["cat-1"].Seen()) == 0 || len(s.servers["cat-2"].Seen()) == 0 {
-			return trace.Errorf("one was not asked yet")
+			return trace.Errorf("a server has received no request yet")
 		}
 		return nil
 	})
@@ -141,8 +144,8 @@
 	}
 }
 
-// A daemon hears from a server that it leaves. The others hear it from that daemon, before
-// any of them asks the server or the store.
+// Guards against a daemon that uses a leaving server although another daemon knows of it. The
+// daemon that got the answer must inform the others before they ask the server or the store.
 func TestLeavingServerIsAnnouncedToPeers(t *testing.T) {
 	s := newTestbed(t)
 	leaving := s.startThreeServers("", nil)
@@ -154,7 +157,7 @@
 	s.requireServedWithout(leaving, second)
 }
 
-// beliefs asks a daemon what it believes.
+// status returns the status that a daemon reports to operators.
 func (s *testbed) status(d *daemon) entry.Beliefs {
 	s.t.Helper()
 	b, err := s.fetchStatus(d)
@@ -162,7 +165,7 @@
 	return b
 }
 
-// askBeliefs is beliefs for a daemon that may have ended.
+// fetchStatus is like status but returns an error, for a daemon that may have exited.
 func (s *testbed) fetchStatus(d *daemon) (b entry.Beliefs, err error) {
 	resp, err := s.client.Get("http://" + d.metricsAddress + entry.BeliefsPath)
 	if err != nil {
--- a/test/routes/soak_test.go
+++ b/test/routes/soak_test.go
@@ -52,10 +52,10 @@
 	{seed: 7012, kinds: 14},
 }
 
-func envInt(name string, otherwise int) int {
+func envInt(name string, fallback int) int {
 	n, err := strconv.Atoi(os.Getenv(name))
 	if err != nil {
-		return otherwise
+		return fallback
 	}
 	return n
 }
@@ -81,15 +81,15 @@
 	soakCase
 	random *rand.Rand
 	// stores are the proxies between daemons and the store, by daemon.
-	storeProxies  map[*daemon]*cluster.Proxy
-	version int64
+	storeProxies map[*daemon]*cluster.Proxy
+	version      int64
 
-	mu   sync.Mutex
-	live []*daemon
-	exchanges  []exchange
+	mu        sync.Mutex
+	live      []*daemon
+	exchanges []exchange
 	// heals undo faults.
 	undoing sync.WaitGroup
-	ended chan struct{}
+	ended   chan struct{}
 	// crashed counts the servers that ended under the crashing request, and started the
 	// daemons.
 	serversCrashed, daemonsStarted int
@@ -347,12 +347,12 @@
 // restoreStore has the store come back from a copy after an outage, and the operator and the
 // servers write again what it has lost.
 func (s *soak) restoreStore() {
-	copied := s.store.Copy()
+	backup := s.store.Copy()
 	s.undoing.Go(func() {
 		<-time.After(soakBackupAge)
 		s.store.SetFault(platformtest.FaultReset)
 		<-time.After(soakOutage)
-		lost := s.store.RestoreFrom(copied)
+		lost := s.store.RestoreFrom(backup)
 		s.store.SetFault(platformtest.FaultNone)
 		<-time.After(soakOutage)
 		s.store.WriteAgain(lost)
