--- a/test/routes/path_test.go
+++ b/test/routes/path_test.go
@@ -20,9 +20,9 @@
 	"github.com/hornbeamsill/hornbeamsill/platform/wire"
 )
 
-// The whole path on a calm day: three kinds of requests are answered whole, by
-// the services that their routes name, and the server sees exactly what the
-// caller sent, with the organisation in place of the key.
+// Guards against requests that are answered by the wrong service, in part or changed. The
+// server must see exactly what the caller sent, with the organisation in place of the key and
+// without forged internal headers.
 func TestRequestsAreForwarded(t *testing.T) {
 	s := newTestbed(t)
 	s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService})
@@ -51,8 +51,8 @@
 	require.Equal(t, "small", s.servers["eng-1"].Seen()[0].Model)
 }
 
-// An operator asks a daemon what it believes and sees routes, upstream instances
-// and daemons with their age.
+// Guards against a status that misses routes or upstream instances in the output of
+// "hornbeamsill entry show".
 func TestEntryShowPrintsStatus(t *testing.T) {
 	s := newTestbed(t)
 	s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService})
@@ -70,8 +70,7 @@
 	require.Contains(t, string(text), host+"/lookup/")
 }
 
-// Events reach the caller as they are made: a clerk sees the first words of a
-// note while the engine still writes.
+// Guards against events that are buffered until the stream ends.
 func TestEventsAreStreamed(t *testing.T) {
 	s := newTestbed(t)
 	s.startServer(platformtest.ServerOptions{ID: "eng-1", Service: engineService, Events: 1 << 20, Work: 5 * time.Millisecond})
@@ -87,8 +86,8 @@
 	require.Equal(t, "id: ", string(first))
 }
 
-// What is not proper is refused with its own status and runs nowhere, while
-// proper requests beside it are served.
+// Guards against invalid requests that reach a server or get the wrong status, and that affect
+// valid requests.
 func TestInvalidRequestsAreRefused(t *testing.T) {
 	s := newTestbed(t)
 	s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService})
@@ -119,8 +118,8 @@
 	s.requireWholeAnswer(proper, s.send(proper, d), "cat-1")
 }
 
-// A request hidden in the body of another, or with two lengths, must not reach
-// a server as a request of its own.
+// Guards against request smuggling: a request hidden in the body of another one, or after one
+// with two lengths, must not reach a server as a request of its own.
 func TestSmuggledRequests(t *testing.T) {
 	s := newTestbed(t)
 	s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService})
@@ -143,8 +142,8 @@
 	}
 }
 
-// A caller stops in the middle of its body. It is told so at its deadline, and
-// nothing ran; the daemon does not hold the request for ever.
+// Guards against requests that are held for ever when their caller stops in the middle of the
+// body. The caller must get 408 at its deadline, and the request must not run.
 func TestSlowSender(t *testing.T) {
 	s := newTestbed(t)
 	s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService})
@@ -155,10 +154,9 @@
 	require.Empty(t, s.serversThatRan("slow"))
 }
 
-// A caller's connection hangs in the head of a request, and another one lies
-// unused. Both get the times that are declared now, not those from the start of
-// the daemon: the slow caller is told that nothing ran, the unused connection is
-// closed, and one with a request under way is left alone.
+// Guards against connections that keep the timeouts from the start of the daemon after the
+// configuration has changed. A caller that does not finish its head must get 408, an unused
+// connection must be closed, and one with a request in progress must be kept.
 func TestConnectionTimeoutsFollowConfiguration(t *testing.T) {
 	s := newTestbed(t)
 	s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService, Work: 600 * time.Millisecond})
@@ -174,20 +172,20 @@
 	require.NotContains(t, reply, "200 OK")
 
 	reply = rawExchange(t, d.callerAddress, head+": whole\r\nContent-Length: 0\r\n\r\n")
-	require.Contains(t, reply, "HTTP/1.1 200 ", "served, though longer than either time, and closed after")
+	require.Contains(t, reply, "HTTP/1.1 200 ", "served although it takes longer than both timeouts, and then closed")
 	require.Len(t, s.serversThatRan("whole"), 1)
-	require.Empty(t, rawExchange(t, d.callerAddress, ""), "never used")
+	require.Empty(t, rawExchange(t, d.callerAddress, ""), "an unused connection must be closed")
 }
 
-// More callers connect than there are descriptors for. Those beyond the bound
-// wait for a place; those inside are served.
+// Guards against callers that fail when there are more connections than descriptors. A
+// connection beyond the bound must wait until another one is closed.
 func TestManyConnections(t *testing.T) {
 	s := newTestbed(t)
 	s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService})
 	d := s.startDaemon(func(r *settings.Routes) { r.Descriptors = 320 })
 	s.eventually(func() error {
 		if !platformtest.Ready(context.Background(), s.client, d.readyAddress) {
-			return trace.Errorf("not ready")
+			return trace.Errorf("the daemon is not ready")
 		}
 		return nil
 	})
@@ -206,8 +204,8 @@
 	s.requireWholeAnswer(c, <-got, "cat-1")
 }
 
-// A stream's caller leaves in the middle of an answer. The engine must not go
-// on working for nobody: the connection to it is closed at once.
+// Guards against engines that go on generating a stream whose caller has disconnected. The
+// connection to the engine must be closed.
 func TestCancelledStreamEndsUpstreamRequest(t *testing.T) {
 	s := newTestbed(t)
 	engine := s.startServer(platformtest.ServerOptions{ID: "eng-1", Service: engineService, Events: 1 << 20, Work: 5 * time.Millisecond})
@@ -219,14 +217,14 @@
 	cancel()
 	s.eventually(func() error {
 		if engine.Cancelled() != 1 {
-			return trace.Errorf("the engine still works")
+			return trace.Errorf("the engine still runs the request")
 		}
 		return nil
 	})
 }
 
-// The small model is not sure of its answer. The caller gets the large model's
-// answer, whole, and nothing of the small one's.
+// Guards against an answer of the small model that reaches the caller, in whole or in part,
+// although its confidence is low. The caller must get the whole answer of the large model.
 func TestLowConfidenceEscalatesToLargeModel(t *testing.T) {
 	s := newTestbed(t)
 	engine := s.startServer(platformtest.ServerOptions{ID: "eng-1", Service: engineService, Events: 4, Confidence: map[string]int{"small": 10, "large": 20}})
--- a/test/routes/poison_test.go
+++ b/test/routes/poison_test.go
@@ -17,12 +17,12 @@
 	"github.com/hornbeamsill/hornbeamsill/platform/platformtest"
 )
 
-// poison is the body, and the end of the path, of a request that crashes each server that
-// runs it.
+// poison is the body of a request that crashes every server that runs it, and the suffix of
+// its path.
 const poison = "poison"
 
-// poisoned returns a call that crashes the servers that run it: the same request each
-// time, with an id of its own.
+// poisonCall returns a call that crashes every server that runs it. All calls for a path are
+// the same request except for their request ID.
 func (s *testbed) poisonCall(path string) platformtest.Call {
 	c := s.newCall(path)
 	c.Path += "-" + poison
@@ -31,23 +31,22 @@
 	return c
 }
 
-// A clerk's request crashes each model server that begins to run it. The client repeats
-// it, each time at another daemon and with a new id. Every repeat was a new request
-// to its daemon, which sent it to up to three servers: 12 repeats ended 24 of nine
-// servers, and one in four requests of all other clerks failed with them. What a
-// request is (method, address, organisation, body) is the same in each repeat, and
-// that it was on every ended server, and never ran to its end, is what tells it
-// from those that were beside it.
+// Guards against a request that crashes each server that starts to run it, and that its client
+// repeats with a new request ID, each time at another daemon. When each daemon treated each
+// repeat as a new request and sent it to up to three servers, 12 repeats crashed servers 24
+// times in a pool of nine, and one in four requests of other callers failed. The repeats have
+// the same method, address, organisation and body. The request is told from those that ran
+// beside it by having been on every crashed server and never having completed.
 func TestRequestThatCrashesServersIsRefused(t *testing.T) {
 	for name, path := range map[string]string{"stream": pathStream, "look-up": pathSafe, "statement": pathUnsafe} {
 		t.Run(name, func(t *testing.T) { repeatPoison(t, path) })
 	}
 }
 
-// poisonRepeats is how often the client repeats its request.
+// poisonRepeats is how often the client sends its request.
 const poisonRepeats = 12
 
-// crashDaemons is the number of daemons of such tests: three, or more by hand.
+// crashDaemons returns the number of daemons of the crash tests: 3, or CRASH_DAEMONS.
 //
 //	CRASH_DAEMONS=80 go test -count=1 -run TestRequestThatCrashes -timeout 20m ./test/routes
 func crashDaemons() int { return envInt("CRASH_DAEMONS", 3) }
@@ -83,8 +82,8 @@
 	}
 }
 
-// A daemon starts after a request was found to crash servers, while the store is
-// away. It has seen none of the crashes; its peers tell it.
+// Guards against a daemon that starts while the store is down, after a request was
+// quarantined, and runs that request. It must learn of the quarantine from its peers.
 func TestStartingDaemonLearnsQuarantine(t *testing.T) {
 	const size = 9
 	s := newTestbed(t)
@@ -100,7 +99,7 @@
 	d := s.startReadyDaemon()
 	s.eventually(func() error {
 		if !d.logsContain("quarantine.learned") {
-			return trace.Errorf("%s knows of no quarantined request", d.Name)
+			return trace.Errorf("%s has no quarantined request", d.Name)
 		}
 		return nil
 	})
@@ -109,9 +108,9 @@
 	require.Equal(t, ended, p.endedServers())
 }
 
-// Racks lose power three times while clerks' summaries are being written. Many
-// summaries were on three servers that ended, and none of them is the cause: each
-// was beside others on a few of the servers that ended at that moment. All may come again.
+// Guards against requests that are quarantined because of power losses. Racks of three servers
+// end three times under a load of streams. Many streams were on three servers that ended, but
+// none is the cause: each was on only a few of the servers that ended at the same time.
 func TestPowerLossQuarantinesNoRequest(t *testing.T) {
 	const size, rack, clerks, losses = 9, 3, 24, 3
 	s := newTestbed(t)
@@ -145,8 +144,9 @@
 	require.Empty(t, refused)
 }
 
-// Nine in ten clerks go on working while one request is repeated that crashes servers. Few of
-// their requests fail, those that were on the ended servers, and none is taken for the cause.
+// Guards against other requests that fail or are quarantined while one request that crashes
+// servers is repeated. At most three servers may crash, and fewer than one in 50 of the other
+// requests may fail, namely those that were on a crashed server.
 func TestOtherRequestsDuringCrashes(t *testing.T) {
 	const size, clerks, others = 9, 12, 250
 	s := newTestbed(t)
@@ -176,19 +176,20 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if sent < others {
-			return trace.Errorf("%d requests of others were sent", sent)
+			return trace.Errorf("%d other requests were sent", sent)
 		}
 		return nil
 	})
 	stop()
 	require.Zero(t, refused)
-	t.Logf("%d servers ended, %d of %d requests failed", p.endedServers(), failed, sent)
+	t.Logf("%d servers ended, %d of %d other requests failed", p.endedServers(), failed, sent)
 	require.LessOrEqual(t, p.endedServers(), 3)
 	require.Less(t, failed, sent/50)
 }
 
-// A version that a request crashed has been mended, and the request is still quarantined. An
-// operator sees which servers ended under it, and lets it run again: at all daemons.
+// Guards against a request that stays refused after the operator has released it, for example
+// because the servers were fixed. The operator must see which servers it crashed, and the
+// release must reach all daemons.
 func TestOperatorReleasesAQuarantinedRequest(t *testing.T) {
 	const size = 9
 	s := newTestbed(t)
@@ -221,8 +222,9 @@
 	}
 }
 
-// A daemon is frozen while its peers find out which request crashes servers, and the store
-// is away all the while. Awake again, it learns of it by heartbeats.
+// Guards against a daemon that is frozen while a request is quarantined and runs the request
+// when it resumes. The store does not answer, so the daemon must learn of the quarantine
+// through heartbeats.
 func TestFrozenDaemonLearnsQuarantine(t *testing.T) {
 	const size = 9
 	s := newTestbed(t)
@@ -234,7 +236,7 @@
 	frozen := s.daemons[2]
 	require.NoError(t, frozen.Freeze())
 	ended := p.crashUntilRefused(size, s.daemons[0])
-	require.LessOrEqual(t, ended, 6, "five where a daemon does not answer, and a retry")
+	require.LessOrEqual(t, ended, 6, "five while a daemon does not answer, and one retry")
 	frozen.Wake()
 	s.waitForLog(frozen, "quarantine.learned")
 	reply := s.send(s.poisonCall(pathStream), frozen)
@@ -242,8 +244,8 @@
 	require.Equal(t, ended, p.endedServers())
 }
 
-// All daemons end at the same moment, with all that they know. What was quarantined is in
-// the store, and the daemons that start refuse it.
+// Guards against a quarantine that is lost when all daemons are killed at the same time. It is
+// stored, and daemons that start must read it.
 func TestQuarantineSurvivesRestartOfAllDaemons(t *testing.T) {
 	const size = 9
 	s := newTestbed(t)
@@ -254,7 +256,7 @@
 	digest := quarantine.NewDigest(http.MethodPost, c.Host, c.Path, "visrad", []byte(c.Body))
 	s.eventually(func() error {
 		if s.store.Value("hornbeamsill", "quarantine/"+digest.String()) == nil {
-			return trace.Errorf("the store has no quarantined request")
+			return trace.Errorf("the store has no row of the quarantined request")
 		}
 		return nil
 	})
@@ -269,9 +271,10 @@
 	require.Equal(t, ended, p.endedServers())
 }
 
-// A caller does not wait for answers: a request that crashes servers comes every 50 ms, at
-// any daemon, or many times at once. Each repeat that was sent before the first crash was
-// known may end a server; a second after the third one no server ends any more.
+// Guards against a request that goes on crashing servers when its caller does not wait for
+// answers and sends 30 repeats to all daemons, one every 50 ms or all at once. Each repeat
+// that is sent before the first crash is known may crash a server. A second after the third
+// crash, no repeat may crash one any more.
 func TestConcurrentRepeatsOfCrashingRequest(t *testing.T) {
 	const size, repeats = 18, 30
 	for name, pause := range map[string]time.Duration{"every 50 ms": 50 * time.Millisecond, "at once": 0} {
--- a/test/routes/pool_test.go
+++ b/test/routes/pool_test.go
@@ -12,10 +12,11 @@
 	"github.com/hornbeamsill/hornbeamsill/platform/wire"
 )
 
-// restartTime is how long an ended server takes to be back.
+// restartTime is how long a server that has ended takes to restart.
 const restartTime = 300 * time.Millisecond
 
-// pool is a set of upstream servers that start again as new instances when they end.
+// pool is a set of upstream servers. Each one that ends is replaced by a new instance after
+// restartTime.
 //
 // Lock order: mu is taken before the locks of servers.
 type pool struct {
@@ -27,13 +28,13 @@
 	next  int
 	live  []*platformtest.Server
 	ended int
-	// ending has the servers that are about to end: callers may know of it before they
-	// are counted.
+	// crashing has the servers that have received a crashing request and are not yet counted
+	// in ended. A caller may see the crash before it is counted.
 	crashing map[string]bool
 	wg       sync.WaitGroup
 }
 
-// newPool starts size servers.
+// newPool starts a pool of size servers.
 func (s *testbed) newPool(service string, events, size int) *pool {
 	p := &pool{testbed: s, service: service, events: events, crashing: map[string]bool{}}
 	for range size {
@@ -43,6 +44,7 @@
 	return p
 }
 
+// startOne starts a server, registers it in the store and adds it to the pool.
 func (p *pool) startOne() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -67,7 +69,7 @@
 	p.live = append(p.live, server)
 }
 
-// replace takes an ended server off the list and starts another one.
+// replace counts an ended server, removes it from the store and starts another one.
 func (p *pool) replace(id string, server *platformtest.Server) {
 	p.mu.Lock()
 	p.ended++
@@ -84,7 +86,7 @@
 	p.startOne()
 }
 
-// losePower ends n servers at the same moment. They come back like crashed ones.
+// killServers ends n servers at the same time, as a power loss does. They are replaced.
 func (p *pool) killServers(n int) {
 	p.mu.Lock()
 	var lost []*platformtest.Server
@@ -104,14 +106,14 @@
 	}
 }
 
-// endedServers is how many servers have ended so far.
+// endedServers returns how many servers have ended.
 func (p *pool) endedServers() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.ended
 }
 
-// whole waits until all servers are back.
+// waitRestored waits until size servers run and none is about to crash.
 func (p *pool) waitRestored(size int) {
 	p.t.Helper()
 	p.eventually(func() error {
@@ -124,7 +126,8 @@
 	})
 }
 
-// condemned has a request crash servers until it is refused, and returns how many ended.
+// crashUntilRefused sends the crashing request through a daemon until it is refused, and
+// returns how many servers have ended.
 func (p *pool) crashUntilRefused(size int, through *daemon) int {
 	p.t.Helper()
 	p.eventually(func() error {
--- a/test/routes/raw_test.go
+++ b/test/routes/raw_test.go
@@ -11,8 +11,8 @@
 	"github.com/hornbeamsill/hornbeamsill/test/cluster"
 )
 
-// rawExchange sends bytes to a daemon as they are and returns what comes back
-// until the daemon closes the connection.
+// rawExchange sends bytes to a daemon unchanged and returns what it receives until the daemon
+// closes the connection.
 func rawExchange(t *testing.T, address, text string) string {
 	conn, err := net.Dial("tcp", address)
 	require.NoError(t, err)
@@ -20,8 +20,8 @@
 	require.NoError(t, conn.SetDeadline(time.Now().Add(cluster.Patience)))
 	_, err = io.WriteString(conn, text)
 	require.NoError(t, err)
-	// A daemon that refuses in the middle of what was sent may reset the
-	// connection; what came before that counts.
+	// A daemon that refuses a request before it has read all of it may reset the connection.
+	// What was received before is the answer.
 	data, _ := io.ReadAll(conn)
 	return string(data)
 }
--- a/test/routes/rollout_test.go
+++ b/test/routes/rollout_test.go
@@ -18,10 +18,10 @@
 	"github.com/hornbeamsill/hornbeamsill/test/cluster"
 )
 
-// allowed is the time that roll-outs of these tests get.
+// rolloutTime is the time allowed for roll-outs in these tests.
 const rolloutTime = 8 * time.Second
 
-// traffic sends sessions of two requests each to all daemons until stopped.
+// startSessions sends sessions of two requests each through all daemons until stop is called.
 func (s *testbed) startSessions(workers int) (stop func()) {
 	return runWorkers(workers, func(int) {
 		session := s.newCall(pathStream).ID
@@ -33,19 +33,19 @@
 	})
 }
 
+// waitRolloutState waits until the state of a roll-out in the store has the given value.
 func (s *testbed) waitRolloutState(service, state string) {
 	s.t.Helper()
 	s.eventually(func() error {
 		if got := s.store.Rollout(service); got != state {
-			return trace.Errorf("the operator was told %q, not %q", got, state)
+			return trace.Errorf("the stored roll-out state is %q, want %q", got, state)
 		}
 		return nil
 	})
 }
 
-// A good version is brought in while clerks work. The operator learns that it
-// is completed, every request is answered, and afterwards only the new version
-// gets any.
+// Guards against a roll-out of a good version that does not complete under load, and against
+// requests at the old version after it has.
 func TestGoodVersionIsRolledOut(t *testing.T) {
 	s := newTestbed(t)
 	old := s.startServer(platformtest.ServerOptions{ID: "old", Service: engineService, Events: 3, Work: time.Millisecond})
@@ -64,9 +64,9 @@
 	require.Len(t, old.Seen(), before)
 }
 
-// A version that fails most requests is rolled back by itself, after a small
-// part of the requests has met it, and gets nothing any more. The daemon that
-// holds the duty is killed on the way; another one goes on from what is stored.
+// Guards against a version that fails its requests and is not rolled back, or gets requests
+// after it was. The daemon that holds the lease of the roll-out is killed on the way; another
+// one must continue from the stored state.
 func TestBadVersionIsRolledBack(t *testing.T) {
 	s := newTestbed(t)
 	s.startServer(platformtest.ServerOptions{ID: "old", Service: engineService, Events: 3, Work: time.Millisecond})
@@ -85,7 +85,7 @@
 				return nil
 			}
 		}
-		return trace.Errorf("no daemon holds the duty")
+		return trace.Errorf("no daemon holds the lease of the roll-out")
 	})
 	holder.Kill()
 	s.waitRolloutState(engineService, "rolled_back")
@@ -100,8 +100,9 @@
 	require.Len(t, bad.Seen(), before)
 }
 
-// A bad version was rolled back and the next one is ordered while servers of the
-// bad one still run. None of the sessions may meet the bad version again.
+// Guards against sessions at a rolled-back version, whose servers still run, during the
+// roll-out of the next version. The rolled-back version must not count as the old version of
+// that roll-out.
 func TestRolledBackVersionGetsNoRequestsInNextRollout(t *testing.T) {
 	s := newTestbed(t)
 	s.startServer(platformtest.ServerOptions{ID: "old", Service: engineService, Events: 3, Work: time.Millisecond})
@@ -118,8 +119,8 @@
 	require.Len(t, bad.Seen(), before)
 }
 
-// The few instances that try a new version are gone all at once. Requests that
-// would have gone there are answered by the old version instead of refused.
+// Guards against requests that are refused when the few instances of a new version are all
+// gone. The old version must answer them.
 func TestNewVersionIsUnreachable(t *testing.T) {
 	s := newTestbed(t)
 	s.startServer(platformtest.ServerOptions{ID: "old", Service: engineService, Events: 3, Work: time.Millisecond})
@@ -134,10 +135,10 @@
 	}
 }
 
-// All daemons lose power after a roll-out was completed and the old servers are
-// gone. The daemons that start again know from the store that it is completed
-// and serve at once; with the order alone they took it for one that has just
-// begun and refused everything for as long as the dead holder's lease lasted.
+// Guards against daemons that refuse all requests when they restart after a completed
+// roll-out, with the old servers gone. With the order alone, without the stored state, they
+// took the roll-out for one that has just started and refused everything until the lease of
+// the killed holder expired.
 func TestAllDaemonsRestartAfterRollout(t *testing.T) {
 	s := newTestbed(t)
 	old := s.startServer(platformtest.ServerOptions{ID: "old", Service: engineService, Events: 3, Work: time.Millisecond})
@@ -157,9 +158,9 @@
 	require.Contains(t, again.logLine("msg=rollout.state"), "phase=completed")
 }
 
-// The only daemon loses power in the middle of a roll-out. The one that starts
-// again finds order and state in the store, but not when the order was given, and
-// counted the time allowed from its own start: the operator was told late.
+// Guards against a roll-out whose time starts anew when the only daemon restarts. The store
+// has the order and the state but not the time of the order; a daemon that counted from its
+// own start reported the result late.
 func TestDaemonRestartsDuringRollout(t *testing.T) {
 	s := newTestbed(t)
 	s.startServer(platformtest.ServerOptions{ID: "old", Service: engineService, Events: 3, Work: time.Millisecond})
@@ -173,15 +174,14 @@
 	_, text, _ := strings.Cut(s.waitForLog(again, "msg=rollout.aged"), "age_ms=")
 	age, err := strconv.Atoi(strings.Fields(text)[0])
 	require.NoError(t, err)
-	// The first share opens 1.2 s after the order.
+	// The first share of the traffic goes to the new version 1.2 s after the order.
 	require.GreaterOrEqual(t, age, 1200)
 	s.waitRolloutState(engineService, "completed")
 }
 
-// The store turns the daemon that holds the duty away in the middle of a roll-out
-// and serves all others. The holder goes on through its peers, and the operator
-// is told in time. Without that its lease lapsed, and another daemon took the
-// duty seven seconds later.
+// Guards against a roll-out that is delayed because the holder of its lease cannot reach the
+// store while all other daemons can. The holder must renew the lease and report through its
+// peers. Without that, the lease expired and another daemon acquired it seven seconds later.
 func TestLeaseHolderLosesStore(t *testing.T) {
 	s := newTestbed(t)
 	s.startServer(platformtest.ServerOptions{ID: "old", Service: engineService, Events: 3, Work: time.Millisecond})
@@ -214,10 +214,10 @@
 	require.True(t, holder.logsContain("msg=store.relayed"))
 }
 
-// A version turns bad while the store is away, and the daemon that holds the duty is
-// killed: nobody can take its lease. Callers of one daemon meet the failures. That
-// daemon and the others must stop using the version all the same, also a daemon that
-// has seen none of them; it went on to the end of the outage and beyond.
+// Guards against a version that starts to fail while the store is down, after the holder of
+// the lease was killed, so that no daemon can acquire the lease. Only one daemon sees the
+// failures; without a stop by the daemons themselves, they used the version until the end of
+// the outage and beyond. All daemons must stop using it, including those that saw no failure.
 func TestBadVersionStopsWithoutLeaseHolderAndStore(t *testing.T) {
 	s := newTestbed(t)
 	s.startServer(platformtest.ServerOptions{ID: "old", Service: engineService, Events: 3, Work: time.Millisecond})
@@ -241,7 +241,7 @@
 				holder = d
 			}
 			if !d.logsContain("msg=rollout.state", "phase=running") {
-				return trace.Errorf("%s does not know the first share", d.Name)
+				return trace.Errorf("%s has not received the first share", d.Name)
 			}
 		}
 		return nil
@@ -254,7 +254,7 @@
 	s.eventually(func() error {
 		s.send(s.newCall(pathStream), busy)
 		if !idle.logsContain("msg=rollout.state", "stopped=true") && !idle.logsContain("msg=rollout.stopped") {
-			return trace.Errorf("%s was not told to stop\n%s", idle.Name, idle.Log())
+			return trace.Errorf("%s has not stopped the version\n%s", idle.Name, idle.Log())
 		}
 		return nil
 	})
--- a/test/routes/soak_test.go
+++ b/test/routes/soak_test.go
@@ -22,9 +22,9 @@
 	"github.com/hornbeamsill/hornbeamsill/test/cluster"
 )
 
-// The soak runs real daemons under a load of all kinds of requests while faults
-// come from outside, one after the other and overlapping, drawn from a seed. The
-// promises are checked from what callers get and what servers ran.
+// The soak test runs real daemons under a load of all kinds of requests, and injects faults
+// that are drawn from a seed and may overlap. It then compares the answers that callers got
+// with the requests that servers ran.
 //
 //	SOAK_SEEDS=50 SOAK_FIRST=100 SOAK_SECONDS=10 go test -run TestSoak -timeout 60m ./test/routes
 const (
@@ -32,26 +32,27 @@
 	soakWorkers = 8
 	// soakPause is the longest time between two faults.
 	soakPause = 400 * time.Millisecond
-	// soakKept is the longest time that a fault lasts.
+	// soakFaultTime is the longest time that a fault lasts.
 	soakFaultTime = 2500 * time.Millisecond
 )
 
-// soakKinds is the number of kinds of faults.
+// soakFaultKinds is the number of kinds of faults in injectFault.
 const soakFaultKinds = 17
 
-// soakCase is a seed, with the number of kinds of faults from which its faults are drawn.
+// soakCase is a seed with the number of kinds of faults that are drawn.
 type soakCase struct {
 	seed  uint64
 	kinds int
 }
 
-// soakCases are seeds that failed once, with the cause.
+// soakCases are the seeds of former failures, each with its cause.
 var soakCases = []soakCase{
-	// The line that tells which configuration came into force was dropped among those of
-	// refused requests.
+	// The log line for the configuration in force was dropped among the lines of refused
+	// requests.
 	{seed: 7012, kinds: 14},
 }
 
+// envInt returns an environment variable as an integer, or fallback if it is not one.
 func envInt(name string, fallback int) int {
 	n, err := strconv.Atoi(os.Getenv(name))
 	if err != nil {
@@ -60,6 +61,8 @@
 	return n
 }
 
+// TestSoak guards against answers that contradict what servers ran, and against daemons that
+// do not recover, under combinations of faults that no other test has.
 func TestSoak(t *testing.T) {
 	cases := append([]soakCase{}, soakCases...)
 	for i := range envInt("SOAK_SEEDS", 2) {
@@ -70,35 +73,37 @@
 	}
 }
 
-// sent is a call with its reply.
+// exchange is a call with its reply.
 type exchange struct {
 	call  platformtest.Call
 	reply platformtest.Reply
 }
 
+// soak is one run of the soak test.
 type soak struct {
 	*testbed
 	soakCase
 	random *rand.Rand
-	// stores are the proxies between daemons and the store, by daemon.
+	// storeProxies has the proxy between each daemon and the store.
 	storeProxies map[*daemon]*cluster.Proxy
 	version      int64
 
-	mu        sync.Mutex
+	mu sync.Mutex
+	// live has the daemons to which workers send requests.
 	live      []*daemon
 	exchanges []exchange
-	// heals undo faults.
+	// undoing waits for the end of all faults.
 	undoing sync.WaitGroup
 	ended   chan struct{}
-	// crashed counts the servers that ended under the crashing request, and started the
-	// daemons.
+	// serversCrashed counts the servers that the poison request crashed, and daemonsStarted
+	// the daemons that were started.
 	serversCrashed, daemonsStarted int
-	// serverIDs has the IDs of the servers that run, by their place, and leaving what
-	// servers had seen when they began to say that they leave.
+	// serverIDs has the ID of the running server of each place. leaving has, for each leaving
+	// server, how many requests it had received when it began to leave.
 	serverIDs map[string]string
 	leaving   map[*platformtest.Server]int
-	// limited has what servers had seen when they began to name a limit, and limitedFor
-	// what came until they named none any more.
+	// limited has how many requests a server had received when its rate limit began, and
+	// requestsWhileLimited how many it received until the limit ended.
 	limited, requestsWhileLimited map[*platformtest.Server]int
 
 	serversStarted int
@@ -122,22 +127,24 @@
 }
 
 const (
-	// soakCold is for how long a server is cold that takes another one's place.
+	// soakColdTime is how long a server that replaces another one is cold.
 	soakColdTime = 1500 * time.Millisecond
-	// soakCopyAge is how much the store loses when it comes back from a copy, and soakAway
-	// how long it is away before, and how long what it lost is missing.
+	// soakBackupAge is the age of a backup at the start of the outage after which the store
+	// is restored from it. soakOutage is the length of the outage, and also the time from
+	// the restore until the lost rows are written again.
 	soakBackupAge = 1 * time.Second
 	soakOutage    = 500 * time.Millisecond
-	// soakHall is the failure domain that is evacuated; the first servers of each service
-	// are there.
+	// soakDomain is the failure domain that is evacuated. It has the first server of each
+	// service.
 	soakDomain = "hall-b"
 )
 
-// declared is the configuration in force.
+// manifest returns the configuration with the current version.
 func (s *soak) manifest() wire.Manifest { return coldStartManifest(s.version) }
 
-// soakServer starts the server of a place, "cat-N" or "eng-N", which is cold for some time
-// and treats a few requests badly, drawn by their id so that a seed plays the same.
+// startSoakServer starts the server of a place, "cat-N" or "eng-N", which is cold for the
+// given time. It treats about one in ten requests badly, depending only on the seed, the
+// place, the request ID and the last event, so that a seed is repeatable.
 func (s *soak) startSoakServer(place string, seed uint64, cold time.Duration) {
 	s.mu.Lock()
 	s.serversStarted++
@@ -178,7 +185,7 @@
 	s.servers[o.ID] = server
 }
 
-// replaceServer starts a server anew, some time after its process has ended.
+// replaceServer starts a new server in a place restartTime after the old one has crashed.
 func (s *soak) replaceServer(place string, seed uint64) {
 	s.mu.Lock()
 	s.serversCrashed++
@@ -189,14 +196,14 @@
 	s.startSoakServer(place, seed, soakColdTime)
 }
 
-// running returns the server of a place.
+// serverAt returns the running server of a place.
 func (s *soak) serverAt(place string) *platformtest.Server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.servers[s.serverIDs[place]]
 }
 
-// startOne starts a daemon with a proxy of its own before the store.
+// startSoakDaemon starts a daemon that reaches the store through a proxy of its own.
 func (s *soak) startSoakDaemon() {
 	proxy, err := cluster.NewProxy(s.storeAddress)
 	require.NoError(s.t, err)
@@ -219,14 +226,14 @@
 	s.daemonsStarted++
 }
 
-// pick draws a live daemon.
+// pickDaemon draws a live daemon.
 func (s *soak) pickDaemon(random *rand.Rand) *daemon {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.live[random.IntN(len(s.live))]
 }
 
-// drop takes a daemon out of those that callers use.
+// removeLive removes a daemon from the live ones, except the last one.
 func (s *soak) removeLive(d *daemon) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -275,7 +282,7 @@
 	}
 }
 
-// later undoes a fault after a while.
+// undoLater calls undo after a random time of at most soakFaultTime.
 func (s *soak) undoLater(undo func()) {
 	kept := time.Duration(s.random.Int64N(int64(soakFaultTime)))
 	s.undoing.Go(func() {
@@ -284,7 +291,7 @@
 	})
 }
 
-// fault brings one fault about.
+// injectFault draws and starts one fault.
 func (s *soak) injectFault() {
 	d := s.pickDaemon(s.random)
 	store := s.storeProxies[d]
@@ -344,8 +351,8 @@
 	}
 }
 
-// restoreStore has the store come back from a copy after an outage, and the operator and the
-// servers write again what it has lost.
+// restoreStore restores the store from a backup after an outage. The operator and the servers
+// then write the lost rows again.
 func (s *soak) restoreStore() {
 	backup := s.store.Copy()
 	s.undoing.Go(func() {
@@ -359,7 +366,8 @@
 	})
 }
 
-// limit has a server name a limit for a while, which changes once.
+// limitServer sets a rate limit of 0 to 2 at a server for a random time, and 0.5 at another
+// random time.
 func (s *soak) limitServer(place string) {
 	server := s.serverAt(place)
 	s.mu.Lock()
@@ -380,11 +388,12 @@
 	})
 }
 
-// place draws the place of a server.
+// drawPlace draws the place of a server.
 func (s *soak) drawPlace() string {
 	return fmt.Sprint([]string{"cat-", "eng-"}[s.random.IntN(2)], s.random.IntN(3))
 }
 
+// serverIDAt returns the ID of the running server of a place.
 func (s *soak) serverIDAt(place string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -392,17 +401,17 @@
 }
 
 const (
-	// soakRepeats is how often a caller repeats the crashing request, at any daemon.
+	// soakRepeats is how often a caller sends the poison request, each time to any daemon.
 	soakRepeats = 6
-	// soakCrashes bounds the servers that it may end: five where some daemons do not
-	// answer, the attempts of the repeat that ends the last of them, and those of the
-	// second in which other daemons are chosen to judge, since both may be killed.
+	// maxSoakCrashes bounds the servers that it may crash: 5 while some daemons do not
+	// answer, 3 attempts of the request that crashes the last of them, and 6 in the second
+	// in which other daemons are chosen as judges, since both judges may be killed.
 	maxSoakCrashes = 5 + 3 + 6
-	// soakRest is the time for which servers that ask for it want no requests.
+	// soakRetryAfter is the Retry-After of servers that refuse with it, in seconds.
 	soakRetryAfter = "0.3"
 )
 
-// repeatCrashing has a caller repeat the one request that crashes servers.
+// repeatPoisonCall sends the poison request soakRepeats times.
 func (s *soak) repeatPoisonCall() {
 	for range soakRepeats {
 		ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
@@ -412,8 +421,8 @@
 	}
 }
 
-// leave has a server say in its answers that it leaves, and a new one take its place. Its
-// row says "ready" until it is gone.
+// leaveServer makes a server say in its answers that it is leaving, and starts a new one in
+// its place. The row of the old server says "ready" until it is removed.
 func (s *soak) leaveServer(place string) {
 	server := s.serverAt(place)
 	old := s.serverIDAt(place)
@@ -429,13 +438,14 @@
 	s.undoLater(func() { s.store.Remove(wire.TableInstances, old) })
 }
 
+// restoreProxy ends the cut of a proxy.
 func (s *soak) restoreProxy(p *cluster.Proxy) {
-	// A proxy whose daemon is gone may be closed already.
+	// The proxy may already be closed.
 	_ = p.Restore()
 }
 
-// recovers requires that every live daemon serves once all faults are over, by the
-// configuration that is accepted then.
+// requireRecovery requires that every live daemon serves, with a new configuration, after all
+// faults have ended.
 func (s *soak) requireRecovery() {
 	s.mu.Lock()
 	live := append([]*daemon{}, s.live...)
@@ -454,7 +464,8 @@
 	}
 }
 
-// evacuates requires that an evacuation empties a failure domain at every live daemon.
+// requireEvacuation requires that an evacuated failure domain gets no requests through any
+// live daemon.
 func (s *soak) requireEvacuation() {
 	s.store.Evacuate(soakDomain)
 	defer s.store.Restore(soakDomain)
@@ -474,13 +485,14 @@
 	require.Equal(s.t, before, s.requestsInDomain(), "requests in an evacuated failure domain")
 }
 
-// emptied reports whether a daemon has emptied the evacuated failure domain. One that is
-// stopping is told nothing by others: it finds out by itself, or ends before.
+// checkEvacuated returns an error until a daemon has the evacuation in force and has no open
+// request in the failure domain. Other daemons send no updates to a stopping daemon: it reads
+// the evacuation itself or exits before.
 func (s *soak) checkEvacuated(d *daemon, live bool) error {
 	b, err := s.fetchStatus(d)
 	switch {
 	case b.Instance != d.Name && !live:
-		// It has ended; another process may have its port.
+		// The daemon has exited. Another process may have its port.
 		return nil
 	case err != nil:
 		return trace.Wrap(err)
@@ -490,11 +502,11 @@
 			return nil
 		}
 	}
-	return trace.Errorf("%s has not emptied %s\n%s", d.Name, soakDomain, d.Log())
+	return trace.Errorf("%s has not evacuated %s\n%s", d.Name, soakDomain, d.Log())
 }
 
-// seenInHall is the number of requests that the servers of the evacuated failure domain
-// have got.
+// requestsInDomain returns the number of requests that the servers of soakDomain have
+// received.
 func (s *soak) requestsInDomain() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -512,18 +524,19 @@
 	runs := map[string]int{}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	require.LessOrEqual(s.t, s.serversCrashed, maxSoakCrashes, "servers ended under the crashing request")
+	require.LessOrEqual(s.t, s.serversCrashed, maxSoakCrashes, "servers crashed by the poison request")
 	for server, before := range s.leaving {
-		// What each daemon had under way when the first answer told it.
+		// The requests that each daemon had in progress when it got the first such answer.
 		require.LessOrEqual(s.t, len(server.Seen())-before, soakWorkers*s.daemonsStarted, "requests at a leaving server")
 	}
 	for _, got := range s.requestsWhileLimited {
-		// What each daemon had under way when the first answer told it, and the highest
-		// limit of the soak over the longest time.
-		require.LessOrEqual(s.t, got, soakWorkers*s.daemonsStarted+maxRequests(2), "requests at a server that names a limit")
+		// The requests that each daemon had in progress when it got the first answer with a
+		// limit, and the most that the highest limit of the soak (2) allows in the longest
+		// time.
+		require.LessOrEqual(s.t, got, soakWorkers*s.daemonsStarted+maxRequests(2), "requests at a server with a rate limit")
 	}
 	for id, server := range s.servers {
-		require.False(s.t, server.Overrun(), "%s got more than it bears while it was cold", id)
+		require.False(s.t, server.Overrun(), "%s crashed because it received too many requests while it was cold", id)
 		for _, seen := range server.Seen() {
 			if seen.Behaviour.Ran() {
 				runs[seen.ID]++
@@ -541,11 +554,11 @@
 			require.Equal(s.t, id, r.ID)
 			s.requireWhole(one)
 		case strings.Contains(r.Body, "request_quarantined"):
-			require.Fail(s.t, "refused though it crashes nothing", "%s: %s", id, r.Body)
+			require.Fail(s.t, "quarantined although it crashes no server", "%s: %s", id, r.Body)
 		case r.Status == http.StatusServiceUnavailable, r.Status == http.StatusTooManyRequests:
-			require.Zero(s.t, runs[id], "%s was told not to have run", id)
+			require.Zero(s.t, runs[id], "%s ran although its caller was told that it did not", id)
 		default:
-			require.GreaterOrEqual(s.t, r.Status, http.StatusInternalServerError, "%s is proper", id)
+			require.GreaterOrEqual(s.t, r.Status, http.StatusInternalServerError, "%s is a valid request", id)
 		}
 		if one.call.Path == pathUnsafe {
 			require.LessOrEqual(s.t, runs[id], 1, "%s ran more than once", id)
@@ -555,7 +568,7 @@
 	require.Positive(s.t, served)
 }
 
-// wholeAnswer requires that a success is the whole answer of one server.
+// requireWhole requires that a reply with status 200 is the whole answer of one server.
 func (s *soak) requireWhole(one exchange) {
 	id := one.call.ID
 	if one.call.Path == pathStream {
