--- a/test/routes/evacuation_test.go
+++ b/test/routes/evacuation_test.go
@@ -42,7 +42,7 @@
 	return n
 }
 
-// concurrentCallers is so high that a daemon uses other failure domains beside its own.
+// concurrentCallers is high enough for a daemon to use other failure domains besides its own.
 const concurrentCallers = 16
 
 // requireServedOutside requires that a daemon serves requests and that none reaches the given
--- a/test/routes/failures_test.go
+++ b/test/routes/failures_test.go
@@ -346,8 +346,8 @@
 }
 
 // Guards against changes that no longer arrive when the daemons that read the store for the
-// others fail. Two of three daemons read it; when two are killed, the third one must
-// notice that updates are late and read the store itself.
+// others fail. Two of three daemons read it; when two are killed, the third one must notice
+// that updates are late and read the store itself.
 func TestStoreReadersAreKilled(t *testing.T) {
 	s := newTestbed(t)
 	s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService})
--- a/test/routes/harness_test.go
+++ b/test/routes/harness_test.go
@@ -231,8 +231,8 @@
 func (s *testbed) serversThatRan(id string) []string {
 	var out []string
 	for name, server := range s.servers {
-		for _, seen := range server.Seen() {
-			if seen.ID == id && seen.Behaviour.Ran() {
+		for _, received := range server.Seen() {
+			if received.ID == id && received.Behaviour.Ran() {
 				out = append(out, name)
 			}
 		}
--- a/test/routes/limit_test.go
+++ b/test/routes/limit_test.go
@@ -209,7 +209,8 @@
 	require.Positive(t, refused)
 }
 
-// Guards against invalid rate limits that limit a server.
+// Guards against invalid rate limits that limit a server. Daemons ignore them; they do not
+// lift an earlier limit either.
 func TestInvalidRateLimitsAreIgnored(t *testing.T) {
 	for _, text := range []string{"soon", "-3", "NaN", "1e300", "Inf"} {
 		t.Run(text, func(t *testing.T) {
@@ -282,8 +283,8 @@
 // cache.
 func TestStreamsKeepRateLimit(t *testing.T) {
 	s := newTestbed(t)
-	cutSome := func(seen platformtest.Seen) platformtest.Behaviour {
-		if len(seen.ID)%2 == 0 && seen.Header.Get(wire.HeaderLastEvent) == "" {
+	cutSome := func(received platformtest.Seen) platformtest.Behaviour {
+		if len(received.ID)%2 == 0 && received.Header.Get(wire.HeaderLastEvent) == "" {
 			return platformtest.CutInside
 		}
 		return platformtest.Answer
@@ -319,8 +320,8 @@
 	}
 	replies := l.finish()
 	within := 0
-	for _, seen := range limited.SeenSince(from) {
-		if seen.At.Before(from.Add(limitWindow)) {
+	for _, received := range limited.SeenSince(from) {
+		if received.At.Before(from.Add(limitWindow)) {
 			within++
 		}
 	}
--- a/test/routes/path_test.go
+++ b/test/routes/path_test.go
@@ -32,14 +32,14 @@
 	once := s.newCall(pathUnsafe + "?a=1&b=%2F")
 	once.Extra = http.Header{wire.HeaderTenant: {"forged"}, wire.HeaderHold: {"forged"}, "Accept-Language": {"sv"}}
 	s.requireWholeAnswer(once, s.send(once, d), "cat-1")
-	seen := s.servers["cat-1"].Seen()[0]
-	require.Equal(t, pathUnsafe+"?a=1&b=%2F", seen.Target)
-	require.Equal(t, "body of a request", seen.Body)
-	require.Equal(t, host, seen.Host)
-	require.Equal(t, "visrad", seen.Organisation)
-	require.Empty(t, seen.Key)
-	require.Empty(t, seen.Header.Get(wire.HeaderHold))
-	require.Equal(t, "sv", seen.Header.Get("Accept-Language"))
+	received := s.servers["cat-1"].Seen()[0]
+	require.Equal(t, pathUnsafe+"?a=1&b=%2F", received.Target)
+	require.Equal(t, "body of a request", received.Body)
+	require.Equal(t, host, received.Host)
+	require.Equal(t, "visrad", received.Organisation)
+	require.Empty(t, received.Key)
+	require.Empty(t, received.Header.Get(wire.HeaderHold))
+	require.Equal(t, "sv", received.Header.Get("Accept-Language"))
 
 	safe := s.newCall(pathSafe)
 	s.requireWholeAnswer(safe, s.send(safe, d), "cat-1")
@@ -98,13 +98,13 @@
 	}{
 		"unknown host":     {func(c *platformtest.Call) { c.Host = "other.example" }, http.StatusNotFound},
 		"unknown path":     {func(c *platformtest.Call) { c.Path = "/none/" }, http.StatusNotFound},
-		"prefix in part":   {func(c *platformtest.Call) { c.Path = "/statementx" }, http.StatusNotFound},
+		"partial prefix":   {func(c *platformtest.Call) { c.Path = "/statementx" }, http.StatusNotFound},
 		"unknown key":      {func(c *platformtest.Call) { c.Key = "none" }, http.StatusUnauthorized},
 		"no key":           {func(c *platformtest.Call) { c.Key = "" }, http.StatusUnauthorized},
 		"long body":        {func(c *platformtest.Call) { c.Body = strings.Repeat("x", 5000) }, http.StatusRequestEntityTooLarge},
 		"long header":      {func(c *platformtest.Call) { c.Extra = http.Header{"X-Long": {strings.Repeat("x", 40000)}} }, http.StatusRequestHeaderFieldsTooLarge},
-		"no time":          {func(c *platformtest.Call) { c.Extra = http.Header{wire.HeaderDeadline: {"soon"}}; c.Patience = 0 }, http.StatusBadRequest},
-		"prompt not parts": {func(c *platformtest.Call) { c.Prompt = "aa" }, http.StatusBadRequest},
+		"invalid deadline": {func(c *platformtest.Call) { c.Extra = http.Header{wire.HeaderDeadline: {"soon"}}; c.Patience = 0 }, http.StatusBadRequest},
+		"malformed prompt": {func(c *platformtest.Call) { c.Prompt = "aa" }, http.StatusBadRequest},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := s.newCall(pathUnsafe)
@@ -234,8 +234,8 @@
 	require.NoError(t, reply.Err)
 	require.Equal(t, eventStream(c.ID, 4), reply.Body)
 	var models []string
-	for _, seen := range engine.Seen() {
-		models = append(models, seen.Model)
+	for _, received := range engine.Seen() {
+		models = append(models, received.Model)
 	}
 	require.Equal(t, []string{"small", "large"}, models)
 }
--- a/test/routes/poison_test.go
+++ b/test/routes/poison_test.go
@@ -17,12 +17,12 @@
 	"github.com/hornbeamsill/hornbeamsill/platform/platformtest"
 )
 
-// poison is the body of a request that crashes every server that runs it, and the suffix of
-// its path.
+// poison is the body of the poison request, which crashes every server that runs it, and the
+// suffix of its path.
 const poison = "poison"
 
-// poisonCall returns a call that crashes every server that runs it. All calls for a path are
-// the same request except for their request ID.
+// poisonCall returns a call of the poison request. All calls for a path are the same request
+// except for their request ID.
 func (s *testbed) poisonCall(path string) platformtest.Call {
 	c := s.newCall(path)
 	c.Path += "-" + poison
@@ -51,6 +51,8 @@
 //	CRASH_DAEMONS=80 go test -count=1 -run TestRequestThatCrashes -timeout 20m ./test/routes
 func crashDaemons() int { return envInt("CRASH_DAEMONS", 3) }
 
+// repeatPoison sends the poison request poisonRepeats times through changing daemons and
+// requires that it crashes at most three servers and is refused from then on.
 func repeatPoison(t *testing.T, path string) {
 	const size = 9
 	s := newTestbed(t)
@@ -112,7 +114,7 @@
 // end three times under a load of streams. Many streams were on three servers that ended, but
 // none is the cause: each was on only a few of the servers that ended at the same time.
 func TestPowerLossQuarantinesNoRequest(t *testing.T) {
-	const size, rack, clerks, losses = 9, 3, 24, 3
+	const size, rack, workers, losses = 9, 3, 24, 3
 	s := newTestbed(t)
 	p := s.newPool(engineService, 40, size)
 	for range 3 {
@@ -120,10 +122,10 @@
 	}
 	var mu sync.Mutex
 	var refused []string
-	stop := runWorkers(clerks, func(clerk int) {
+	stop := runWorkers(workers, func(worker int) {
 		c := s.newCall(pathStream)
-		c.Body = fmt.Sprint("summary of clerk ", clerk)
-		reply := s.send(c, s.daemons[clerk%len(s.daemons)])
+		c.Body = fmt.Sprint("summary of clerk ", worker)
+		reply := s.send(c, s.daemons[worker%len(s.daemons)])
 		if strings.Contains(reply.Body, "request_quarantined") {
 			mu.Lock()
 			defer mu.Unlock()
@@ -148,7 +150,7 @@
 // servers is repeated. At most three servers may crash, and fewer than one in 50 of the other
 // requests may fail, namely those that were on a crashed server.
 func TestOtherRequestsDuringCrashes(t *testing.T) {
-	const size, clerks, others = 9, 12, 250
+	const size, workers, others = 9, 12, 250
 	s := newTestbed(t)
 	p := s.newPool(engineService, 8, size)
 	for range 3 {
@@ -156,8 +158,8 @@
 	}
 	var mu sync.Mutex
 	sent, failed, refused := 0, 0, 0
-	stop := runWorkers(clerks, func(clerk int) {
-		reply := s.send(s.newCall(pathStream), s.daemons[clerk%len(s.daemons)])
+	stop := runWorkers(workers, func(worker int) {
+		reply := s.send(s.newCall(pathStream), s.daemons[worker%len(s.daemons)])
 		mu.Lock()
 		defer mu.Unlock()
 		sent++
--- a/test/routes/pool_test.go
+++ b/test/routes/pool_test.go
@@ -28,8 +28,8 @@
 	next  int
 	live  []*platformtest.Server
 	ended int
-	// crashing has the servers that have received a crashing request and are not yet counted
-	// in ended. A caller may see the crash before it is counted.
+	// crashing has the servers that have received the poison request and are not yet
+	// counted in ended. A caller may see the crash before it is counted.
 	crashing map[string]bool
 	wg       sync.WaitGroup
 }
@@ -54,8 +54,8 @@
 	server = platformtest.NewServer(platformtest.ServerOptions{
 		ID: id, Service: p.service, Version: "v1", Slots: 8, Work: 20 * time.Millisecond, Events: p.events,
 		Confidence: map[string]int{"small": 90},
-		Behave: func(seen platformtest.Seen) platformtest.Behaviour {
-			if seen.Header.Get("X-Poison") != "" {
+		Behave: func(received platformtest.Seen) platformtest.Behaviour {
+			if received.Header.Get("X-Poison") != "" {
 				p.mu.Lock()
 				defer p.mu.Unlock()
 				p.crashing[id] = true
@@ -126,8 +126,8 @@
 	})
 }
 
-// crashUntilRefused sends the crashing request through a daemon until it is refused, and
-// returns how many servers have ended.
+// crashUntilRefused sends the poison request through a daemon until it is refused, and returns
+// how many servers have ended.
 func (p *pool) crashUntilRefused(size int, through *daemon) int {
 	p.t.Helper()
 	p.eventually(func() error {
--- a/test/routes/rollout_test.go
+++ b/test/routes/rollout_test.go
@@ -223,10 +223,10 @@
 	s.startServer(platformtest.ServerOptions{ID: "old", Service: engineService, Events: 3, Work: time.Millisecond})
 	all := []*daemon{s.startReadyDaemon(), s.startReadyDaemon(), s.startReadyDaemon()}
 	s.waitForDirectory(all[0], 3)
-	var turned atomic.Bool
+	var failing atomic.Bool
 	bad := s.startServer(platformtest.ServerOptions{ID: "new", Service: engineService, Version: "v2", Events: 3,
 		Behave: func(platformtest.Seen) platformtest.Behaviour {
-			if turned.Load() {
+			if failing.Load() {
 				return platformtest.Fail
 			}
 			return platformtest.Answer
@@ -248,7 +248,7 @@
 	})
 	s.store.SetFault(platformtest.FaultRefuse)
 	holder.Kill()
-	turned.Store(true)
+	failing.Store(true)
 	others := slices.DeleteFunc(all, func(d *daemon) bool { return d == holder })
 	busy, idle := others[0], others[1]
 	s.eventually(func() error {
--- a/test/routes/soak_test.go
+++ b/test/routes/soak_test.go
@@ -165,12 +165,12 @@
 	if o.Events > 0 {
 		bad = []platformtest.Behaviour{platformtest.Refuse, platformtest.Fail, platformtest.Reset, platformtest.CutInside, platformtest.Rest}
 	}
-	o.Behave = func(seen platformtest.Seen) platformtest.Behaviour {
-		if seen.Header.Get("X-Poison") != "" {
+	o.Behave = func(received platformtest.Seen) platformtest.Behaviour {
+		if received.Header.Get("X-Poison") != "" {
 			return platformtest.Crash
 		}
 		draw := seed
-		for _, c := range place + seen.ID + seen.Header.Get(wire.HeaderLastEvent) {
+		for _, c := range place + received.ID + received.Header.Get(wire.HeaderLastEvent) {
 			draw = draw*1099511628211 + uint64(c)
 		}
 		random := rand.New(rand.NewPCG(draw, 2))
@@ -366,8 +366,8 @@
 	})
 }
 
-// limitServer sets a rate limit of 0 to 2 at a server for a random time, and 0.5 at another
-// random time.
+// limitServer sets a rate limit of 0 to 2 at a server. After a random time it sets 0.5, and
+// after another, possibly shorter, random time it removes the limit.
 func (s *soak) limitServer(place string) {
 	server := s.serverAt(place)
 	s.mu.Lock()
@@ -537,11 +537,11 @@
 	}
 	for id, server := range s.servers {
 		require.False(s.t, server.Overrun(), "%s crashed because it received too many requests while it was cold", id)
-		for _, seen := range server.Seen() {
-			if seen.Behaviour.Ran() {
-				runs[seen.ID]++
+		for _, received := range server.Seen() {
+			if received.Behaviour.Ran() {
+				runs[received.ID]++
 			}
-			require.Equal(s.t, "visrad", seen.Organisation)
+			require.Equal(s.t, "visrad", received.Organisation)
 		}
 	}
 	served := 0
