--- a/test/routes/limit_test.go
+++ b/test/routes/limit_test.go
@@ -17,32 +17,36 @@
 )
 
 const (
-	// limitWindow is the time over which requests at a server that names a limit count,
-	// and limitSlack how many more than one and a half times the limit may come in it.
+	// limitWindow is the time over which requests at a server with a rate limit are
+	// counted. At most 1.5 times the limit, plus limitSlack, may arrive in it.
 	limitWindow = 4 * time.Second
 	limitSlack  = 5
-	// limitTold is the time from a server's first answer that names a limit until all
+	// limitPropagation is the time from the first answer with a rate limit until all
 	// daemons must keep it.
-	limitTold = time.Second
+	limitPropagation = time.Second
 )
 
-// mostAllowed is the most requests that a server may get in limitWindow.
-func mostAllowed(perSecond float64) int {
+// maxRequests returns how many requests may arrive in limitWindow at a server with a rate
+// limit.
+func maxRequests(perSecond float64) int {
 	return int(1.5*perSecond*limitWindow.Seconds()) + limitSlack
 }
 
-// load is callers that send through all daemons until they are stopped.
+// load sends requests through all daemons until it is stopped, and keeps the replies.
 type load struct {
 	mu      sync.Mutex
-	replies []sent
+	replies []exchange
 	stop    func()
 }
 
-// steady sends about 20 plain requests a second through each daemon.
-func (s *site) steady(daemons []*daemon) *load { return s.steadily(daemons, pathSafe, pathOnce) }
+// startLoad sends about 20 safe and unsafe plain requests a second through each daemon.
+func (s *testbed) startLoad(daemons []*daemon) *load {
+	return s.startLoadOf(daemons, pathSafe, pathUnsafe)
+}
 
-// steadily sends about 20 requests a second, to some paths by turns, through each daemon.
-func (s *site) steadily(daemons []*daemon, paths ...string) *load {
+// startLoadOf sends about 20 requests a second, distributed over the given paths, through each
+// daemon.
+func (s *testbed) startLoadOf(daemons []*daemon, paths ...string) *load {
 	l := &load{}
 	pace := time.NewTicker(50 * time.Millisecond)
 	s.t.Cleanup(pace.Stop)
@@ -67,17 +71,17 @@
 		}
 	}()
 	const perDaemon = 4
-	stop := repeatedly(perDaemon*len(daemons), func(worker int) {
+	stop := runWorkers(perDaemon*len(daemons), func(worker int) {
 		at := worker % len(daemons)
 		select {
 		case <-ended:
 			return
 		case <-ticks[at]:
 		}
-		c := s.call(paths[worker/len(daemons)%len(paths)])
+		c := s.newCall(paths[worker/len(daemons)%len(paths)])
 		reply := s.send(c, daemons[at])
 		l.mu.Lock()
-		l.replies = append(l.replies, sent{c, reply})
+		l.replies = append(l.replies, exchange{c, reply})
 		l.mu.Unlock()
 	})
 	l.stop = sync.OnceFunc(func() {
@@ -88,14 +92,14 @@
 	return l
 }
 
-// all ends the load and returns what callers got.
-func (l *load) all() []sent {
+// finish stops the load and returns its calls and replies.
+func (l *load) finish() []exchange {
 	l.stop()
 	return l.replies
 }
 
-// lasts lets a load go on until a time.
-func (s *site) lasts(until time.Time) {
+// waitUntil waits until the given time.
+func (s *testbed) waitUntil(until time.Time) {
 	s.eventually(func() error {
 		if left := time.Until(until); left > 0 {
 			return trace.Errorf("%v left", left)
@@ -104,8 +108,8 @@
 	})
 }
 
-// allServed requires that callers were served, each by one server.
-func (s *site) allServed(replies []sent) {
+// requireAllServed requires that all replies are 200.
+func (s *testbed) requireAllServed(replies []exchange) {
 	s.t.Helper()
 	for _, r := range replies {
 		require.NoError(s.t, r.reply.Err)
@@ -113,78 +117,77 @@
 	}
 }
 
-// limitDaemons starts a fleet.
-func (s *site) limitDaemons(n int) []*daemon {
+// startDaemons starts n daemons and waits until each is ready.
+func (s *testbed) startDaemons(n int) []*daemon {
 	var out []*daemon
 	for range n {
-		out = append(out, s.serving())
+		out = append(out, s.startReadyDaemon())
 	}
 	return out
 }
 
-// Guards against a server that gets more than the limit that it names in its answers,
-// summed over a fleet in which each daemon by itself keeps it.
-func TestServerThatNamesALimitGetsNoMore(t *testing.T) {
+// Guards against a server that receives more requests than the rate limit in its answers
+// allows because each daemon applies the limit to its own requests only.
+func TestServerRateLimitIsKept(t *testing.T) {
 	for _, perSecond := range []string{"6", "1.2", "1", "0.1", "0"} {
 		t.Run(perSecond, func(t *testing.T) {
 			t.Parallel()
-			s := newSite(t)
-			limited := s.threeServers("", nil)
-			daemons := s.limitDaemons(5)
-			l := s.steady(daemons)
-			s.reached(limited, daemons[0])
+			s := newTestbed(t)
+			limited := s.startThreeServers("", nil)
+			daemons := s.startDaemons(5)
+			l := s.startLoad(daemons)
+			s.sendUntilReached(limited, daemons[0])
 			limited.Limit(perSecond)
-			from := time.Now().Add(limitTold)
-			s.lasts(from.Add(limitWindow + 2*time.Second))
+			from := time.Now().Add(limitPropagation)
+			s.waitUntil(from.Add(limitWindow + 2*time.Second))
 			rate, err := strconv.ParseFloat(perSecond, 64)
 			require.NoError(t, err)
-			require.LessOrEqual(t, limited.MostIn(limitWindow, from), mostAllowed(rate))
-			s.allServed(l.all())
+			require.LessOrEqual(t, limited.MostIn(limitWindow, from), maxRequests(rate))
+			s.requireAllServed(l.finish())
 		})
 	}
 }
 
-// Guards against a server that is left at its limit after its answers have ceased to name
-// one.
-func TestServerThatNamesNoLimitAnyMoreIsInFullUse(t *testing.T) {
+// Guards against a server that stays limited after its answers no longer have a rate limit.
+func TestLiftedRateLimit(t *testing.T) {
 	for _, perSecond := range []string{"2", "0"} {
 		t.Run(perSecond, func(t *testing.T) {
 			t.Parallel()
-			s := newSite(t)
-			limited := s.threeServers("", nil)
-			daemons := s.limitDaemons(5)
-			l := s.steady(daemons)
+			s := newTestbed(t)
+			limited := s.startThreeServers("", nil)
+			daemons := s.startDaemons(5)
+			l := s.startLoad(daemons)
 			limited.Limit(perSecond)
-			from := time.Now().Add(limitTold)
-			s.lasts(from.Add(2 * time.Second))
+			from := time.Now().Add(limitPropagation)
+			s.waitUntil(from.Add(2 * time.Second))
 			limited.Limit("")
 			const noticed = 2 * time.Second
 			free := time.Now().Add(noticed)
-			s.lasts(free.Add(2 * time.Second))
-			s.allServed(l.all())
+			s.waitUntil(free.Add(2 * time.Second))
+			s.requireAllServed(l.finish())
 			others := (len(s.servers["cat-2"].SeenSince(free)) + len(s.servers["cat-3"].SeenSince(free))) / 2
-			require.Greater(t, len(limited.SeenSince(free)), others/2, "requests at the server that is free again, others had %d", others)
+			require.Greater(t, len(limited.SeenSince(free)), others/2, "requests at the server without a limit; the others had %d on average", others)
 		})
 	}
 }
 
-// Guards against callers that are held or told something wrong where all servers of a
-// service name limits, and against limits that are not used.
-func TestAllServersNameLimits(t *testing.T) {
-	s := newSite(t)
-	s.threeServers("", nil)
-	daemons := s.limitDaemons(3)
-	l := s.steady(daemons)
+// Guards against callers that wait, or get a wrong status or Retry-After, when all servers of
+// a service have rate limits, and against limits of which the daemons use less than 80%.
+func TestAllServersRateLimited(t *testing.T) {
+	s := newTestbed(t)
+	s.startThreeServers("", nil)
+	daemons := s.startDaemons(3)
+	l := s.startLoad(daemons)
 	for _, server := range s.servers {
 		server.Limit("2")
 	}
-	from := time.Now().Add(limitTold)
+	from := time.Now().Add(limitPropagation)
 	const counted = 10 * time.Second
-	s.lasts(from.Add(counted))
-	replies := l.all()
+	s.waitUntil(from.Add(counted))
+	replies := l.finish()
 	arrived := 0
 	for id, server := range s.servers {
-		require.LessOrEqual(t, server.MostIn(limitWindow, from), mostAllowed(2), id)
+		require.LessOrEqual(t, server.MostIn(limitWindow, from), maxRequests(2), id)
 		arrived += len(server.SeenSince(from))
 	}
 	named := 2 * counted.Seconds() * float64(len(s.servers))
@@ -197,7 +200,7 @@
 		}
 		refused++
 		require.Equal(t, http.StatusServiceUnavailable, r.reply.Status, r.reply.Body)
-		require.Empty(t, s.runs(r.call.ID))
+		require.Empty(t, s.serversThatRan(r.call.ID))
 		after, err := strconv.ParseFloat(r.reply.RetryAfter, 64)
 		require.NoError(t, err)
 		require.Positive(t, after)
@@ -206,182 +209,183 @@
 	require.Positive(t, refused)
 }
 
-// Guards against limits whose values cannot be meant: they bound nothing, and take nothing
-// back that was named before.
-func TestLimitsThatCannotBeMeant(t *testing.T) {
+// Guards against invalid rate limits that limit a server. Daemons ignore them; they do not
+// lift an earlier limit either.
+func TestInvalidRateLimitsAreIgnored(t *testing.T) {
 	for _, text := range []string{"soon", "-3", "NaN", "1e300", "Inf"} {
 		t.Run(text, func(t *testing.T) {
-			s := newSite(t)
-			server := s.threeServers("", nil)
-			daemons := s.limitDaemons(1)
+			s := newTestbed(t)
+			server := s.startThreeServers("", nil)
+			daemons := s.startDaemons(1)
 			server.Limit(text)
-			l := s.steady(daemons)
+			l := s.startLoad(daemons)
 			const requests = 30
 			s.eventually(func() error {
 				if n := len(server.Seen()); n < requests {
-					return trace.Errorf("the server has had %d requests", n)
+					return trace.Errorf("the server has received %d requests", n)
 				}
 				return nil
 			})
-			s.allServed(l.all())
+			s.requireAllServed(l.finish())
 		})
 	}
 }
 
-// Guards against a limit that is lost when the daemons that heard it are replaced, while
-// the store is away.
-func TestLimitOutlivesTheDaemonsThatHeardIt(t *testing.T) {
-	s := newSite(t)
-	limited := s.threeServers("", nil)
+// Guards against a rate limit that is lost when the daemons that received it are replaced
+// while the store does not answer.
+func TestRateLimitSurvivesReplacementOfDaemons(t *testing.T) {
+	s := newTestbed(t)
+	limited := s.startThreeServers("", nil)
 	limited.Limit("1")
-	first := s.limitDaemons(3)
-	s.reached(limited, first[0])
+	first := s.startDaemons(3)
+	s.sendUntilReached(limited, first[0])
 	for _, d := range first {
-		s.logged(d, "instance.limited", "instance=cat-1")
+		s.waitForLog(d, "instance.limited", "instance=cat-1")
 	}
-	second := s.limitDaemons(3)
+	second := s.startDaemons(3)
 	for _, d := range second {
-		s.logged(d, "instance.limited", "instance=cat-1")
+		s.waitForLog(d, "instance.limited", "instance=cat-1")
 	}
 	s.store.SetFault(platformtest.FaultSilent)
 	for _, d := range first {
 		d.Kill()
 	}
-	l := s.steady(second)
+	l := s.startLoad(second)
 	from := time.Now()
-	s.lasts(from.Add(limitWindow + time.Second))
-	require.LessOrEqual(t, limited.MostIn(limitWindow, from), mostAllowed(1))
-	s.allServed(l.all())
+	s.waitUntil(from.Add(limitWindow + time.Second))
+	require.LessOrEqual(t, limited.MostIn(limitWindow, from), maxRequests(1))
+	s.requireAllServed(l.finish())
 }
 
-// Guards against a server that starts again under its ID and is kept at the limit of its
-// earlier life.
-func TestServerThatStartsAgainHasNoLimit(t *testing.T) {
-	s := newSite(t)
-	limited := s.threeServers("", nil)
+// Guards against a server that has restarted under its ID and is still limited by a value from
+// before the restart.
+func TestRestartedServerHasNoRateLimit(t *testing.T) {
+	s := newTestbed(t)
+	limited := s.startThreeServers("", nil)
 	limited.Limit("0.1")
-	d := s.serving()
-	s.reached(limited, d)
-	s.logged(d, "instance.limited", "instance=cat-1")
+	d := s.startReadyDaemon()
+	s.sendUntilReached(limited, d)
+	s.waitForLog(d, "instance.limited", "instance=cat-1")
 	limited.Lose()
-	again := s.newServer(platformtest.ServerOptions{ID: "cat-1", Service: plain, Born: 2})
+	again := s.newServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService, Born: 2})
 	const requests = 20
 	s.eventually(func() error {
-		s.send(s.call(pathSafe), d)
+		s.send(s.newCall(pathSafe), d)
 		if n := len(again.Seen()); n < requests {
-			return trace.Errorf("the new life has had %d requests", n)
+			return trace.Errorf("the restarted server has received %d requests", n)
 		}
 		return nil
 	})
 }
 
-// Guards against streams that go beyond a server's limit as larger models are asked, cut
-// streams go on elsewhere, and prompts return to the server that has read them.
-func TestStreamsKeepLimits(t *testing.T) {
-	s := newSite(t)
-	cutSome := func(seen platformtest.Seen) platformtest.Behaviour {
-		if len(seen.ID)%2 == 0 && seen.Header.Get(wire.HeaderLastEvent) == "" {
+// Guards against streams that exceed the rate limit of a server by escalation to the large
+// model, by resumption after a cut, or by preference for the server that has the prompt in its
+// cache.
+func TestStreamsKeepRateLimit(t *testing.T) {
+	s := newTestbed(t)
+	cutSome := func(received platformtest.Seen) platformtest.Behaviour {
+		if len(received.ID)%2 == 0 && received.Header.Get(wire.HeaderLastEvent) == "" {
 			return platformtest.CutInside
 		}
 		return platformtest.Answer
 	}
 	for n := range 3 {
-		s.server(platformtest.ServerOptions{
-			ID: fmt.Sprint("eng-", n), Service: engines, Slots: 64, Events: 4, Work: 5 * time.Millisecond,
+		s.startServer(platformtest.ServerOptions{
+			ID: fmt.Sprint("eng-", n), Service: engineService, Slots: 64, Events: 4, Work: 5 * time.Millisecond,
 			Confidence: map[string]int{"small": 20, "large": 90}, Behave: cutSome,
 		})
 	}
 	var daemons []*daemon
 	for range 5 {
-		// Each stream takes a repeat for the larger model, and some one more to go on.
-		d := s.start(func(r *settings.Routes) { r.RetryRatio = 3 })
-		s.logged(d, "daemon.offered")
+		// Each stream uses one retry for the large model, and some use one more to resume.
+		d := s.startDaemon(func(r *settings.Routes) { r.RetryRatio = 3 })
+		s.waitForLog(d, "daemon.offered")
 		daemons = append(daemons, d)
 	}
-	l := s.steadily(daemons, pathTurns)
+	l := s.startLoadOf(daemons, pathStream)
 	limited := s.servers["eng-1"]
 	s.eventually(func() error {
 		if len(limited.Seen()) == 0 {
-			return trace.Errorf("nothing has come")
+			return trace.Errorf("the server has received no request")
 		}
 		return nil
 	})
 	limited.Limit("1")
-	from := time.Now().Add(limitTold)
-	s.lasts(from.Add(limitWindow + time.Second))
+	from := time.Now().Add(limitPropagation)
+	s.waitUntil(from.Add(limitWindow + time.Second))
 	limited.Limit("")
-	s.lasts(time.Now().Add(2 * time.Second))
+	s.waitUntil(time.Now().Add(2 * time.Second))
 	for _, d := range daemons {
-		require.NotEmpty(t, d.line("instance.limit_lifted", "instance=eng-1"), "%s holds the server for limited", d.Name)
+		require.NotEmpty(t, d.logLine("instance.limit_lifted", "instance=eng-1"), "%s still applies the limit of the server", d.Name)
 	}
-	replies := l.all()
+	replies := l.finish()
 	within := 0
-	for _, seen := range limited.SeenSince(from) {
-		if seen.At.Before(from.Add(limitWindow)) {
+	for _, received := range limited.SeenSince(from) {
+		if received.At.Before(from.Add(limitWindow)) {
 			within++
 		}
 	}
-	require.LessOrEqual(t, within, mostAllowed(1))
+	require.LessOrEqual(t, within, maxRequests(1))
 	for _, r := range replies {
 		require.NoError(t, r.reply.Err)
 		require.Equal(t, http.StatusOK, r.reply.Status, r.reply.Body)
-		require.Equal(t, events(r.call.ID, 4), r.reply.Body)
+		require.Equal(t, eventStream(r.call.ID, 4), r.reply.Body)
 	}
 }
 
-// Guards against a limit that daemons do not keep which were frozen when it was named, or
-// which have just started.
-func TestDaemonsThatMissedALimitKeepIt(t *testing.T) {
-	s := newSite(t)
-	limited := s.threeServers("", nil)
-	daemons := s.limitDaemons(4)
+// Guards against daemons that do not keep a rate limit because they were frozen when it was
+// announced, or have just started.
+func TestRateLimitReachesFrozenAndNewDaemons(t *testing.T) {
+	s := newTestbed(t)
+	limited := s.startThreeServers("", nil)
+	daemons := s.startDaemons(4)
 	require.NoError(t, daemons[3].Freeze())
 	limited.Limit("1")
-	s.reached(limited, daemons[0])
+	s.sendUntilReached(limited, daemons[0])
 	for _, d := range daemons[:3] {
-		s.logged(d, "instance.limited", "instance=cat-1")
+		s.waitForLog(d, "instance.limited", "instance=cat-1")
 	}
 	daemons[3].Wake()
-	daemons = append(daemons, s.serving())
-	l := s.steady(daemons)
-	from := time.Now().Add(limitTold)
-	s.lasts(from.Add(limitWindow + time.Second))
-	require.LessOrEqual(t, limited.MostIn(limitWindow, from), mostAllowed(1))
-	s.allServed(l.all())
+	daemons = append(daemons, s.startReadyDaemon())
+	l := s.startLoad(daemons)
+	from := time.Now().Add(limitPropagation)
+	s.waitUntil(from.Add(limitWindow + time.Second))
+	require.LessOrEqual(t, limited.MostIn(limitWindow, from), maxRequests(1))
+	s.requireAllServed(l.finish())
 }
 
-// Guards against a server that names a limit and is cold, and gets what one of the two
-// allows; the lower one counts.
-func TestColdServerThatNamesALimit(t *testing.T) {
+// Guards against a cold server with a rate limit that receives more than the lower one of its
+// limit and its cold-start rate.
+func TestColdServerWithRateLimit(t *testing.T) {
 	for _, perSecond := range []string{"1", "100"} {
 		t.Run(perSecond, func(t *testing.T) {
 			t.Parallel()
-			s := newSite(t)
-			s.store.Declare(warming(5))
-			s.twoPerHall()
-			daemons := s.limitDaemons(5)
-			cold := s.cold("hall-a-new", "hall-a", limitTold+limitWindow)
+			s := newTestbed(t)
+			s.store.Declare(coldStartManifest(5))
+			s.startTwoPerDomain()
+			daemons := s.startDaemons(5)
+			cold := s.startCold("hall-a-new", "hall-a", limitPropagation+limitWindow)
 			cold.Limit(perSecond)
-			l := s.steady(daemons)
-			from := time.Now().Add(limitTold)
-			s.lasts(from.Add(limitWindow))
+			l := s.startLoad(daemons)
+			from := time.Now().Add(limitPropagation)
+			s.waitUntil(from.Add(limitWindow))
 			rate, err := strconv.ParseFloat(perSecond, 64)
 			require.NoError(t, err)
-			require.LessOrEqual(t, cold.MostIn(limitWindow, from), mostAllowed(rate))
+			require.LessOrEqual(t, cold.MostIn(limitWindow, from), maxRequests(rate))
 			require.False(t, cold.Overrun())
-			s.allServed(l.all())
+			s.requireAllServed(l.finish())
 		})
 	}
 }
 
-// Guards against a server whose limit goes up and down with each answer, and that gets more
-// than the higher one.
-func TestServerWhoseLimitChangesAllTheTime(t *testing.T) {
-	s := newSite(t)
+// Guards against a server whose rate limit alternates between 1 and 1.5 with each answer, and
+// that receives more than maxRequests allows for a limit of 1.
+func TestChangingRateLimit(t *testing.T) {
+	s := newTestbed(t)
 	var limited *platformtest.Server
 	var mu sync.Mutex
 	answers := 0
-	limited = s.threeServers("", func(platformtest.Seen) platformtest.Behaviour {
+	limited = s.startThreeServers("", func(platformtest.Seen) platformtest.Behaviour {
 		mu.Lock()
 		defer mu.Unlock()
 		answers++
@@ -389,11 +393,11 @@
 		return platformtest.Answer
 	})
 	limited.Limit("1")
-	daemons := s.limitDaemons(5)
-	l := s.steady(daemons)
-	s.reached(limited, daemons[0])
-	from := time.Now().Add(limitTold)
-	s.lasts(from.Add(limitWindow + 2*time.Second))
-	require.LessOrEqual(t, limited.MostIn(limitWindow, from), mostAllowed(1))
-	s.allServed(l.all())
+	daemons := s.startDaemons(5)
+	l := s.startLoad(daemons)
+	s.sendUntilReached(limited, daemons[0])
+	from := time.Now().Add(limitPropagation)
+	s.waitUntil(from.Add(limitWindow + 2*time.Second))
+	require.LessOrEqual(t, limited.MostIn(limitWindow, from), maxRequests(1))
+	s.requireAllServed(l.finish())
 }
--- a/test/routes/pool_test.go
+++ b/test/routes/pool_test.go
@@ -12,14 +12,15 @@
 	"github.com/hornbeamsill/hornbeamsill/platform/wire"
 )
 
-// restartTime is how long an ended server takes to be back.
+// restartTime is how long a server that has ended takes to restart.
 const restartTime = 300 * time.Millisecond
 
-// pool is a set of upstream servers that start again as new instances when they end.
+// pool is a set of upstream servers. Each one that ends is replaced by a new instance after
+// restartTime.
 //
 // Lock order: mu is taken before the locks of servers.
 type pool struct {
-	*site
+	*testbed
 	service string
 	events  int
 
@@ -27,15 +28,15 @@
 	next  int
 	live  []*platformtest.Server
 	ended int
-	// ending has the servers that are about to end: callers may know of it before they
-	// are counted.
-	ending map[string]bool
-	wg     sync.WaitGroup
+	// crashing has the servers that have received the poison request and are not yet
+	// counted in ended. A caller may see the crash before it is counted.
+	crashing map[string]bool
+	wg       sync.WaitGroup
 }
 
-// newPool starts size servers.
-func (s *site) newPool(service string, events, size int) *pool {
-	p := &pool{site: s, service: service, events: events, ending: map[string]bool{}}
+// newPool starts a pool of size servers.
+func (s *testbed) newPool(service string, events, size int) *pool {
+	p := &pool{testbed: s, service: service, events: events, crashing: map[string]bool{}}
 	for range size {
 		p.startOne()
 	}
@@ -43,6 +44,7 @@
 	return p
 }
 
+// startOne starts a server, registers it in the store and adds it to the pool.
 func (p *pool) startOne() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -52,11 +54,11 @@
 	server = platformtest.NewServer(platformtest.ServerOptions{
 		ID: id, Service: p.service, Version: "v1", Slots: 8, Work: 20 * time.Millisecond, Events: p.events,
 		Confidence: map[string]int{"small": 90},
-		Behave: func(seen platformtest.Seen) platformtest.Behaviour {
-			if seen.Header.Get("X-Poison") != "" {
+		Behave: func(received platformtest.Seen) platformtest.Behaviour {
+			if received.Header.Get("X-Poison") != "" {
 				p.mu.Lock()
 				defer p.mu.Unlock()
-				p.ending[id] = true
+				p.crashing[id] = true
 				return platformtest.Crash
 			}
 			return platformtest.Answer
@@ -67,11 +69,11 @@
 	p.live = append(p.live, server)
 }
 
-// replace takes an ended server off the list and starts another one.
+// replace counts an ended server, removes it from the store and starts another one.
 func (p *pool) replace(id string, server *platformtest.Server) {
 	p.mu.Lock()
 	p.ended++
-	delete(p.ending, id)
+	delete(p.crashing, id)
 	for i, s := range p.live {
 		if s == server {
 			p.live = append(p.live[:i:i], p.live[i+1:]...)
@@ -84,8 +86,8 @@
 	p.startOne()
 }
 
-// losePower ends n servers at the same moment. They come back like crashed ones.
-func (p *pool) losePower(n int) {
+// killServers ends n servers at the same time, as a power loss does. They are replaced.
+func (p *pool) killServers(n int) {
 	p.mu.Lock()
 	var lost []*platformtest.Server
 	lost = append(lost, p.live[:n]...)
@@ -104,32 +106,33 @@
 	}
 }
 
-// endedServers is how many servers have ended so far.
+// endedServers returns how many servers have ended.
 func (p *pool) endedServers() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.ended
 }
 
-// whole waits until all servers are back.
-func (p *pool) whole(size int) {
+// waitRestored waits until size servers run and none is about to crash.
+func (p *pool) waitRestored(size int) {
 	p.t.Helper()
 	p.eventually(func() error {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		if len(p.live) != size || len(p.ending) > 0 {
+		if len(p.live) != size || len(p.crashing) > 0 {
 			return trace.Errorf("%d of %d servers run", len(p.live), size)
 		}
 		return nil
 	})
 }
 
-// condemned has a request crash servers until it is refused, and returns how many ended.
-func (p *pool) condemned(size int, through *daemon) int {
+// crashUntilRefused sends the poison request through a daemon until it is refused, and returns
+// how many servers have ended.
+func (p *pool) crashUntilRefused(size int, through *daemon) int {
 	p.t.Helper()
 	p.eventually(func() error {
-		reply := p.send(p.poisoned(pathTurns), through)
-		p.whole(size)
+		reply := p.send(p.poisonCall(pathStream), through)
+		p.waitRestored(size)
 		if !strings.Contains(reply.Body, "request_quarantined") {
 			return trace.Errorf("the request is not refused: %d %s", reply.Status, reply.Body)
 		}
--- a/test/routes/restore_test.go
+++ b/test/routes/restore_test.go
@@ -12,285 +12,287 @@
 	"github.com/hornbeamsill/hornbeamsill/platform/wire"
 )
 
-// leftBound is the time from a server's acknowledged word that it leaves after which it gets
-// nothing.
-const leftBound = 2 * time.Second
+// leavePropagation is the time from the acknowledged row of a draining server until no daemon
+// may send requests to it.
+const leavePropagation = 2 * time.Second
 
-// advance has the operator write rows that mean nothing, so that the store's revisions rise.
-func (s *site) advance(revisions int) {
+// raiseRevision raises the revision of the store by writing operator rows without a meaning.
+func (s *testbed) raiseRevision(revisions int) {
 	for range revisions {
 		s.store.Put(wire.TableOperator, "note", "nothing")
 	}
 }
 
-// upToDate waits until daemons know all that the store holds.
-func (s *site) upToDate(daemons []*daemon) {
+// waitUpToDate waits until the daemons have read the newest revision of the store.
+func (s *testbed) waitUpToDate(daemons []*daemon) {
 	s.t.Helper()
 	newest := s.store.Revision()
 	for _, d := range daemons {
 		s.eventually(func() error {
-			if got := s.beliefs(d).List.Revision; got < newest {
-				return trace.Errorf("%s knows %d of %d", d.Name, got, newest)
+			if got := s.status(d).List.Revision; got < newest {
+				return trace.Errorf("%s has read revision %d of %d", d.Name, got, newest)
 			}
 			return nil
 		})
 	}
 }
 
-// newSiteAheadOfCopy returns a site whose store has moved on by many revisions from a copy, as
-// all daemons know, and the first of three servers.
-func newSiteAheadOfCopy(t *testing.T) (s *site, first *platformtest.Server, daemons []*daemon, copied platformtest.Copy) {
-	s = newSite(t)
-	first = s.threeServers("", nil)
-	copied = s.store.Copy()
-	daemons = s.limitDaemons(3)
-	s.advance(32)
-	s.store.Declare(declaration(5))
-	s.upToDate(daemons)
-	return s, first, daemons, copied
+// newTestbedAheadOfBackup returns a testbed with three servers, of which first is one, and a
+// backup of its store. The store has written more than 32 revisions since the backup, and the
+// daemons have read them.
+func newTestbedAheadOfBackup(t *testing.T) (s *testbed, first *platformtest.Server, daemons []*daemon, backup platformtest.Copy) {
+	s = newTestbed(t)
+	first = s.startThreeServers("", nil)
+	backup = s.store.Copy()
+	daemons = s.startDaemons(3)
+	s.raiseRevision(32)
+	s.store.Declare(newManifest(5))
+	s.waitUpToDate(daemons)
+	return s, first, daemons, backup
 }
 
-// awayAndBack takes the store away for some time, brings it back from a copy, and waits until
-// daemons have noticed.
-func (s *site) awayAndBack(from platformtest.Copy, daemons ...*daemon) {
+// restoreAfterOutage resets connections to the store until the given daemons have lost it,
+// then restores a backup and ends the outage.
+func (s *testbed) restoreAfterOutage(from platformtest.Copy, daemons ...*daemon) {
 	s.t.Helper()
 	s.store.SetFault(platformtest.FaultReset)
 	for _, d := range daemons {
-		s.logged(d, "store.lost")
+		s.waitForLog(d, "store.lost")
 	}
 	s.store.RestoreFrom(from)
 	s.store.SetFault(platformtest.FaultNone)
 }
 
-// leaves has a server say that it leaves, and requires that it gets nothing after the bound.
-func (s *site) leaves(server *platformtest.Server, l *load) {
+// requireNoneAfterLeaving registers a server as draining, and requires that it gets no request
+// after leavePropagation while the load is served.
+func (s *testbed) requireNoneAfterLeaving(server *platformtest.Server, l *load) {
 	s.t.Helper()
 	server.Register(s.store, wire.StateDraining)
-	bound := time.Now().Add(leftBound)
-	s.lasts(bound.Add(2 * time.Second))
-	s.allServed(l.all())
-	require.Empty(s.t, server.SeenSince(bound), "requests at a server that has left")
+	bound := time.Now().Add(leavePropagation)
+	s.waitUntil(bound.Add(2 * time.Second))
+	s.requireAllServed(l.finish())
+	require.Empty(s.t, server.SeenSince(bound), "requests at a server that is leaving or gone")
 }
 
-// Guards against a leaving server's word that is never seen because the store, back from an
-// older copy, gives revisions out again.
-func TestServerLeavesAfterTheStoreCameBackOlder(t *testing.T) {
-	s, leaving, daemons, copied := newSiteAheadOfCopy(t)
-	s.awayAndBack(copied, daemons[0])
-	s.store.Declare(declaration(5))
-	l := s.steady(daemons)
-	s.leaves(leaving, l)
+// Guards against a draining server that daemons do not notice: the store was restored from a
+// backup and assigns revisions again that the daemons have already read.
+func TestServerLeavesAfterStoreRestore(t *testing.T) {
+	s, leaving, daemons, backup := newTestbedAheadOfBackup(t)
+	s.restoreAfterOutage(backup, daemons[0])
+	s.store.Declare(newManifest(5))
+	l := s.startLoad(daemons)
+	s.requireNoneAfterLeaving(leaving, l)
 }
 
-// Guards against a second return of the store, shortly after the first, that leaves daemons
-// with revisions of the first.
-func TestServerLeavesAfterTheStoreCameBackTwice(t *testing.T) {
-	s, leaving, daemons, copied := newSiteAheadOfCopy(t)
-	s.awayAndBack(copied, daemons[0])
-	s.advance(16)
-	s.store.Declare(declaration(7))
+// Guards against daemons that keep revisions from before a second restore of the store,
+// shortly after the first one, and so miss that a server is draining.
+func TestServerLeavesAfterTwoStoreRestores(t *testing.T) {
+	s, leaving, daemons, backup := newTestbedAheadOfBackup(t)
+	s.restoreAfterOutage(backup, daemons[0])
+	s.raiseRevision(16)
+	s.store.Declare(newManifest(7))
 	for _, d := range daemons {
-		s.logged(d, "config.in_force", "version=7 ")
+		s.waitForLog(d, "config.in_force", "version=7 ")
 	}
-	s.store.RestoreFrom(copied)
-	s.store.Declare(declaration(7))
-	l := s.steady(daemons)
-	s.leaves(leaving, l)
+	s.store.RestoreFrom(backup)
+	s.store.Declare(newManifest(7))
+	l := s.startLoad(daemons)
+	s.requireNoneAfterLeaving(leaving, l)
 }
 
-// Guards against a daemon that is frozen while the store comes back older, and compares its
-// revisions with those of before when it wakes.
-func TestDaemonThatWasFrozenWhileTheStoreCameBackOlder(t *testing.T) {
-	s, leaving, daemons, copied := newSiteAheadOfCopy(t)
+// Guards against a daemon that is frozen while the store is restored from a backup, and then
+// compares revisions from before the restore with new ones.
+func TestDaemonFrozenDuringStoreRestore(t *testing.T) {
+	s, leaving, daemons, backup := newTestbedAheadOfBackup(t)
 	require.NoError(t, daemons[2].Freeze())
-	s.awayAndBack(copied, daemons[0])
-	s.store.Declare(declaration(5))
+	s.restoreAfterOutage(backup, daemons[0])
+	s.store.Declare(newManifest(5))
 	daemons[2].Wake()
-	l := s.steady(daemons)
-	s.leaves(leaving, l)
+	l := s.startLoad(daemons)
+	s.requireNoneAfterLeaving(leaving, l)
 }
 
-// Guards against a server that has left and gets requests again because the copy still lists
-// it.
-func TestServerThatIsGoneStaysGoneInAnOlderCopy(t *testing.T) {
-	s := newSite(t)
-	gone := s.threeServers("", nil)
-	daemons := s.limitDaemons(3)
-	copied := s.store.Copy()
+// Guards against requests to a removed server that the restored backup still lists.
+func TestRemovedServerStaysRemovedAfterStoreRestore(t *testing.T) {
+	s := newTestbed(t)
+	gone := s.startThreeServers("", nil)
+	daemons := s.startDaemons(3)
+	backup := s.store.Copy()
 	s.store.Remove(wire.TableInstances, "cat-1")
 	for _, d := range daemons {
-		s.gone(d, "cat-1")
+		s.waitUnlisted(d, "cat-1")
 	}
-	s.upToDate(daemons)
-	s.awayAndBack(copied, daemons[0])
-	l := s.steady(daemons)
+	s.waitUpToDate(daemons)
+	s.restoreAfterOutage(backup, daemons[0])
+	l := s.startLoad(daemons)
 	from := time.Now()
-	s.lasts(from.Add(2 * time.Second))
+	s.waitUntil(from.Add(2 * time.Second))
 	s.store.Remove(wire.TableInstances, "cat-1")
-	s.lasts(from.Add(3 * time.Second))
-	s.allServed(l.all())
-	require.Empty(t, gone.SeenSince(from), "requests at a server that has left")
+	s.waitUntil(from.Add(3 * time.Second))
+	s.requireAllServed(l.finish())
+	require.Empty(t, gone.SeenSince(from), "requests at a server that is leaving or gone")
 }
 
-// Guards against servers that are taken for gone because an older copy does not list them
-// yet.
-func TestServersThatAnOlderCopyLacksAreUsed(t *testing.T) {
-	s := newSite(t)
-	daemons := s.limitDaemons(1)
-	copied := s.store.Copy()
-	s.server(platformtest.ServerOptions{ID: "cat-1", Service: plain})
-	s.listed(daemons, "cat-1")
-	// No daemon notices an outage.
-	s.store.RestoreFrom(copied)
-	l := s.steady(daemons)
-	s.lasts(time.Now().Add(time.Second))
+// Guards against running servers that are treated as gone because the restored backup does not
+// list them yet.
+func TestServersMissingFromBackupAreUsed(t *testing.T) {
+	s := newTestbed(t)
+	daemons := s.startDaemons(1)
+	backup := s.store.Copy()
+	s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService})
+	s.waitListed(daemons, "cat-1")
+	// There is no outage that daemons could notice.
+	s.store.RestoreFrom(backup)
+	l := s.startLoad(daemons)
+	s.waitUntil(time.Now().Add(time.Second))
 	s.servers["cat-1"].Register(s.store, wire.StateReady)
-	s.lasts(time.Now().Add(2 * time.Second))
-	s.allServed(l.all())
+	s.waitUntil(time.Now().Add(2 * time.Second))
+	s.requireAllServed(l.finish())
 }
 
-// Guards against configurations that come late, and against daemons that ask the store again
-// and again, while its revisions are lower than those known.
-func TestConfigurationAfterTheStoreCameBackOlder(t *testing.T) {
-	s := newSite(t)
-	s.threeServers("", nil)
-	copied := s.store.Copy()
-	daemons := s.limitDaemons(3)
-	s.advance(60)
-	s.store.Declare(declaration(5))
-	s.upToDate(daemons)
-	s.awayAndBack(copied, daemons[0])
+// Guards against configurations that come into force late, and against daemons that read the
+// store in a tight loop, while the revisions of the restored store are lower than those that
+// the daemons have read.
+func TestConfigurationAfterStoreRestore(t *testing.T) {
+	s := newTestbed(t)
+	s.startThreeServers("", nil)
+	backup := s.store.Copy()
+	daemons := s.startDaemons(3)
+	s.raiseRevision(60)
+	s.store.Declare(newManifest(5))
+	s.waitUpToDate(daemons)
+	s.restoreAfterOutage(backup, daemons[0])
 	before, _ := s.store.Counts()
 	back := time.Now()
-	l := s.steady(daemons)
-	s.lasts(back.Add(2 * time.Second))
-	s.store.Declare(declaration(7))
+	l := s.startLoad(daemons)
+	s.waitUntil(back.Add(2 * time.Second))
+	s.store.Declare(newManifest(7))
 	for _, d := range daemons {
-		s.logged(d, "config.in_force", "version=7 ")
+		s.waitForLog(d, "config.in_force", "version=7 ")
 	}
-	s.lasts(back.Add(4 * time.Second))
+	s.waitUntil(back.Add(4 * time.Second))
 	after, _ := s.store.Counts()
-	require.Less(t, after-before, 60, "reads in 4 s of the return")
-	s.allServed(l.all())
+	require.Less(t, after-before, 60, "reads in the 4 s after the restore")
+	s.requireAllServed(l.finish())
 	for _, d := range daemons {
-		require.Equal(t, int64(7), s.beliefs(d).Config.Version)
+		require.Equal(t, int64(7), s.status(d).Config.Version)
 	}
 }
 
-// Guards against an evacuation that is undone, or brought back, by what an older copy says
-// of it.
-func TestEvacuationsAfterTheStoreCameBackOlder(t *testing.T) {
-	s := newSite(t)
-	s.twoPerHall()
-	daemons := s.limitDaemons(3)
+// Guards against an evacuation that ends, or an ended one that is in force again, because the
+// restored backup has the earlier state.
+func TestEvacuationsAfterStoreRestore(t *testing.T) {
+	s := newTestbed(t)
+	s.startTwoPerDomain()
+	daemons := s.startDaemons(3)
 	s.store.Evacuate("hall-c")
 	for _, d := range daemons {
-		s.evacuatedAt(d, "hall-c")
+		s.waitEvacuated(d, "hall-c")
 	}
-	copied := s.store.Copy()
+	backup := s.store.Copy()
 	s.store.Evacuate("hall-b")
 	s.store.Restore("hall-c")
 	for _, d := range daemons {
-		s.evacuatedAt(d, "hall-b")
-		s.logged(d, "evacuation.lifted", "failure_domain=hall-c")
+		s.waitEvacuated(d, "hall-b")
+		s.waitForLog(d, "evacuation.lifted", "failure_domain=hall-c")
 	}
-	s.upToDate(daemons)
-	s.awayAndBack(copied, daemons[0])
-	before := s.arrivals("hall-b")
-	l := s.steady(daemons)
-	s.lasts(time.Now().Add(1500 * time.Millisecond))
+	s.waitUpToDate(daemons)
+	s.restoreAfterOutage(backup, daemons[0])
+	before := s.requestsIn("hall-b")
+	l := s.startLoad(daemons)
+	s.waitUntil(time.Now().Add(1500 * time.Millisecond))
 	s.store.Evacuate("hall-b")
 	s.store.Restore("hall-c")
-	s.lasts(time.Now().Add(4 * time.Second))
-	s.allServed(l.all())
-	require.Equal(t, before, s.arrivals("hall-b"), "requests in an evacuated failure domain")
+	s.waitUntil(time.Now().Add(4 * time.Second))
+	s.requireAllServed(l.finish())
+	require.Equal(t, before, s.requestsIn("hall-b"), "requests in an evacuated failure domain")
 	for _, d := range daemons {
-		require.Len(t, s.beliefs(d).Evacuations, 1)
-		s.reachesHall(d, "hall-c")
+		require.Len(t, s.status(d).Evacuations, 1)
+		s.sendUntilDomainReached(d, "hall-c")
 	}
 }
 
-// Guards against an evacuation that stands for ever because the store has lost it and the
-// operator does not order it again.
-func TestLostEvacuationEnds(t *testing.T) {
-	s := newSite(t)
-	s.twoPerHall()
-	daemons := s.limitDaemons(2)
-	copied := s.store.Copy()
+// Guards against an evacuation that is in force for ever after the store has lost its row and
+// the operator does not order it again.
+func TestEvacuationMissingFromBackupEnds(t *testing.T) {
+	s := newTestbed(t)
+	s.startTwoPerDomain()
+	daemons := s.startDaemons(2)
+	backup := s.store.Copy()
 	s.store.Evacuate("hall-b")
 	for _, d := range daemons {
-		s.evacuatedAt(d, "hall-b")
+		s.waitEvacuated(d, "hall-b")
 	}
-	s.awayAndBack(copied, daemons[0])
+	s.restoreAfterOutage(backup, daemons[0])
 	for _, d := range daemons {
-		s.logged(d, "evacuation.lifted", "failure_domain=hall-b")
+		s.waitForLog(d, "evacuation.lifted", "failure_domain=hall-b")
 	}
 }
 
-// Guards against a roll-out that begins again, and an operator who is not told any more that
-// it is complete, because its order has another revision in the store that came back.
-func TestRolloutAfterTheStoreCameBackOlder(t *testing.T) {
-	s := newSite(t)
+// Guards against a completed roll-out that starts again, and whose completion the operator no
+// longer sees, because its order has another revision in the restored store.
+func TestRolloutAfterStoreRestore(t *testing.T) {
+	s := newTestbed(t)
 	for n := range 2 {
 		for _, version := range []string{"v1", "v2"} {
-			s.server(platformtest.ServerOptions{ID: fmt.Sprintf("cat-%s-%d", version, n), Service: plain, Version: version})
+			s.startServer(platformtest.ServerOptions{ID: fmt.Sprintf("cat-%s-%d", version, n), Service: plainService, Version: version})
 		}
 	}
-	copied := s.store.Copy()
-	daemons := s.limitDaemons(3)
-	l := s.steady(daemons)
-	s.advance(5)
-	s.store.Order(plain, "v2", 6*time.Second)
+	backup := s.store.Copy()
+	daemons := s.startDaemons(3)
+	l := s.startLoad(daemons)
+	s.raiseRevision(5)
+	s.store.Order(plainService, "v2", 6*time.Second)
 	complete := func() error {
-		if state := s.store.Rollout(plain); state != "completed" {
-			return trace.Errorf("the operator knows %q", state)
+		if state := s.store.Rollout(plainService); state != "completed" {
+			return trace.Errorf("the stored roll-out state is %q", state)
 		}
 		return nil
 	}
 	s.eventually(complete)
-	s.awayAndBack(copied, daemons[0])
+	s.restoreAfterOutage(backup, daemons[0])
 	from := time.Now()
-	s.store.Order(plain, "v2", 6*time.Second)
+	s.store.Order(plainService, "v2", 6*time.Second)
 	s.eventually(complete)
-	s.allServed(l.all())
+	s.requireAllServed(l.finish())
 	for n := range 2 {
 		require.Empty(t, s.servers[fmt.Sprint("cat-v1-", n)].SeenSince(from), "requests at the old version")
 	}
 }
 
-// Guards against daemons that start after the store came back and find no others, since the
-// rows that tell of these are lost.
-func TestDaemonRowsAreWrittenAgain(t *testing.T) {
-	s := newSite(t)
-	s.threeServers("", nil)
-	copied := s.store.Copy()
-	first := s.serving()
-	s.logged(first, "daemon.announced")
-	s.awayAndBack(copied, first)
-	s.logged(first, "store.restored")
+// Guards against daemons that start after the store was restored and find no other daemons,
+// because the backup has no rows of these.
+func TestDaemonRowsAreRewrittenAfterStoreRestore(t *testing.T) {
+	s := newTestbed(t)
+	s.startThreeServers("", nil)
+	backup := s.store.Copy()
+	first := s.startReadyDaemon()
+	s.waitForLog(first, "daemon.announced")
+	s.restoreAfterOutage(backup, first)
+	s.waitForLog(first, "store.restored")
 	s.eventually(func() error {
 		if s.store.Value("hornbeamsill", "daemon/"+first.Name) == nil {
-			return trace.Errorf("the row is lost")
+			return trace.Errorf("the row of the daemon is missing")
 		}
 		return nil
 	})
 }
 
-// Guards against daemons that ask a store which keeps no history as often as it answers.
+// Guards against daemons that read a store that keeps no history in a tight loop.
 func TestStoreWithoutHistory(t *testing.T) {
-	s := newSite(t)
-	s.threeServers("", nil)
-	daemons := s.limitDaemons(3)
+	s := newTestbed(t)
+	s.startThreeServers("", nil)
+	daemons := s.startDaemons(3)
 	s.store.Forget()
 	for _, d := range daemons[:1] {
-		s.logged(d, "store.history_gone")
+		s.waitForLog(d, "store.history_gone")
 	}
 	before, _ := s.store.Counts()
-	s.lasts(time.Now().Add(2 * time.Second))
+	s.waitUntil(time.Now().Add(2 * time.Second))
 	after, _ := s.store.Counts()
 	require.Less(t, after-before, 100, "reads in 2 s")
-	s.store.Declare(declaration(7))
+	s.store.Declare(newManifest(7))
 	for _, d := range daemons {
-		s.logged(d, "config.in_force", "version=7 ")
+		s.waitForLog(d, "config.in_force", "version=7 ")
 	}
 }
