--- a/internal/cli/entry.go
+++ b/internal/cli/entry.go
@@ -64,8 +64,8 @@
 }
 
 func (c *entryShow) run(a *app) error {
-	var b entry.Beliefs
-	if err := c.get(entry.BeliefsPath, &b); err != nil {
+	var b entry.DaemonStatus
+	if err := c.get(entry.StatusPath, &b); err != nil {
 		return err
 	}
 	return a.print(b, func(w io.Writer) { printStatus(w, b) })
@@ -80,7 +80,7 @@
 	return fmt.Sprintf("%g/s", v.Limit)
 }
 
-func printStatus(w io.Writer, b entry.Beliefs) {
+func printStatus(w io.Writer, b entry.DaemonStatus) {
 	printLine(w, "daemon\t%s\tready %v\treads the store %v\tstale %v", b.Instance, b.Ready, b.Reader, b.Stale())
 	printLine(w, "config\tversion %d\t%d ms old\tbody limit %d bytes", b.Config.Version, b.Config.AgeMS, b.Config.Limits.BodyBytes)
 	for _, r := range b.Config.Routes {
--- a/internal/cli/evacuate.go
+++ b/internal/cli/evacuate.go
@@ -110,8 +110,8 @@
 }
 
 func (c *entryEvacuated) run(a *app) error {
-	var b entry.Beliefs
-	if err := c.get(entry.BeliefsPath, &b); err != nil {
+	var b entry.DaemonStatus
+	if err := c.get(entry.StatusPath, &b); err != nil {
 		return err
 	}
 	return a.printEvacuations(b.Evacuations)
--- a/internal/entry/beliefs.go
+++ b/internal/entry/beliefs.go
@@ -15,7 +15,7 @@
 
 // DaemonStatus is the status that a daemon reports to operators: the configuration, instance
 // list, roll-outs, evacuations and peers that it knows.
-type Beliefs struct {
+type DaemonStatus struct {
 	Instance string `json:"instance"`
 	Ready    bool   `json:"ready"`
 	// Reader is set if the daemon reads the store on behalf of its group.
@@ -56,8 +56,8 @@
 }
 
 // Status returns the status of this daemon.
-func (n *Node) Status() Beliefs {
-	b := Beliefs{Instance: n.settings.Instance, Ready: n.Ready(), Reader: n.isReader(), Daemons: n.registry.All(), Evacuations: n.activeEvacuations()}
+func (n *Node) Status() DaemonStatus {
+	b := DaemonStatus{Instance: n.settings.Instance, Ready: n.Ready(), Reader: n.isReader(), Daemons: n.registry.All(), Evacuations: n.activeEvacuations()}
 	b.List.Revision, b.List.AgeMS = n.table.Revision(), n.table.Age().Milliseconds()
 	b.List.Instances = map[string][]inventory.View{}
 	_, b.Rollouts = n.rollouts.Orders()
@@ -78,8 +78,8 @@
 
 // Paths served by the metrics listener.
 const (
-	varsPath    = "/debug/vars"
-	BeliefsPath = "/debug/beliefs"
+	varsPath   = "/debug/vars"
+	StatusPath = "/debug/beliefs"
 )
 
 // debugHandler serves the counters, the daemon's status and the quarantine API.
@@ -88,7 +88,7 @@
 	mux.Handle("GET "+varsPath, expvar.Handler())
 	mux.HandleFunc("GET "+QuarantinePath, n.quarantine.serveList)
 	mux.HandleFunc("POST "+ReleasePath+"{digest}", n.quarantine.serveRelease)
-	mux.HandleFunc("GET "+BeliefsPath, func(w http.ResponseWriter, _ *http.Request) {
+	mux.HandleFunc("GET "+StatusPath, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		if err := json.NewEncoder(w).Encode(n.Status()); err != nil {
 			slog.Debug("status.not_delivered", "error", err)
@@ -103,6 +103,6 @@
 
 // Stale reports whether the instance list or the configuration was last confirmed more than
 // staleAfter ago.
-func (b Beliefs) Stale() bool {
+func (b DaemonStatus) Stale() bool {
 	return b.List.AgeMS > staleAfter.Milliseconds() || b.Config.AgeMS > staleAfter.Milliseconds()
 }
--- a/test/routes/path_test.go
+++ b/test/routes/path_test.go
@@ -59,7 +59,7 @@
 	d := s.startReadyDaemon()
 	out, err := exec.Command(binaries.Path("hornbeamsill"), "--output", "json", "entry", "show", "--metrics", d.metricsAddress).Output()
 	require.NoError(t, err)
-	var b entry.Beliefs
+	var b entry.DaemonStatus
 	require.NoError(t, json.Unmarshal(out, &b))
 	require.True(t, b.Ready)
 	require.EqualValues(t, 3, b.Config.Version)
--- a/test/routes/server_words_test.go
+++ b/test/routes/server_words_test.go
@@ -158,7 +158,7 @@
 }
 
 // status returns the status that a daemon reports to operators.
-func (s *testbed) status(d *daemon) entry.Beliefs {
+func (s *testbed) status(d *daemon) entry.DaemonStatus {
 	s.t.Helper()
 	b, err := s.fetchStatus(d)
 	require.NoError(s.t, err)
@@ -166,8 +166,8 @@
 }
 
 // fetchStatus is like status but returns an error, for a daemon that may have exited.
-func (s *testbed) fetchStatus(d *daemon) (b entry.Beliefs, err error) {
-	resp, err := s.client.Get("http://" + d.metricsAddress + entry.BeliefsPath)
+func (s *testbed) fetchStatus(d *daemon) (b entry.DaemonStatus, err error) {
+	resp, err := s.client.Get("http://" + d.metricsAddress + entry.StatusPath)
 	if err != nil {
 		return b, err
 	}
