--- a/internal/entry/crashes.go
+++ b/internal/entry/crashes.go
@@ -66,7 +66,7 @@
 }
 
 // Broken implements forward.Quarantine. It does not block.
-func (c *crashReporter) Broken(i inventory.Instance, s quarantine.Suspect) <-chan struct{} {
+func (c *crashReporter) ConnectionBroken(i inventory.Instance, s quarantine.Suspect) <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	decided := make(chan struct{})
@@ -86,7 +86,7 @@
 }
 
 // Ended implements forward.Quarantine.
-func (c *crashReporter) Ended(i inventory.Instance) bool {
+func (c *crashReporter) InstanceEnded(i inventory.Instance) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.reportOf(i) != nil
@@ -118,11 +118,11 @@
 // that was leaving is planned and not reported.
 func (c *crashReporter) probe(i inventory.Instance) {
 	at := c.clock.Now()
-	ended := c.pool.Ended(context.Background(), i.Address)
+	ended := c.pool.ProcessEnded(context.Background(), i.Address)
 	if !ended {
 		c.resumeWaiting(c.brokenSuspects(i))
 		c.clock.Sleep(secondProbeDelay)
-		ended = c.pool.Ended(context.Background(), i.Address)
+		ended = c.pool.ProcessEnded(context.Background(), i.Address)
 	}
 	suspects := c.takeBroken(i)
 	if !ended || c.table.IsLeaving(i.Incarnation()) {
--- a/internal/entry/node.go
+++ b/internal/entry/node.go
@@ -138,7 +138,7 @@
 	n.quarantine = newQuarantineManager(n)
 	n.handler = forward.New(forward.Deps{
 		Codec: codec, Catalog: n.servableConfig, AwaitReady: n.awaitReady, ReadyIn: n.readyRetryAfter, Table: n.table, Prompts: n.prefixes, Pool: n.pool, Versions: n.rollouts,
-		Quarantine: n.quarantine, SpreadNews: n.requestHeartbeat, RefusesStreams: n.refusesStreams, Retries: n.retries, FailureDomain: s.FailureDomain, Sharers: n.senderCount, Metrics: n.metrics,
+		Quarantine: n.quarantine, NotifyPeers: n.requestHeartbeat, RefusesStreams: n.refusesStreams, Retries: n.retries, FailureDomain: s.FailureDomain, DaemonCount: n.senderCount, Metrics: n.metrics,
 		BodyBytes: limit.NewByteBudget(s.MemoryMB << 20 / bodyMemoryDivisor),
 	})
 	n.duties = newRolloutDuties(n)
--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -54,14 +54,14 @@
 // soon as a judge has the report.
 func TestFirstCrashDoesNotDelayRetry(t *testing.T) {
 	n := newTestNode(clockwork.NewRealClock(), nil)
-	decided := n.quarantine.Broken(inventory.Instance{ID: "i", Address: "127.0.0.1:1"}, suspect)
+	decided := n.quarantine.ConnectionBroken(inventory.Instance{ID: "i", Address: "127.0.0.1:1"}, suspect)
 	<-n.quarantine.pending
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	n.quarantine.signal()
 	go n.quarantine.reportLoop(ctx)
 	<-decided
-	require.True(t, n.quarantine.Ended(inventory.Instance{ID: "i"}))
+	require.True(t, n.quarantine.InstanceEnded(inventory.Instance{ID: "i"}))
 }
 
 // Two requests were on the same three instances that ended, so neither is quarantined. Then
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -25,7 +25,7 @@
 	*request
 	instance      inventory.Instance
 	exchange      *upconn.Exchange
-	answerHeaders AnswerFacts
+	answerHeaders AnswerHeaders
 	cancel        context.CancelFunc
 	sentAt        time.Time
 	// prefill is the work that the instance has to do before the request's first event, and
@@ -151,7 +151,7 @@
 		return 0
 	}
 	const minimum = 2
-	return max(q.service.MaxConnections/max(q.Sharers(), 1), minimum)
+	return max(q.service.MaxConnections/max(q.DaemonCount(), 1), minimum)
 }
 
 // startAttempt sends the request to an instance and reads the head of the answer. The head
@@ -219,7 +219,7 @@
 func (a *attempt) send(ctx context.Context) error {
 	q := a.request
 	remaining := time.Until(q.deadline)
-	headers := Send{Instance: a.instance.ID, Model: q.modelName(), LastEvent: q.lastEventID, Patience: remaining}
+	headers := AttemptHeaders{Instance: a.instance.ID, Model: q.modelName(), LastEventID: q.lastEventID, Timeout: remaining}
 	if q.organisation != nil {
 		headers.Organisation = q.organisation.Name
 	}
@@ -228,7 +228,7 @@
 	}
 	upstreamRequest := &upconn.Request{
 		Method: q.r.Method, Target: q.r.RequestURI, Host: q.r.Host,
-		Header: q.Codec.Upstream(q.r.Header, headers), Body: q.body,
+		Header: q.Codec.UpstreamHeaders(q.r.Header, headers), Body: q.body,
 		HasBody:     len(q.body) > 0 || (q.r.Method != http.MethodGet && q.r.Method != http.MethodHead),
 		IsWithdrawn: a.isWithdrawn,
 	}
@@ -246,7 +246,7 @@
 	if a.answerHeaders.HasLoad {
 		q.Table.ReportLoad(a.instance, a.answerHeaders.Load)
 	}
-	if a.answerHeaders.Leaving || a.answerHeaders.WrongOne {
+	if a.answerHeaders.Leaving || a.answerHeaders.WrongInstance {
 		// If WrongInstance is set, the address now belongs to another instance.
 		a.noteLeaving()
 	}
@@ -254,9 +254,9 @@
 	if a.answerHeaders.Warming > 0 {
 		q.Table.NoteWarming(a.instance, a.answerHeaders.Warming)
 	}
-	if a.answerHeaders.Rest > 0 {
-		q.Table.BackOff(a.instance, a.answerHeaders.Rest)
-		slog.Info("instance.resting", "instance", a.instance.ID, "rest_ms", a.answerHeaders.Rest.Milliseconds(), "request", a.request.headers.ID)
+	if a.answerHeaders.BackOff > 0 {
+		q.Table.BackOff(a.instance, a.answerHeaders.BackOff)
+		slog.Info("instance.resting", "instance", a.instance.ID, "rest_ms", a.answerHeaders.BackOff.Milliseconds(), "request", a.request.headers.ID)
 	}
 	if a.answerHeaders.NotRun {
 		return &refusedError{instance: a.instance.ID}
@@ -288,7 +288,7 @@
 	if a.Table.NoteLeaving(a.instance.Incarnation()) {
 		slog.Info("instance.leaving", "instance", a.instance.ID, "source", "answer", "request", a.request.headers.ID,
 			"list", a.Table.Revision())
-		a.SpreadNews()
+		a.NotifyPeers()
 	}
 }
 
@@ -297,7 +297,7 @@
 	var limit inventory.Limit
 	var changed bool
 	switch {
-	case a.answerHeaders.WrongOne || a.answerHeaders.LimitUnreadable:
+	case a.answerHeaders.WrongInstance || a.answerHeaders.LimitUnreadable:
 		return
 	case a.answerHeaders.HasLimit:
 		limit, changed = a.Table.NoteLimit(a.instance, a.answerHeaders.Limit)
@@ -306,14 +306,14 @@
 	}
 	if changed {
 		limit.Log("answer")
-		a.SpreadNews()
+		a.NotifyPeers()
 	}
 }
 
 // acceptAnswer reports whether an answer belongs to this request, and if so stores the values
 // of its headers. Only an error answer may come without a request ID.
 func (a *attempt) acceptAnswer(status int, h http.Header) bool {
-	headers := a.Codec.Answer(status, h)
+	headers := a.Codec.ParseAnswer(status, h)
 	if headers.ID != a.request.headers.ID && (headers.ID != "" || status < http.StatusBadRequest) {
 		return false
 	}
@@ -355,7 +355,7 @@
 	}
 	if a.r.Context().Err() == nil {
 		if isConnectionBroken(err) {
-			a.quarantineDecided = a.Quarantine.Broken(a.instance, a.suspect())
+			a.quarantineDecided = a.Quarantine.ConnectionBroken(a.instance, a.suspect())
 		}
 		slog.Info("attempt.failed", "request", a.request.headers.ID, "instance", a.instance.ID, "version", a.instance.Version,
 			"digest", a.digest, "model", a.model, "list", a.Table.Revision(), "after_ms", time.Since(a.sentAt).Milliseconds(), "error", err)
--- a/internal/forward/codec.go
+++ b/internal/forward/codec.go
@@ -12,13 +12,13 @@
 
 // PromptPart is one part of a prompt. Engines cache prompt prefixes, so requests that begin
 // with the same parts can use the same cache entries.
-type Part struct {
+type PromptPart struct {
 	ID     string
 	Tokens int
 }
 
 // RequestHeaders holds the values in the headers of a caller's request.
-type Facts struct {
+type RequestHeaders struct {
 	// ID identifies this attempt of the caller, which may make several.
 	ID string
 	// Key is the API key.
@@ -26,18 +26,18 @@
 	// Session is the ID of the session; empty if there is none.
 	Session string
 	// Timeout is how long the caller waits, if HasTimeout is set.
-	Patience    time.Duration
-	HasPatience bool
+	Timeout    time.Duration
+	HasTimeout bool
 	// Model is the requested model. AnyModel leaves the choice to the route.
 	Model string
 	// LastEventID is the ID of the last event of a stream that the caller has received.
-	LastEvent string
+	LastEventID string
 	// TokensIn is the length of the prompt, TokensOut the maximum number of tokens to generate,
 	// and TokensHint the caller's estimate of the number generated; 0 means unknown.
 	TokensIn, TokensOut, TokensHint int
 	// Prompt holds the parts of the prompt in order. The last one belongs to the request itself;
 	// those before it are shared.
-	Prompt []Part
+	Prompt []PromptPart
 }
 
 // AnyModel is the model name that leaves the choice to the route.
@@ -45,33 +45,33 @@
 
 // AttemptHeaders holds the values that are added to the caller's headers in a request to an
 // instance.
-type Send struct {
+type AttemptHeaders struct {
 	// Instance is the ID of the only instance that may run the request. Its address may have been
 	// reassigned to another instance.
 	Instance     string
 	Organisation string
 	Model        string
-	LastEvent    string
+	LastEventID  string
 	// Timeout is the remaining time.
-	Patience    time.Duration
+	Timeout     time.Duration
 	Priority    int
 	HasPriority bool
 }
 
 // AnswerHeaders holds the values in the headers of an instance's answer.
-type AnswerFacts struct {
+type AnswerHeaders struct {
 	// ID is the ID of the request that was answered; empty if the answer has none.
 	ID string
 	// HasDigest is set if the answer carries the instance's digest.
-	Sealed bool
+	HasDigest bool
 	// NotRun is set if the instance states that the request has not run and will not run.
 	NotRun bool
 	// WrongInstance is set if another instance now has the address.
-	WrongOne bool
+	WrongInstance bool
 	// Leaving is set if the instance states that it is leaving.
 	Leaving bool
 	// BackOff is for how long an instance that refused the request asks for no more requests.
-	Rest time.Duration
+	BackOff time.Duration
 	// Warming is the remaining warm-up time of the instance; 0 if it states none.
 	Warming time.Duration
 	// Limit is the number of requests per second that the instance accepts from all daemons
@@ -88,12 +88,12 @@
 
 // Codec reads and writes headers. It makes no decisions.
 type Codec interface {
-	Facts(h http.Header) (Facts, error)
+	ParseRequest(h http.Header) (RequestHeaders, error)
 	// UpstreamHeaders returns the headers of a request to an instance.
-	Upstream(caller http.Header, s Send) http.Header
-	Answer(status int, h http.Header) AnswerFacts
+	UpstreamHeaders(caller http.Header, s AttemptHeaders) http.Header
+	ParseAnswer(status int, h http.Header) AnswerHeaders
 	// CallerHeaders returns the headers of an instance's answer that the caller gets.
-	Caller(upstream http.Header) http.Header
+	CallerHeaders(upstream http.Header) http.Header
 	// SetErrorHeaders sets the headers of an error answer of this daemon.
-	Refusal(h http.Header, id string, retryAfter time.Duration)
+	SetErrorHeaders(h http.Header, id string, retryAfter time.Duration)
 }
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -87,7 +87,7 @@
 	tracker := shift.NewTracker(clock, time.Second, 1, func(string, func(string) bool) int { return 0 })
 	h := New(Deps{Table: table, Versions: tracker})
 	first := func() string {
-		q := &request{Handler: h, service: &catalog.Service{Name: "engines"}, headers: Facts{Session: "thread"}}
+		q := &request{Handler: h, service: &catalog.Service{Name: "engines"}, headers: RequestHeaders{Session: "thread"}}
 		return q.candidates()[0].ID
 	}
 	require.Equal(t, "old", first(), "not announced")
@@ -117,7 +117,7 @@
 	send := func(session int) {
 		q := &request{
 			Handler: h, route: &catalog.Route{}, service: &catalog.Service{Name: "engines"}, tried: map[string]bool{},
-			headers: Facts{Session: fmt.Sprint(session), TokensIn: 9000, Prompt: []Part{{ID: "subject", Tokens: 8000}, {ID: "own", Tokens: 1000}}},
+			headers: RequestHeaders{Session: fmt.Sprint(session), TokensIn: 9000, Prompt: []PromptPart{{ID: "subject", Tokens: 8000}, {ID: "own", Tokens: 1000}}},
 		}
 		picked, instance, ok := q.chooseInstance()
 		require.True(t, ok)
@@ -139,8 +139,8 @@
 
 func (noQuarantine) Refused(quarantine.Digest) (time.Duration, bool) { return 0, false }
 func (noQuarantine) Finished(quarantine.Digest)                      {}
-func (noQuarantine) Ended(inventory.Instance) bool                   { return false }
-func (noQuarantine) Broken(inventory.Instance, quarantine.Suspect) <-chan struct{} {
+func (noQuarantine) InstanceEnded(inventory.Instance) bool           { return false }
+func (noQuarantine) ConnectionBroken(inventory.Instance, quarantine.Suspect) <-chan struct{} {
 	return nil
 }
 
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -51,16 +51,16 @@
 	// RefusesStreams reports whether this daemon will stop before a new stream has time to end.
 	RefusesStreams func() bool
 	// NotifyPeers is called when an answer contained a change that other daemons need to know.
-	SpreadNews func()
-	Pool       *upconn.Pool
-	Versions   Versions
-	Retries    *limit.FleetRetryBudget
-	Quarantine Quarantine
+	NotifyPeers func()
+	Pool        *upconn.Pool
+	Versions    Versions
+	Retries     *limit.FleetRetryBudget
+	Quarantine  Quarantine
 	// FailureDomain is the failure domain of this daemon.
 	FailureDomain string
 	// DaemonCount returns the number of daemons that share the capacity of the instances.
-	Sharers func() int
-	Metrics *Metrics
+	DaemonCount func() int
+	Metrics     *Metrics
 	// BodyBytes bounds the total size of the request bodies in memory.
 	BodyBytes *limit.ByteBudget
 }
@@ -84,7 +84,7 @@
 	r         *http.Request
 	startedAt time.Time
 
-	headers      Facts
+	headers      RequestHeaders
 	catalog      *catalog.Catalog
 	route        *catalog.Route
 	organisation *catalog.Organisation
@@ -174,7 +174,7 @@
 // may not be served.
 func (q *request) admit() error {
 	var err error
-	q.headers, err = q.Codec.Facts(q.r.Header)
+	q.headers, err = q.Codec.ParseRequest(q.r.Header)
 	if err != nil {
 		return fault.New(fault.BadRequest, "%v", err)
 	}
@@ -210,11 +210,11 @@
 		return fault.New(fault.NoUpstream, "the route has no service")
 	}
 	timeout := route.Timeout
-	if q.headers.HasPatience {
-		timeout = min(timeout, q.headers.Patience)
+	if q.headers.HasTimeout {
+		timeout = min(timeout, q.headers.Timeout)
 	}
 	q.deadline = q.startedAt.Add(timeout)
-	q.lastEventID = q.headers.LastEvent
+	q.lastEventID = q.headers.LastEventID
 	return nil
 }
 
@@ -340,7 +340,7 @@
 	if f.Ran == fault.RanNo {
 		retryAfter = f.RetryAfter
 	}
-	q.Codec.Refusal(header, q.headers.ID, retryAfter)
+	q.Codec.SetErrorHeaders(header, q.headers.ID, retryAfter)
 	q.w.WriteHeader(answer.Status)
 	if err := json.NewEncoder(q.w).Encode(f.ToBody()); err != nil {
 		slog.Debug("request.error_not_sent", "request", q.headers.ID, "error", err)
--- a/internal/forward/plain.go
+++ b/internal/forward/plain.go
@@ -110,7 +110,7 @@
 // the server's digest, and those with a content encoding, whose bytes are not the server's.
 func checkHead(a *attempt) error {
 	success := a.exchange.Status() < http.StatusMultipleChoices
-	if success && (!a.answerHeaders.Sealed || a.exchange.Header().Get("Content-Encoding") != "") {
+	if success && (!a.answerHeaders.HasDigest || a.exchange.Header().Get("Content-Encoding") != "") {
 		return errUnverifiable
 	}
 	return nil
@@ -133,7 +133,7 @@
 // sendHead sends the head of an answer to the caller.
 func (q *request) sendHead(status int, from http.Header) {
 	header := q.w.Header()
-	for name, values := range q.Codec.Caller(from) {
+	for name, values := range q.Codec.CallerHeaders(from) {
 		header[name] = values
 	}
 	q.status = status
--- a/internal/forward/prompt.go
+++ b/internal/forward/prompt.go
@@ -47,7 +47,7 @@
 
 // sharedParts returns the parts of the prompt that other requests may share: all but the last
 // one, which belongs to the request or its session. A single part counts as shared.
-func (q *request) sharedParts() []Part {
+func (q *request) sharedParts() []PromptPart {
 	switch n := len(q.headers.Prompt); n {
 	case 0, 1:
 		return q.headers.Prompt
--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -23,9 +23,9 @@
 	// The channel is closed once the request may be tried again, if that is known soon: when the
 	// instance turns out not to have ended, when no other instance has ended under the request,
 	// or when the quarantine decision is known.
-	Broken(i inventory.Instance, s quarantine.Suspect) (decided <-chan struct{})
+	ConnectionBroken(i inventory.Instance, s quarantine.Suspect) (decided <-chan struct{})
 	// InstanceEnded reports whether an instance ended while it ran a request of this daemon.
-	Ended(i inventory.Instance) bool
+	InstanceEnded(i inventory.Instance) bool
 }
 
 // quarantineDecisionTimeout bounds how long the next attempt of a request that was on two or
@@ -49,7 +49,7 @@
 	case <-ctx.Done():
 	}
 	q.quarantineDecided = nil
-	q.instanceEnded = q.instanceEnded || q.Quarantine.Ended(q.lastInstance)
+	q.instanceEnded = q.instanceEnded || q.Quarantine.InstanceEnded(q.lastInstance)
 }
 
 // checkQuarantine returns an error if the request is quarantined.
--- a/internal/upconn/pool.go
+++ b/internal/upconn/pool.go
@@ -95,7 +95,7 @@
 // connection to it is alive, and a new one is refused. A server that only resets some
 // connections, or does not answer, has not ended. If the check opens a connection, that is
 // kept for the next request.
-func (p *Pool) Ended(ctx context.Context, address string) bool {
+func (p *Pool) ProcessEnded(ctx context.Context, address string) bool {
 	const unlimited = 0
 	c, err := p.get(ctx, address, unlimited)
 	if err == nil {
