--- a/internal/caller/caller_test.go
+++ b/internal/caller/caller_test.go
@@ -83,8 +83,8 @@
 		"bad token":              {good, map[string]string{caller.HeaderSession: "e30.e30.x"}, fault.BadSession, 400, caller.HeaderSession},
 		"deadline past":          {good, map[string]string{caller.HeaderDeadline: "0"}, fault.DeadlinePast, 400, caller.HeaderDeadline},
 		"deadline not a number":  {good, map[string]string{caller.HeaderDeadline: "soon"}, fault.BadRequest, 400, caller.HeaderDeadline},
-		"key needed":             {good, map[string]string{caller.HeaderKind: "clearance"}, fault.KeyRequired, 400, caller.HeaderKey},
-		"long key":               {good, map[string]string{caller.HeaderKey: strings.Repeat("k", 300)}, fault.BadRequest, 400, caller.HeaderKey},
+		"key needed":             {good, map[string]string{caller.HeaderKind: "clearance"}, fault.KeyRequired, 400, caller.HeaderIdempotencyKey},
+		"long key":               {good, map[string]string{caller.HeaderIdempotencyKey: strings.Repeat("k", 300)}, fault.BadRequest, 400, caller.HeaderIdempotencyKey},
 		"rolling out, no credit": {withModel("small@2"), nil, fault.NoCapacity, 503, "small@2"},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/caller/chat.go
+++ b/internal/caller/chat.go
@@ -286,14 +286,14 @@
 // parseIdempotencyKey returns the idempotency key of the request, or nil if there is
 // none. It returns an error if a key is required but missing.
 func parseIdempotencyKey(c *gin.Context, organisation string, required bool) (*claim.Key, error) {
-	value := c.GetHeader(HeaderKey)
+	value := c.GetHeader(HeaderIdempotencyKey)
 	switch {
 	case value == "" && required:
-		return nil, fault.New(fault.KeyRequired, "%s: this kind of request needs a key", HeaderKey)
+		return nil, fault.New(fault.KeyRequired, "%s: this kind of request needs a key", HeaderIdempotencyKey)
 	case value == "":
 		return nil, nil
 	case len(value) > maxKeyLen:
-		return nil, fault.New(fault.BadRequest, "%s: longer than %d characters", HeaderKey, maxKeyLen)
+		return nil, fault.New(fault.BadRequest, "%s: longer than %d characters", HeaderIdempotencyKey, maxKeyLen)
 	}
 	return &claim.Key{Organisation: organisation, Value: value}, nil
 }
@@ -326,7 +326,7 @@
 	req.ID = id
 	req.OnNotRun = func() { s.releaseKey(in.key, id) }
 	out := s.Store.Create(id, req.Organisation)
-	ctx := withTraceFrom(s.Base, c.Request.Context())
+	ctx := withTraceFrom(s.BaseContext, c.Request.Context())
 	go func() {
 		defer release()
 		ran := s.Dispatcher.Run(ctx, req, out)
@@ -341,14 +341,14 @@
 // daemon accepts new requests. Without a key, only the latter is checked.
 func (s *Server) claimKey(c *gin.Context, key *claim.Key, digest, id string) (Reader, string, error) {
 	if key == nil {
-		return nil, "", s.Directory.Refusing()
+		return nil, "", s.Directory.CheckAccepting()
 	}
 	decision, err := s.Claims.Resolve(c.Request.Context(), *key, digest, id)
 	if err != nil {
 		return nil, "", err
 	}
 	if decision.Run {
-		if err := s.Directory.Refusing(); err != nil {
+		if err := s.Directory.CheckAccepting(); err != nil {
 			s.releaseKey(key, id)
 			return nil, "", err
 		}
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -27,14 +27,14 @@
 
 // Request and response headers of the API.
 const (
-	HeaderKind     = "Hornbeamsill-Kind"
-	HeaderSession  = "Hornbeamsill-Session"
-	HeaderDeadline = "Hornbeamsill-Deadline-Ms"
-	HeaderRequest  = "Hornbeamsill-Request"
-	HeaderModel    = "Hornbeamsill-Model"
-	HeaderVersion  = "Hornbeamsill-Version"
-	HeaderResume   = "Hornbeamsill-Resume"
-	HeaderKey      = "Idempotency-Key"
+	HeaderKind           = "Hornbeamsill-Kind"
+	HeaderSession        = "Hornbeamsill-Session"
+	HeaderDeadline       = "Hornbeamsill-Deadline-Ms"
+	HeaderRequest        = "Hornbeamsill-Request"
+	HeaderModel          = "Hornbeamsill-Model"
+	HeaderVersion        = "Hornbeamsill-Version"
+	HeaderResume         = "Hornbeamsill-Resume"
+	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
 var tracer = otel.Tracer("github.com/hornbeamsill/hornbeamsill/internal/caller")
@@ -58,7 +58,7 @@
 	// Ready returns an error if this daemon cannot serve callers.
 	Ready() error
 	// CheckAccepting returns an error if this daemon accepts no new requests.
-	Refusing() error
+	CheckAccepting() error
 }
 
 // Answers finds answers that are stored at this or at another daemon.
@@ -95,7 +95,7 @@
 	Options    Options
 	// BaseContext is the context in which requests run. It outlives the connections
 	// of callers.
-	Base context.Context
+	BaseContext context.Context
 }
 
 // Server serves the API.
--- a/internal/caller/service.go
+++ b/internal/caller/service.go
@@ -77,7 +77,7 @@
 		OnNotRun:     func() { s.releaseKey(key, id) },
 	}
 	out := s.Store.Create(id, organisation)
-	ctx := withTraceFrom(s.Base, c.Request.Context())
+	ctx := withTraceFrom(s.BaseContext, c.Request.Context())
 	go func() {
 		defer release()
 		ran := s.Dispatcher.RunService(ctx, req, out)
--- a/internal/cli/commands.go
+++ b/internal/cli/commands.go
@@ -79,7 +79,7 @@
 }
 
 func (a *app) changeRollout(path string, req operator.RolloutRequest, what string) error {
-	var out operator.RolloutAnswer
+	var out operator.RolloutReply
 	if err := a.call(http.MethodPost, path, req, &out); err != nil {
 		return err
 	}
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -80,7 +80,7 @@
 	if c.ChangeID == "" {
 		c.ChangeID = rand.Text()
 	}
-	var applied operator.Applied
+	var applied operator.ApplyReply
 	err = a.call(http.MethodPost, "/v1/config/apply", config.ApplyRequest{
 		Site: c.Overlay, FromRevision: c.From, ChangeID: c.ChangeID, Text: string(text), Author: author(),
 	}, &applied)
@@ -100,7 +100,7 @@
 }
 
 // documents returns the documents in force for a site; an empty site means the daemon's site.
-func (a *app) documents(site string) (shown operator.Shown, err error) {
+func (a *app) documents(site string) (shown operator.ConfigView, err error) {
 	path := "/v1/config"
 	if site != "" {
 		path += "?site=" + url.QueryEscape(site)
--- a/internal/cli/evacuate.go
+++ b/internal/cli/evacuate.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		return err
 	}
-	var applied operator.Applied
+	var applied operator.ApplyReply
 	err = a.call(http.MethodPost, "/v1/config/apply", config.ApplyRequest{
 		Site: shown.Site, FromRevision: shown.Overlay.Revision, ChangeID: rand.Text(), Text: string(text), Author: author(),
 	}, &applied)
--- a/internal/daemon/fresh.go
+++ b/internal/daemon/fresh.go
@@ -95,8 +95,8 @@
 	confirming chan struct{}
 }
 
-// Ensure implements dispatch.Fresh.
-func (f *freshness) Ensure(ctx context.Context) (*config.Snapshot, bool, error) {
+// Ensure implements dispatch.ConfigSource.
+func (f *freshness) UsableSnapshot(ctx context.Context) (*config.Snapshot, bool, error) {
 	if f.follower.SinceConfirmed() > f.maxAge {
 		f.confirm(ctx)
 	}
--- a/internal/daemon/fresh_test.go
+++ b/internal/daemon/fresh_test.go
@@ -53,7 +53,7 @@
 	s.refresh = s.follower.Refresh
 	_, err := s.store.Apply(context.Background(), config.ApplyRequest{FromRevision: 1, ChangeID: "2", Text: `{}`})
 	require.NoError(t, err)
-	snapshot, provenOnly, err := s.Ensure(context.Background())
+	snapshot, provenOnly, err := s.UsableSnapshot(context.Background())
 	require.NoError(t, err)
 	require.False(t, provenOnly)
 	require.Equal(t, int64(2), snapshot.Generation)
@@ -65,7 +65,7 @@
 func TestFreshnessWithoutStore(t *testing.T) {
 	s := newStaleDaemon(t)
 	ensure := func() (bool, error) {
-		_, provenOnly, err := s.Ensure(context.Background())
+		_, provenOnly, err := s.UsableSnapshot(context.Background())
 		return provenOnly, err
 	}
 	s.reachability.recordReply("b", s.clock.Now())
--- a/internal/daemon/loops.go
+++ b/internal/daemon/loops.go
@@ -69,7 +69,7 @@
 		func() { n.runEvery(ctx, n.sharedRateInterval(headListsPerSecond, sealIntervalMS), n.sealUnsealedLogs) },
 		func() { n.runEvery(ctx, fixedInterval(t.TidyMS), n.archiveAndSweep) },
 		func() { n.ledger.Run(ctx) },
-		func() { n.dispatcher.PokeLoop(ctx) },
+		func() { n.dispatcher.GrantLoop(ctx) },
 	}
 	var running sync.WaitGroup
 	for _, loop := range loops {
@@ -244,7 +244,7 @@
 	for _, u := range n.upstreams.All() {
 		group.Go(func() error {
 			requestedAt := n.clock.Now()
-			report, err := n.upstreamClient.Load(ctx, u.Instance.Address)
+			report, err := n.upstreamClient.LoadReport(ctx, u.Instance.Address)
 			switch {
 			case err == nil:
 				n.upstreams.SetReport(u.Instance.ID, report, requestedAt)
--- a/internal/daemon/module.go
+++ b/internal/daemon/module.go
@@ -67,10 +67,10 @@
 			self: n.incarnation, store: n.answers, registry: n.registry,
 			peerClient: n.peerClient, upstreamClient: n.upstreamClient, now: n.clock.Now,
 		},
-		Signer:   n.signer,
-		Requests: n.requests,
-		Options:  caller.Options{MaxBody: n.settings.Limits.MaxBodyBytes},
-		Base:     n.base,
+		Signer:      n.signer,
+		Requests:    n.requests,
+		Options:     caller.Options{MaxBody: n.settings.Limits.MaxBodyBytes},
+		BaseContext: n.base,
 	})
 }
 
@@ -83,7 +83,7 @@
 		Keys:            n.keys,
 		Directory:       n,
 		Status:          n.Status,
-		Accepted:        n.OnConfigAccepted,
+		OnAccepted:      n.OnConfigAccepted,
 		Token:           n.settings.OperatorToken,
 		SessionLifetime: settings.MS(n.settings.Timing.SessionMS),
 	})
@@ -250,7 +250,7 @@
 		Generation:   n.follower.Generation(),
 		ConfirmedMS:  n.confirmedMS(),
 		Running:      n.answers.Running(),
-		Waiting:      n.dispatcher.Waiting(),
+		Waiting:      n.dispatcher.QueueLengths(),
 		BillsPending: n.ledger.Pending(),
 		BillsHeld:    n.replicas.Len(),
 		Keys:         n.claims.Len(),
--- a/internal/daemon/node.go
+++ b/internal/daemon/node.go
@@ -218,7 +218,7 @@
 		Site:          n.settings.Site,
 		FailureDomain: n.settings.FailureDomain,
 		Clock:         n.clock,
-		Fresh:         n.freshness,
+		ConfigSource:  n.freshness,
 		Upstreams:     n.upstreams,
 		Engines:       n.upstreamClient,
 		Services:      n.upstreamClient,
@@ -226,7 +226,7 @@
 		Judge:         n.platform,
 		Signer:        n.signer,
 		Ratings:       n.ratings,
-		Exposure:      n.credits,
+		Credits:       n.credits,
 		Policy:        n.upstreamPolicy,
 		Seed:          n.randomSeed(),
 		AbandonGrace:  settings.MS(t.AbandonMS),
@@ -363,7 +363,7 @@
 }
 
 // Refusing implements caller.Directory.
-func (n *Node) Refusing() error {
+func (n *Node) CheckAccepting() error {
 	if n.refusing.Load() {
 		return fault.New(fault.Stopping, "this daemon is stopping; use another one")
 	}
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -28,7 +28,7 @@
 		Generation:      n.follower.Generation(),
 		ConfirmedMS:     n.confirmedMS(),
 		Running:         n.answers.Running(),
-		Waiting:         n.dispatcher.Waiting(),
+		Waiting:         n.dispatcher.QueueLengths(),
 		BillsPending:    n.ledger.Pending(),
 		BillsHeld:       n.replicas.Len(),
 		Daemons:         []operator.DaemonStatus{},
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -196,7 +196,7 @@
 // attempt is sent. After a crash, the usage is then requested from the right
 // upstream.
 func (e *execution) recordAttempt(ctx context.Context, ref config.VersionRef, u member.Upstream, attempt string) error {
-	snapshot, _, err := e.Fresh.Ensure(ctx)
+	snapshot, _, err := e.ConfigSource.UsableSnapshot(ctx)
 	if err != nil {
 		return err
 	}
@@ -224,7 +224,7 @@
 // Without this check, new work would be sent to a version that has been
 // withdrawn in the meantime.
 func (e *execution) checkVersion(ctx context.Context, ref config.VersionRef) error {
-	snapshot, provenOnly, err := e.Fresh.Ensure(ctx)
+	snapshot, provenOnly, err := e.ConfigSource.UsableSnapshot(ctx)
 	if err != nil {
 		return err
 	}
--- a/internal/dispatch/cascade.go
+++ b/internal/dispatch/cascade.go
@@ -84,7 +84,7 @@
 
 // judgePrice returns the price of one judgement.
 func (e *execution) judgePrice(ctx context.Context) int64 {
-	snapshot, _, err := e.Fresh.Ensure(ctx)
+	snapshot, _, err := e.ConfigSource.UsableSnapshot(ctx)
 	if err != nil {
 		return 0
 	}
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -58,11 +58,11 @@
 
 // ConfigSource returns the configuration, provided that it is recent enough to
 // use.
-type Fresh interface {
+type ConfigSource interface {
 	// UsableSnapshot returns the configuration for a request, or an error if it
 	// has not been confirmed recently enough. If provenOnly is true, only proven
 	// versions may be used.
-	Ensure(ctx context.Context) (snapshot *config.Snapshot, provenOnly bool, err error)
+	UsableSnapshot(ctx context.Context) (snapshot *config.Snapshot, provenOnly bool, err error)
 }
 
 // Billing records the bills of requests. *ledger.Ledger implements it.
@@ -91,7 +91,7 @@
 	Site          string
 	FailureDomain string
 	Clock         clockwork.Clock
-	Fresh         Fresh
+	ConfigSource  ConfigSource
 	Upstreams     *member.Upstreams
 	Engines       EngineClient
 	Services      ServiceCaller
@@ -99,7 +99,7 @@
 	Judge         Judge
 	Signer        *session.Signer
 	Ratings       *rating.Counter
-	Exposure      *rollout.DaemonCredits
+	Credits       *rollout.DaemonCredits
 	// Policy returns the current policy for upstreams.
 	Policy func() config.UpstreamPolicy
 	Seed   uint64
@@ -317,7 +317,7 @@
 }
 
 // QueueLengths returns the number of waiting requests by queue name.
-func (d *Dispatcher) Waiting() map[string]int {
+func (d *Dispatcher) QueueLengths() map[string]int {
 	out := map[string]int{}
 	for name, q := range d.allQueues() {
 		out[name] = q.Len()
@@ -336,7 +336,7 @@
 
 // GrantLoop lets waiting requests try again whenever the upstreams change, until
 // ctx is done.
-func (d *Dispatcher) PokeLoop(ctx context.Context) {
+func (d *Dispatcher) GrantLoop(ctx context.Context) {
 	for {
 		changed := d.Upstreams.Changed()
 		d.grantWaiting()
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -33,7 +33,7 @@
 		})
 	}
 	for range 20_000 {
-		d.Waiting()
+		d.QueueLengths()
 		d.grantWaiting()
 	}
 	stop()
--- a/internal/dispatch/plan.go
+++ b/internal/dispatch/plan.go
@@ -25,7 +25,7 @@
 
 // plan chooses the versions that run the request.
 func (e *execution) plan(ctx context.Context) (route.Plan, error) {
-	snapshot, provenOnly, err := e.Fresh.Ensure(ctx)
+	snapshot, provenOnly, err := e.ConfigSource.UsableSnapshot(ctx)
 	if err != nil {
 		return route.Plan{}, err
 	}
@@ -78,7 +78,7 @@
 		return route.Plan{}, fault.New(fault.VersionWithdrawn, "model: %s takes no new sessions", ref)
 	case provenOnly && !snapshot.Proven(ref):
 		return route.Plan{}, fault.New(fault.ConfigStale, "%s cannot be used until the configuration is confirmed", ref)
-	case state == config.RollingOut && !e.Exposure.Take(ref):
+	case state == config.RollingOut && !e.Credits.Take(ref):
 		return route.Plan{}, fault.New(fault.NoCapacity, "model: %s is being rolled out and its exposure is used up", ref)
 	}
 	return singlePlan(ref), nil
@@ -136,7 +136,7 @@
 			if state != config.RollingOut || !snapshot.Allows(e.req.Organisation, next) {
 				continue
 			}
-			if random.Float64() < r.Share && e.isServed(next) && e.Exposure.Take(next) {
+			if random.Float64() < r.Share && e.isServed(next) && e.Credits.Take(next) {
 				out[i] = next
 				break
 			}
--- a/internal/dispatch/service.go
+++ b/internal/dispatch/service.go
@@ -77,7 +77,7 @@
 }
 
 func (e *execution) callService(ctx context.Context, req ServiceRequest) error {
-	if _, _, err := e.Fresh.Ensure(ctx); err != nil {
+	if _, _, err := e.ConfigSource.UsableSnapshot(ctx); err != nil {
 		return err
 	}
 	excluded := map[string]bool{}
--- a/internal/ledger/holdings.go
+++ b/internal/ledger/holdings.go
@@ -19,7 +19,7 @@
 
 // UsageReader reads from an upstream which work it did for a request.
 type UsageReader interface {
-	Usage(ctx context.Context, address, requestID string) (upstream.RequestUsage, error)
+	RequestUsage(ctx context.Context, address, requestID string) (upstream.RequestUsage, error)
 }
 
 // replica is a copy of another daemon's bill.
@@ -209,7 +209,7 @@
 		b.Reason = "daemon lost; outcome unknown"
 		return b, true
 	}
-	usage, err := h.usage.Usage(ctx, b.Upstream, b.RequestID)
+	usage, err := h.usage.RequestUsage(ctx, b.Upstream, b.RequestID)
 	switch {
 	case err != nil && now.Sub(b.Opened) < usageTimeout:
 		return b, false
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -21,7 +21,7 @@
 // usageByRequest is a UsageReader that returns the usage set for each request.
 type usageByRequest map[string]upstream.RequestUsage
 
-func (e usageByRequest) Usage(_ context.Context, _, id string) (upstream.RequestUsage, error) {
+func (e usageByRequest) RequestUsage(_ context.Context, _, id string) (upstream.RequestUsage, error) {
 	return e[id], nil
 }
 
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -35,7 +35,7 @@
 	Status func() Status
 	// OnAccepted is called after a change was accepted. It installs the change at
 	// this daemon and notifies the peers.
-	Accepted func(ctx context.Context)
+	OnAccepted func(ctx context.Context)
 	// Token is the bearer token that operators must send; if it is empty, none is
 	// required.
 	Token string
@@ -120,7 +120,7 @@
 }
 
 // ApplyReply is the response to an accepted configuration change.
-type Applied struct {
+type ApplyReply struct {
 	Change config.Change `json:"change"`
 }
 
@@ -131,13 +131,13 @@
 	}
 	change, err := s.Config.Apply(c, req)
 	if err == nil {
-		s.Accepted(c)
+		s.OnAccepted(c)
 	}
-	writeReply(c, Applied{Change: change}, err)
+	writeReply(c, ApplyReply{Change: change}, err)
 }
 
 // ConfigView is the configuration of a site.
-type Shown struct {
+type ConfigView struct {
 	// Generation is the one in force at the daemon that responds.
 	Generation int64                 `json:"generation"`
 	Head       config.Head           `json:"head"`
@@ -147,7 +147,7 @@
 }
 
 func (s *Server) showConfig(c *gin.Context) {
-	out := Shown{Generation: s.Follower.Generation(), Site: c.DefaultQuery("site", s.Status().Site)}
+	out := ConfigView{Generation: s.Follower.Generation(), Site: c.DefaultQuery("site", s.Status().Site)}
 	var err error
 	if out.Head, _, err = s.Config.Head(c); err != nil {
 		writeReply(c, nil, err)
@@ -207,7 +207,7 @@
 }
 
 // RolloutReply is the configuration generation that contains the change.
-type RolloutAnswer struct {
+type RolloutReply struct {
 	Generation int64 `json:"generation"`
 }
 
@@ -234,7 +234,7 @@
 	}
 	generation, err := change(req, config.VersionRef{Model: req.Model, Version: req.Version})
 	if err == nil {
-		s.Accepted(c)
+		s.OnAccepted(c)
 	}
-	writeReply(c, RolloutAnswer{Generation: generation}, err)
+	writeReply(c, RolloutReply{Generation: generation}, err)
 }
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -42,8 +42,8 @@
 
 // Orderer sends orders to engines and reads their load.
 type Orderer interface {
-	Order(ctx context.Context, address string, o upstream.Order) error
-	Load(ctx context.Context, address string) (upstream.LoadReport, error)
+	SendOrder(ctx context.Context, address string, o upstream.Order) error
+	LoadReport(ctx context.Context, address string) (upstream.LoadReport, error)
 }
 
 // Lease is the exclusive right to act on one roll-out.
@@ -313,7 +313,7 @@
 			return trace.CompareFailed("the lease expired before an order was sent")
 		}
 		o := upstream.Order{Fence: l.lease.Fence(), Action: upstream.OrderLoad, Model: r.Model, Version: r.Version}
-		err := c.deps.Orders.Order(ctx, engine.Address, o)
+		err := c.deps.Orders.SendOrder(ctx, engine.Address, o)
 		var refused *upstream.RefusedError
 		switch {
 		case err == nil:
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -55,16 +55,16 @@
 	orders       []upstream.Order
 }
 
-func (e *engine) Order(_ context.Context, _ string, o upstream.Order) error {
+func (e *engine) SendOrder(_ context.Context, _ string, o upstream.Order) error {
 	if e.checksFences && o.Fence < e.fence {
-		return &upstream.RefusedError{Reason: upstream.RefusedFence}
+		return &upstream.RefusedError{Reason: upstream.RefusedStaleFence}
 	}
 	e.fence = o.Fence
 	e.orders = append(e.orders, o)
 	return nil
 }
 
-func (e *engine) Load(context.Context, string) (upstream.LoadReport, error) {
+func (e *engine) LoadReport(context.Context, string) (upstream.LoadReport, error) {
 	return upstream.LoadReport{}, nil
 }
 
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -236,7 +236,7 @@
 	defer e.mu.Unlock()
 	if e.options.Fencing != "ignore" {
 		if o.Fence < e.fence {
-			return upstream.RefusedFence
+			return upstream.RefusedStaleFence
 		}
 		e.fence = o.Fence
 	}
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -155,19 +155,19 @@
 }
 
 // LoadReport requests the load report of an engine.
-func (c *Client) Load(ctx context.Context, address string) (LoadReport, error) {
+func (c *Client) LoadReport(ctx context.Context, address string) (LoadReport, error) {
 	var report LoadReport
 	err := c.callJSON(ctx, http.MethodGet, address, "/v1/load", nil, &report)
 	return report, err
 }
 
 // SendOrder sends an order. It returns nil once the engine has accepted it.
-func (c *Client) Order(ctx context.Context, address string, o Order) error {
+func (c *Client) SendOrder(ctx context.Context, address string, o Order) error {
 	return c.callJSON(ctx, http.MethodPost, address, "/v1/orders", o, nil)
 }
 
 // RequestUsage returns what an engine ran for a request.
-func (c *Client) Usage(ctx context.Context, address, requestID string) (RequestUsage, error) {
+func (c *Client) RequestUsage(ctx context.Context, address, requestID string) (RequestUsage, error) {
 	var usage RequestUsage
 	err := c.callJSON(ctx, http.MethodGet, address, "/v1/usage?request="+url.QueryEscape(requestID), nil, &usage)
 	return usage, err
--- a/internal/upstream/wire.go
+++ b/internal/upstream/wire.go
@@ -79,11 +79,11 @@
 
 // Reasons of refusals. A refused attempt was not run.
 const (
-	RefusedNotServed RefusalReason = "not_served"
-	RefusedLeaving   RefusalReason = "leaving"
-	RefusedFull      RefusalReason = "full"
-	RefusedFence     RefusalReason = "stale_fence"
-	RefusedBusy      RefusalReason = "busy"
+	RefusedNotServed  RefusalReason = "not_served"
+	RefusedLeaving    RefusalReason = "leaving"
+	RefusedFull       RefusalReason = "full"
+	RefusedStaleFence RefusalReason = "stale_fence"
+	RefusedBusy       RefusalReason = "busy"
 )
 
 // Refusal is the body of a 409 or 429 response.
--- a/test/capacity/bytes.go
+++ b/test/capacity/bytes.go
@@ -239,7 +239,7 @@
 		}
 		client := upstream.NewClient(time.Second)
 		b, err := c.bytesPerCall(20, func() error {
-			_, err := client.Load(context.Background(), c.listener.Addr().String())
+			_, err := client.LoadReport(context.Background(), c.listener.Addr().String())
 			return err
 		})
 		if err != nil {
--- a/test/cluster/client.go
+++ b/test/cluster/client.go
@@ -68,7 +68,7 @@
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set("Authorization", "Bearer "+a.APIKey)
 	for name, value := range map[string]string{
-		caller.HeaderKind: a.Kind, caller.HeaderKey: a.Key, caller.HeaderSession: a.Session, caller.HeaderDeadline: a.DeadlineMS,
+		caller.HeaderKind: a.Kind, caller.HeaderIdempotencyKey: a.Key, caller.HeaderSession: a.Session, caller.HeaderDeadline: a.DeadlineMS,
 	} {
 		if value != "" {
 			req.Header.Set(name, value)
--- a/test/process/config_test.go
+++ b/test/process/config_test.go
@@ -21,7 +21,7 @@
 // withdraw withdraws a version and returns the generation of that change.
 func (s *site) withdraw(d *cluster.Daemon, model, version string) int64 {
 	s.t.Helper()
-	var out operator.RolloutAnswer
+	var out operator.RolloutReply
 	require.NoError(s.t, cluster.Post(d.OperatorURL+"/v1/rollouts/withdraw", operator.RolloutRequest{Model: model, Version: version}, &out))
 	return out.Generation
 }
@@ -95,7 +95,7 @@
 		return nil
 	}))
 	s.setPlatformFault(standin.FaultNone)
-	var first, second operator.Applied
+	var first, second operator.ApplyReply
 	require.NoError(t, cluster.Post(s.Daemons[0].OperatorURL+"/v1/config/apply", request, &first))
 	require.NoError(t, cluster.Post(s.Daemons[1].OperatorURL+"/v1/config/apply", request, &second))
 	require.Equal(t, first, second)
--- a/test/process/process_test.go
+++ b/test/process/process_test.go
@@ -119,7 +119,7 @@
 // new generation. target is a site's name, or empty for the base document.
 func (s *site) applyConfig(d *cluster.Daemon, target string, from int64, text string) int64 {
 	s.t.Helper()
-	var out operator.Applied
+	var out operator.ApplyReply
 	err := cluster.Post(d.OperatorURL+"/v1/config/apply", config.ApplyRequest{
 		Site: target, FromRevision: from, ChangeID: fmt.Sprintf("%s-%d", target, from), Text: text,
 	}, &out)
--- a/test/process/service_test.go
+++ b/test/process/service_test.go
@@ -23,7 +23,7 @@
 	req.Header.Set("Authorization", "Bearer "+visradAPIKey)
 	req.Header.Set(standin.HeaderCall, mark)
 	if key != "" {
-		req.Header.Set(caller.HeaderKey, key)
+		req.Header.Set(caller.HeaderIdempotencyKey, key)
 	}
 	reply, err := cluster.Do(req, nil)
 	require.NoError(t, err)
