--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -50,7 +50,7 @@
 	for _, ref := range []VersionRef{a, b} {
 		state, _ := s.State(ref)
 		require.Equal(t, Withdrawn, state)
-		require.Zero(t, s.Share(ref))
+		require.Zero(t, s.NewSessionShare(ref))
 	}
 }
 
--- a/internal/config/follower.go
+++ b/internal/config/follower.go
@@ -115,7 +115,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	d := Delta{Head: f.head.Clone(), Documents: map[string]StoredDocument{}, Rollouts: map[string]Rollout{}}
-	for _, target := range []string{baseName, Target(site)} {
+	for _, target := range []string{baseName, DocumentName(site)} {
 		doc, have := f.documents[target]
 		if have && doc.Revision != known.Documents[target] {
 			d.Documents[target] = doc
@@ -157,7 +157,7 @@
 	if head.Generation <= known.Generation {
 		return d, nil
 	}
-	for _, target := range []string{baseName, Target(f.site)} {
+	for _, target := range []string{baseName, DocumentName(f.site)} {
 		if head.Documents[target] == known.Documents[target] {
 			continue
 		}
@@ -214,7 +214,7 @@
 // It returns false if one does not match the head of d.
 func (f *Follower) mergeDocuments(d Delta) (map[string]StoredDocument, bool) {
 	out := map[string]StoredDocument{}
-	for _, target := range []string{baseName, Target(f.site)} {
+	for _, target := range []string{baseName, DocumentName(f.site)} {
 		doc, have := d.Documents[target]
 		if !have {
 			doc, have = f.documents[target], true
@@ -245,7 +245,7 @@
 
 // buildSnapshot merges the documents and returns the snapshot of a generation.
 func buildSnapshot(generation int64, site string, documents map[string]StoredDocument, rollouts map[string]Rollout) (*Snapshot, error) {
-	doc, err := Merge([]byte(documents[baseName].Text), []byte(documents[Target(site)].Text))
+	doc, err := Merge([]byte(documents[baseName].Text), []byte(documents[DocumentName(site)].Text))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -102,7 +102,7 @@
 
 // NewSessionShare returns the fraction of its model's new sessions for which a
 // version may be chosen.
-func (s *Snapshot) Share(ref VersionRef) float64 {
+func (s *Snapshot) NewSessionShare(ref VersionRef) float64 {
 	state, _ := s.State(ref)
 	switch state {
 	case Serving:
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -53,7 +53,7 @@
 
 // DocumentName returns the name of a site's overlay, or of the base if site is
 // empty.
-func Target(site string) string {
+func DocumentName(site string) string {
 	if site == "" {
 		return baseName
 	}
@@ -146,7 +146,7 @@
 	if err != nil {
 		return Change{}, storeError(err)
 	}
-	target := Target(req.Site)
+	target := DocumentName(req.Site)
 	if head.Documents[target] != req.FromRevision {
 		return Change{}, s.conflictError(ctx, target, req.FromRevision, head.Documents[target])
 	}
@@ -177,7 +177,7 @@
 	if err != nil {
 		return Change{}, storeError(err)
 	}
-	target := Target(req.Site)
+	target := DocumentName(req.Site)
 	if head.Documents[target] != req.FromRevision {
 		return Change{}, s.conflictError(ctx, target, req.FromRevision, head.Documents[target])
 	}
@@ -359,7 +359,7 @@
 
 // History returns the first limit accepted revisions of a document, oldest first.
 func (s *Store) History(ctx context.Context, site string, limit int) ([]StoredDocument, error) {
-	rows, err := s.table.List(ctx, historyKeyPrefix+Target(site)+"/", "", limit)
+	rows, err := s.table.List(ctx, historyKeyPrefix+DocumentName(site)+"/", "", limit)
 	if err != nil {
 		return nil, storeError(err)
 	}
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -153,11 +153,11 @@
 		writeReply(c, nil, err)
 		return
 	}
-	if out.Base, err = s.Config.Document(c, config.Target("")); err != nil {
+	if out.Base, err = s.Config.Document(c, config.DocumentName("")); err != nil {
 		writeReply(c, nil, err)
 		return
 	}
-	out.Overlay, err = s.Config.Document(c, config.Target(out.Site))
+	out.Overlay, err = s.Config.Document(c, config.DocumentName(out.Site))
 	writeReply(c, out, err)
 }
 
--- a/internal/operator/views.go
+++ b/internal/operator/views.go
@@ -89,7 +89,7 @@
 func (s *Server) versionStatus(snapshot *config.Snapshot, ref config.VersionRef) VersionStatus {
 	state, _ := snapshot.State(ref)
 	r := snapshot.Rollouts[ref]
-	v := VersionStatus{VersionRef: ref, State: state, Share: snapshot.Share(ref), Stage: r.Stage, Reason: r.Reason}
+	v := VersionStatus{VersionRef: ref, State: state, Share: snapshot.NewSessionShare(ref), Stage: r.Stage, Reason: r.Reason}
 	for _, count := range s.Ratings.ByKind(ref) {
 		v.Good += count.Good
 		v.Bad += count.Bad
