--- a/internal/backing/platform.go
+++ b/internal/backing/platform.go
@@ -216,7 +216,7 @@
 // CallInterval returns the time between two calls of one daemon such that n
 // daemons together make at most perSecond calls a second to the platform. The
 // result is at least floor.
-func Interval(n int, perSecond float64, floor time.Duration) time.Duration {
+func CallInterval(n int, perSecond float64, floor time.Duration) time.Duration {
 	d := time.Duration(float64(n) / perSecond * float64(time.Second))
 	return max(d, floor)
 }
--- a/internal/daemon/loops.go
+++ b/internal/daemon/loops.go
@@ -45,7 +45,7 @@
 // daemons together under perSecond, and is never shorter than floorMS.
 func (n *Node) sharedRateInterval(perSecond float64, floorMS int64) func() time.Duration {
 	return func() time.Duration {
-		return backing.Interval(len(n.registry.Live()), perSecond, settings.MS(floorMS))
+		return backing.CallInterval(len(n.registry.Live()), perSecond, settings.MS(floorMS))
 	}
 }
 
--- a/internal/daemon/node.go
+++ b/internal/daemon/node.go
@@ -208,7 +208,7 @@
 		&keyTaker{self: n.incarnation, registry: n.registry, client: n.peerClient, claims: n.claims}, n.clock)
 	n.ledger = ledger.New(n.incarnation, n.platform, newReplicator(n.registry, n.peerClient), n.clock, ledger.Options{
 		CommitInterval: func() time.Duration {
-			return backing.Interval(len(n.registry.Live()), commitsPerSecond, settings.MS(t.CommitMS))
+			return backing.CallInterval(len(n.registry.Live()), commitsPerSecond, settings.MS(t.CommitMS))
 		},
 		MaxPending:         n.settings.Limits.MaxPendingBills,
 		ReplicationTimeout: settings.MS(t.HoldMS),
--- a/internal/entry/duty_test.go
+++ b/internal/entry/duty_test.go
@@ -92,11 +92,11 @@
 	store.refuses.Store(true)
 	for range 3 {
 		process()
-		require.Equal(t, "running", store.Rollout(rolloutService))
+		require.Equal(t, "running", store.RolloutState(rolloutService))
 	}
 	store.refuses.Store(false)
 	process()
-	require.Equal(t, "rolled_back", store.Rollout(rolloutService))
+	require.Equal(t, "rolled_back", store.RolloutState(rolloutService))
 	require.Equal(t, shift.RolledBack, store.state(t).Phase)
 }
 
--- a/internal/entry/evacuate.go
+++ b/internal/entry/evacuate.go
@@ -10,12 +10,12 @@
 
 // applyEvacuations applies the evacuation orders of a read of the operator's rows and reports
 // whether the active evacuations changed.
-func (n *Node) applyEvacuations(rows platform.OperatorNews) bool {
+func (n *Node) applyEvacuations(rows platform.OperatorUpdate) bool {
 	before := n.evacuations.Checksum()
 	switch {
-	case rows.Whole && n.storeMayBeStale():
+	case rows.Complete && n.storeMayBeStale():
 		n.enforceEvacuations(n.evacuations.MergeStale(rows.Evacuations), "store")
-	case rows.Whole:
+	case rows.Complete:
 		n.enforceEvacuations(n.evacuations.Replace(rows.Evacuations, rows.Revision), "store")
 	default:
 		n.enforceEvacuations(n.evacuations.Merge(rows.Evacuations), "store")
--- a/internal/entry/helpers_test.go
+++ b/internal/entry/helpers_test.go
@@ -17,5 +17,5 @@
 	if change != nil {
 		change(&r)
 	}
-	return NewNode(r, clock, platform.NewStore(r.Platform), platform.Headers{})
+	return NewNode(r, clock, platform.NewStore(r.Platform), platform.HeaderCodec{})
 }
--- a/internal/entry/list.go
+++ b/internal/entry/list.go
@@ -59,12 +59,12 @@
 	first := !n.table.Loaded()
 	whole = whole || first
 	asked := n.clock.Now()
-	var rows platform.InstanceNews
+	var rows platform.InstanceUpdate
 	var err error
 	if whole {
-		rows, err = n.store.Instances(ctx)
+		rows, err = n.store.ReadInstances(ctx)
 	} else {
-		rows, err = n.store.InstancesAfter(ctx, base, 0)
+		rows, err = n.store.ReadInstancesAfter(ctx, base, 0)
 	}
 	if ctx.Err() != nil {
 		return ctx.Err()
@@ -98,12 +98,12 @@
 
 // applyChanges applies the changes of a read and returns the update for the daemons of the
 // group. ok is false if this daemon already has a newer list.
-func (n *Node) applyChanges(rows platform.InstanceNews, graceEnd time.Time) (update peer.StoreUpdate, ok bool) {
+func (n *Node) applyChanges(rows platform.InstanceUpdate, graceEnd time.Time) (update peer.StoreUpdate, ok bool) {
 	changes, from, ok := n.table.Apply(rows.Changes, rows.Revision, graceEnd)
 	return peer.StoreUpdate{Changes: changes, Base: from, List: rows.Revision}, ok
 }
 
-func snapshot(rows platform.InstanceNews) inventory.Snapshot {
+func snapshot(rows platform.InstanceUpdate) inventory.Snapshot {
 	s := inventory.Snapshot{Revision: rows.Revision, Warming: map[string]time.Duration{}}
 	for _, c := range rows.Changes {
 		switch {
--- a/internal/entry/node.go
+++ b/internal/entry/node.go
@@ -118,7 +118,7 @@
 }
 
 // NewNode builds a daemon. It does nothing until Run is called.
-func NewNode(s settings.Routes, clock clockwork.Clock, store *platform.Store, codec platform.Headers) *Node {
+func NewNode(s settings.Routes, clock clockwork.Clock, store *platform.Store, codec platform.HeaderCodec) *Node {
 	n := &Node{
 		settings: s, clock: clock, store: store, kv: platform.Table{Store: store},
 		table: inventory.NewTable(clock), prefixes: inventory.NewPrefixIndex(clock), pool: upconn.NewPool(), metrics: forward.NewMetrics(),
--- a/internal/entry/node_test.go
+++ b/internal/entry/node_test.go
@@ -250,7 +250,7 @@
 	reader.OnStoreUpdate(peer.StoreUpdate{From: "127.0.1.1:1", Base: 5, List: 6, Changes: []inventory.Change{change}})
 	require.Empty(t, reader.table.Usable("s"))
 
-	update, ok := reader.applyChanges(platform.InstanceNews{Revision: 7, Changes: []inventory.Change{change}}, time.Time{})
+	update, ok := reader.applyChanges(platform.InstanceUpdate{Revision: 7, Changes: []inventory.Change{change}}, time.Time{})
 	require.True(t, ok)
 	clock.Advance(lateListAge(third))
 	third.OnStoreUpdate(update)
--- a/internal/entry/operator.go
+++ b/internal/entry/operator.go
@@ -80,7 +80,7 @@
 // readAllOperator reads all rows of the operator.
 func (n *Node) readAllOperator(ctx context.Context) error {
 	asked := n.clock.Now()
-	rows, err := n.store.Operator(ctx)
+	rows, err := n.store.ReadOperator(ctx)
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
@@ -111,7 +111,7 @@
 // whether there are any.
 func (n *Node) readOperatorAfter(ctx context.Context, after int64, hold time.Duration) (changed bool, err error) {
 	asked := n.clock.Now()
-	rows, err := n.store.OperatorAfter(ctx, after, hold)
+	rows, err := n.store.ReadOperatorAfter(ctx, after, hold)
 	if ctx.Err() != nil {
 		return false, ctx.Err()
 	}
@@ -134,7 +134,7 @@
 
 // applyRead applies operator rows read after revision base and sends them to the group. It
 // reports whether there were changes.
-func (n *Node) applyRead(ctx context.Context, rows platform.OperatorNews, base int64) (changed bool) {
+func (n *Node) applyRead(ctx context.Context, rows platform.OperatorUpdate, base int64) (changed bool) {
 	n.behind.Store(false)
 	evacuated := n.applyEvacuations(rows)
 	changed = evacuated || rows.Catalog != nil || len(rows.Orders) > 0
@@ -174,7 +174,7 @@
 	}
 }
 
-func (n *Node) applyOperator(rows platform.OperatorNews) {
+func (n *Node) applyOperator(rows platform.OperatorUpdate) {
 	for _, err := range rows.Malformed {
 		slog.Error("operator.unreadable", "revision", rows.Revision, "error", err)
 	}
--- a/internal/entry/operator_test.go
+++ b/internal/entry/operator_test.go
@@ -33,7 +33,7 @@
 	t.Helper()
 	r := &storeReader{t: t, clock: clockwork.NewFakeClock(), store: platformtest.NewStore()}
 	address, stop := r.store.Serve()
-	r.store.Declare(routeTo(1, "/old/"))
+	r.store.PutManifest(routeTo(1, "/old/"))
 	r.store.Put(wire.TableInstances, "i", wire.Instance{Service: "s", Address: "127.0.0.1:1", Zone: "a", Version: "v1", Slots: 8, State: wire.StateReady})
 	r.Node = newTestNode(r.clock, func(s *settings.Routes) { s.Platform, s.DrainMS = address, drainMS })
 	ctx, cancel := context.WithCancel(t.Context())
@@ -92,9 +92,9 @@
 // store then never answers.
 func (r *storeReader) losePoll() {
 	r.t.Helper()
-	r.eventually("the store holds the long poll", func() bool { return r.store.Held() == 1 })
+	r.eventually("the store holds the long poll", func() bool { return r.store.WaitingFeeds() == 1 })
 	r.awaitListRead()
-	r.store.LoseHeld()
+	r.store.HangWaitingFeeds()
 }
 
 // Guards against taking the silence of the store for unchanged rows. A long poll that a reader
@@ -105,7 +105,7 @@
 func TestLongPollThatIsNeverAnswered(t *testing.T) {
 	r := newStoreReader(t, 2000)
 	r.losePoll()
-	r.store.Declare(routeTo(2, "/new/"))
+	r.store.PutManifest(routeTo(2, "/new/"))
 	r.advance(configDeadline)
 	require.Equal(t, int64(2), r.configVersion(), "the configuration is in force in time")
 }
@@ -115,7 +115,7 @@
 func TestLostLongPollWithSlowListReads(t *testing.T) {
 	r := newStoreReader(t, 10_000)
 	r.losePoll()
-	r.store.Declare(routeTo(2, "/new/"))
+	r.store.PutManifest(routeTo(2, "/new/"))
 	r.advance(configDeadline)
 	require.Equal(t, int64(2), r.configVersion(), "the configuration is in force in time")
 }
@@ -137,9 +137,9 @@
 	t.Cleanup(server.Close)
 	other.registry.SetSelf(func(d *member.Daemon) { d.PeerAddress = server.Address() })
 	r.registry.Merge([]member.Daemon{other.registry.Self()})
-	r.eventually("the store holds the long poll", func() bool { return r.store.Held() == 1 })
+	r.eventually("the store holds the long poll", func() bool { return r.store.WaitingFeeds() == 1 })
 	r.awaitListRead()
-	r.store.Silence(wire.TableOperator)
+	r.store.HangTable(wire.TableOperator)
 	r.store.Put(wire.TableInstances, "i", wire.Instance{Service: "s", Address: "127.0.0.1:1", Zone: "a", Version: "v1", Slots: 8, State: wire.StateDraining})
 	r.clock.Advance(r.listInterval())
 	require.False(t, <-storeLost, "the update was sent after the read of the operator's rows had failed")
@@ -175,8 +175,8 @@
 	r := newStoreReader(t, 2000)
 	r.losePoll()
 	r.advance(configDeadline)
-	r.store.RefuseLost()
-	r.eventually("the long poll has failed", func() bool { return r.store.Held() == 0 })
+	r.store.RefuseHangingFeeds()
+	r.eventually("the long poll has failed", func() bool { return r.store.WaitingFeeds() == 0 })
 	require.NoError(t, r.clock.BlockUntilContext(t.Context(), 2), "the next read must be scheduled")
 	require.False(t, r.storeHealth.isLost())
 	require.Zero(t, r.graceLeft())
--- a/internal/entry/readers.go
+++ b/internal/entry/readers.go
@@ -149,7 +149,7 @@
 //
 // The update contains every change after revision base unless the configuration is too long.
 // Daemons that have all rows up to base then need not read the store.
-func (n *Node) sendOperatorRows(ctx context.Context, rows platform.OperatorNews, base int64, evacuated bool) {
+func (n *Node) sendOperatorRows(ctx context.Context, rows platform.OperatorUpdate, base int64, evacuated bool) {
 	if !n.isReader() {
 		return
 	}
--- a/internal/entry/restore.go
+++ b/internal/entry/restore.go
@@ -77,7 +77,7 @@
 }
 
 // withoutStale removes the orders from a whole read that may be older than the known ones.
-func (n *Node) withoutStale(rows platform.OperatorNews) platform.OperatorNews {
+func (n *Node) withoutStale(rows platform.OperatorUpdate) platform.OperatorUpdate {
 	if !n.storeMayBeStale() {
 		return rows
 	}
--- a/internal/entry/restore_test.go
+++ b/internal/entry/restore_test.go
@@ -55,7 +55,7 @@
 	n.store.NoteRevision(thirdEra)
 	require.True(t, n.storeMayBeStale())
 	older := shift.Order{ID: thirdEra, Era: 2, Service: "s", To: "v1", Allowed: time.Minute}
-	read := platform.OperatorNews{Whole: true, Revision: thirdEra, Orders: []shift.Order{older}}
+	read := platform.OperatorUpdate{Complete: true, Revision: thirdEra, Orders: []shift.Order{older}}
 	require.Empty(t, n.withoutStale(read).Orders)
 	n.applyEvacuations(read)
 	require.Len(t, n.evacuations.InForce(), 1)
@@ -73,7 +73,7 @@
 func TestOrdersOfTheNewEraApplyAtOnce(t *testing.T) {
 	n, _ := newRestoredNode(t)
 	n.store.NoteRevision(thirdEra)
-	n.applyEvacuations(platform.OperatorNews{Revision: thirdEra + 1, Evacuations: []evacuation.Order{
+	n.applyEvacuations(platform.OperatorUpdate{Revision: thirdEra + 1, Evacuations: []evacuation.Order{
 		{FailureDomain: "b", Revision: thirdEra + 1, Lifted: true}, {FailureDomain: "c", Revision: thirdEra + 1},
 	}})
 	inForce := n.evacuations.InForce()
--- a/test/routes/evacuation_test.go
+++ b/test/routes/evacuation_test.go
@@ -25,7 +25,7 @@
 func (s *testbed) startTwoPerDomain() {
 	for _, domain := range failureDomains {
 		for n := range 2 {
-			s.startServer(platformtest.ServerOptions{ID: fmt.Sprintf("%s-%d", domain, n), Service: plainService, FailureDomain: domain, Work: 20 * time.Millisecond})
+			s.startServer(platformtest.ServerOptions{ID: fmt.Sprintf("%s-%d", domain, n), Service: plainService, FailureDomain: domain, Delay: 20 * time.Millisecond})
 		}
 	}
 }
@@ -36,7 +36,7 @@
 	n := 0
 	for id, server := range s.servers {
 		if strings.HasPrefix(id, domain) {
-			n += len(server.Seen())
+			n += len(server.Received())
 		}
 	}
 	return n
@@ -109,7 +109,7 @@
 		require.Equal(t, "hall-b", shown[0].FailureDomain)
 		require.GreaterOrEqual(t, shown[0].SinceMS, shown[1].SinceMS)
 	}
-	s.store.Restore("hall-b")
+	s.store.EndEvacuation("hall-b")
 	for _, d := range daemons {
 		s.waitForLog(d, "evacuation.lifted", "failure_domain=hall-b")
 		s.sendUntilDomainReached(d, "hall-b")
@@ -125,7 +125,7 @@
 	first := s.startReadyDaemon()
 	s.store.Evacuate("hall-b")
 	s.waitEvacuated(first, "hall-b")
-	s.store.SetFault(platformtest.FaultSilent)
+	s.store.SetFault(platformtest.FaultHang)
 	second := s.startReadyDaemon()
 	s.requireServedOutside(second, "hall-b")
 }
@@ -138,9 +138,9 @@
 	d := s.startReadyDaemon()
 	s.store.Evacuate("hall-a")
 	s.waitEvacuated(d, "hall-a")
-	s.store.SetFault(platformtest.FaultSilent)
+	s.store.SetFault(platformtest.FaultHang)
 	s.waitForLog(d, "store.lost")
-	s.store.Restore("hall-a")
+	s.store.EndEvacuation("hall-a")
 	s.store.Evacuate("hall-b")
 	s.store.Compact()
 	s.store.SetFault(platformtest.FaultNone)
@@ -161,7 +161,7 @@
 	s.waitEvacuated(reader, "hall-b")
 	s.waitEvacuated(isolated, "hall-b")
 	s.requireServedOutside(isolated, "hall-b")
-	s.store.Restore("hall-b")
+	s.store.EndEvacuation("hall-b")
 	s.waitForLog(isolated, "evacuation.lifted", "failure_domain=hall-b")
 	s.sendUntilDomainReached(isolated, "hall-b")
 }
@@ -188,7 +188,7 @@
 	s := newTestbed(t)
 	const pieces = 10
 	s.startServer(platformtest.ServerOptions{
-		ID: "hall-b-0", Service: engineService, FailureDomain: "hall-b", Events: pieces, Work: 100 * time.Millisecond, Confidence: map[string]int{"small": 90},
+		ID: "hall-b-0", Service: engineService, FailureDomain: "hall-b", Events: pieces, Delay: 100 * time.Millisecond, Confidence: map[string]int{"small": 90},
 	})
 	d := s.startReadyDaemon()
 	c := s.newCall(pathStream)
@@ -225,7 +225,7 @@
 // startCold starts a server of the plain service that is cold for d.
 func (s *testbed) startCold(id, domain string, d time.Duration) *platformtest.Server {
 	server := platformtest.NewServer(platformtest.ServerOptions{
-		ID: id, Service: plainService, FailureDomain: domain, Version: "v1", Slots: 8, Cold: d, ColdPerS: coldCrashRate,
+		ID: id, Service: plainService, FailureDomain: domain, Version: "v1", Slots: 8, ColdTime: d, ColdPerS: coldCrashRate,
 	})
 	s.t.Cleanup(server.Close)
 	s.servers[id] = server
@@ -246,12 +246,12 @@
 func (s *testbed) requireNotOverloaded(server *platformtest.Server, requests int) {
 	s.t.Helper()
 	s.eventually(func() error {
-		if n := len(server.Seen()); n < requests && !server.Overrun() {
+		if n := len(server.Received()); n < requests && !server.Overloaded() {
 			return trace.Errorf("the server has received %d requests", n)
 		}
 		return nil
 	})
-	require.False(s.t, server.Overrun())
+	require.False(s.t, server.Overloaded())
 }
 
 // waitListed waits until all daemons list a server of the plain service.
@@ -273,7 +273,7 @@
 // to it as soon as it is listed.
 func TestColdInstanceIsNotOverloaded(t *testing.T) {
 	s := newTestbed(t)
-	s.store.Declare(coldStartManifest(5))
+	s.store.PutManifest(coldStartManifest(5))
 	s.startTwoPerDomain()
 	var daemons []*daemon
 	for range 8 {
@@ -290,7 +290,7 @@
 // callers that are not served in that time.
 func TestAllInstancesCold(t *testing.T) {
 	s := newTestbed(t)
-	s.store.Declare(coldStartManifest(5))
+	s.store.PutManifest(coldStartManifest(5))
 	var cold []*platformtest.Server
 	for n := range 3 {
 		cold = append(cold, s.startCold(fmt.Sprint("hall-a-", n), "hall-a", 3*time.Second))
@@ -300,7 +300,7 @@
 		daemons = append(daemons, s.startReadyDaemon())
 	}
 	for _, server := range cold {
-		server.Cool(3 * time.Second)
+		server.SetCold(3 * time.Second)
 		server.Register(s.store, wire.StateReady)
 	}
 	s.eventually(func() error {
@@ -324,7 +324,7 @@
 // restarted and are cold, but their rows do not say so yet.
 func TestRestoredDomainIsNotOverloaded(t *testing.T) {
 	s := newTestbed(t)
-	s.store.Declare(coldStartManifest(5))
+	s.store.PutManifest(coldStartManifest(5))
 	s.startTwoPerDomain()
 	cold := s.startCold("hall-d-0", "hall-d", 0)
 	var daemons []*daemon
@@ -337,8 +337,8 @@
 	}
 	stop := s.startFlood(daemons)
 	defer stop()
-	cold.Cool(2 * time.Second)
-	s.store.Restore("hall-d")
+	cold.SetCold(2 * time.Second)
+	s.store.EndEvacuation("hall-d")
 	s.requireNotOverloaded(cold, 80)
 }
 
@@ -351,7 +351,7 @@
 		// One request per 100 s, which is longer than the deadline of callers.
 		m.Services[i].ColdStartS, m.Services[i].ColdPerS = 60, 0.01
 	}
-	s.store.Declare(m)
+	s.store.PutManifest(m)
 	s.startCold("hall-a-0", "hall-a", time.Minute)
 	d := s.startDaemon(func(r *settings.Routes) { r.RetryRatio, r.RetrySlack = 0, 2 })
 	s.waitForLog(d, "daemon.offered")
--- a/test/routes/failures_test.go
+++ b/test/routes/failures_test.go
@@ -20,9 +20,9 @@
 
 // firstOnly returns a Behave function that applies b to the first request of all servers that
 // share the function, and answers the other requests.
-func firstOnly(b platformtest.Behaviour) func(platformtest.Seen) platformtest.Behaviour {
+func firstOnly(b platformtest.Behaviour) func(platformtest.ReceivedRequest) platformtest.Behaviour {
 	var count atomic.Int64
-	return func(platformtest.Seen) platformtest.Behaviour {
+	return func(platformtest.ReceivedRequest) platformtest.Behaviour {
 		if count.Add(1) == 1 {
 			return b
 		}
@@ -31,12 +31,12 @@
 }
 
 // always returns a Behave function that applies b to every request.
-func always(b platformtest.Behaviour) func(platformtest.Seen) platformtest.Behaviour {
-	return func(platformtest.Seen) platformtest.Behaviour { return b }
+func always(b platformtest.Behaviour) func(platformtest.ReceivedRequest) platformtest.Behaviour {
+	return func(platformtest.ReceivedRequest) platformtest.Behaviour { return b }
 }
 
 // startPair starts two servers of the plain service that share a Behave function.
-func (s *testbed) startPair(behave func(platformtest.Seen) platformtest.Behaviour) {
+func (s *testbed) startPair(behave func(platformtest.ReceivedRequest) platformtest.Behaviour) {
 	s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService, Behave: behave})
 	s.startServer(platformtest.ServerOptions{ID: "cat-2", Service: plainService, Behave: behave})
 }
@@ -78,7 +78,7 @@
 // Guards against unsafe requests that fail although a server refused them without running
 // them, or answered before it read the body. Such requests may be sent to another server.
 func TestRefusedRequestIsRetriedElsewhere(t *testing.T) {
-	for name, behaviour := range map[string]platformtest.Behaviour{"full": platformtest.Refuse, "early": platformtest.Early} {
+	for name, behaviour := range map[string]platformtest.Behaviour{"full": platformtest.Refuse, "early": platformtest.RefuseEarly} {
 		t.Run(name, func(t *testing.T) {
 			s := newTestbed(t)
 			s.startPair(firstOnly(behaviour))
@@ -131,7 +131,7 @@
 // the next request, which may be of another caller.
 func TestDuplicateAnswerIsDiscarded(t *testing.T) {
 	s := newTestbed(t)
-	s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService, Behave: firstOnly(platformtest.Extra)})
+	s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService, Behave: firstOnly(platformtest.DuplicateAnswer)})
 	d := s.startReadyDaemon()
 	for range 3 {
 		c := s.newCall(pathSafe)
@@ -153,7 +153,7 @@
 // which another engine resumes.
 func TestStreamResumesOnAnotherServer(t *testing.T) {
 	s := newTestbed(t)
-	behave := firstOnly(platformtest.CutInside)
+	behave := firstOnly(platformtest.CutInsideEvent)
 	for _, id := range []string{"eng-1", "eng-2"} {
 		s.startServer(platformtest.ServerOptions{ID: id, Service: engineService, Events: 6, Behave: behave})
 	}
@@ -169,7 +169,7 @@
 // crashes inside an event, the connection to the caller must be cut.
 func TestBrokenStreamDoesNotLookComplete(t *testing.T) {
 	s := newTestbed(t)
-	s.startServer(platformtest.ServerOptions{ID: "eng-1", Service: engineService, Events: 6, Behave: always(platformtest.CutInside)})
+	s.startServer(platformtest.ServerOptions{ID: "eng-1", Service: engineService, Events: 6, Behave: always(platformtest.CutInsideEvent)})
 	d := s.startReadyDaemon()
 	reply := s.send(s.newCall(pathStream), d)
 	require.Error(t, reply.Err)
@@ -186,7 +186,7 @@
 	d := s.startReadyDaemon()
 	c := s.newCall(pathUnsafe)
 	require.Equal(t, http.StatusServiceUnavailable, s.send(c, d).Status)
-	require.Empty(t, other.Seen())
+	require.Empty(t, other.Received())
 }
 
 // Guards against new requests to a server whose row says that it is draining.
@@ -243,7 +243,7 @@
 	d := s.startReadyDaemon()
 	m := newManifest(9)
 	m.Tenants[1].APIKeys = nil
-	s.store.Declare(m)
+	s.store.PutManifest(m)
 	s.waitForLog(d, "msg=config.in_force", "version=9")
 	c := s.newCall(pathSafe)
 	c.Key = otherKey
@@ -257,7 +257,7 @@
 func TestStartWithoutStore(t *testing.T) {
 	s := newTestbed(t)
 	s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService})
-	s.store.SetFault(platformtest.FaultSilent)
+	s.store.SetFault(platformtest.FaultHang)
 	d := s.startDaemon(nil)
 	reply := s.send(s.newCall(pathUnsafe), d)
 	require.Equal(t, http.StatusServiceUnavailable, reply.Status)
@@ -271,7 +271,7 @@
 	s := newTestbed(t)
 	s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService})
 	first := s.startReadyDaemon()
-	s.store.SetFault(platformtest.FaultSilent)
+	s.store.SetFault(platformtest.FaultHang)
 	second := s.startReadyDaemon()
 	c := s.newCall(pathUnsafe)
 	s.requireWholeAnswer(c, s.send(c, second), "cat-1")
@@ -282,7 +282,7 @@
 // and stop being ready, finish the answers in progress, and exit.
 func TestGracefulStop(t *testing.T) {
 	s := newTestbed(t)
-	s.startServer(platformtest.ServerOptions{ID: "eng-1", Service: engineService, Events: 200, Work: 10 * time.Millisecond})
+	s.startServer(platformtest.ServerOptions{ID: "eng-1", Service: engineService, Events: 200, Delay: 10 * time.Millisecond})
 	first, second := s.startReadyDaemon(), s.startReadyDaemon()
 	s.waitForDirectory(first, 2)
 	c := s.newCall(pathStream)
@@ -308,7 +308,7 @@
 func (s *testbed) waitForDirectory(d *daemon, n int) {
 	s.t.Helper()
 	s.eventually(func() error {
-		addresses, err := platformtest.Entries(context.Background(), s.client, d.directoryAddress, host, "hall-a")
+		addresses, err := platformtest.ResolveDaemons(context.Background(), s.client, d.directoryAddress, host, "hall-a")
 		if err == nil && len(addresses) != n {
 			err = trace.Errorf("the directory returns %d daemons, want %d", len(addresses), n)
 		}
@@ -322,7 +322,7 @@
 	s := newTestbed(t)
 	first, second := s.startReadyDaemon(), s.startReadyDaemon()
 	s.waitForDirectory(first, 2)
-	s.store.SetFault(platformtest.FaultSilent)
+	s.store.SetFault(platformtest.FaultHang)
 	second.Kill()
 	s.waitForDirectory(first, 1)
 }
@@ -356,7 +356,7 @@
 	s.waitForDirectory(all[0], 3)
 	all[0].Kill()
 	all[2].Kill()
-	s.store.Declare(newManifest(11))
+	s.store.PutManifest(newManifest(11))
 	s.servers["cat-1"].Register(s.store, wire.StateDraining)
 	s.waitForLog(all[1], "msg=config.in_force", "version=11")
 	s.waitUntilAvoided(all[1], "cat-1")
@@ -376,7 +376,7 @@
 		r.Name, r.Prefix = fmt.Sprintf("route-%d", i), fmt.Sprintf("/added/%d/", i)
 		m.Routes = append(m.Routes, r)
 	}
-	s.store.Declare(m)
+	s.store.PutManifest(m)
 	for _, d := range all {
 		s.waitForLog(d, "msg=config.in_force", "version=12")
 		c := s.newCall("/added/3999/")
--- a/test/routes/harness_test.go
+++ b/test/routes/harness_test.go
@@ -84,7 +84,7 @@
 	s.storeAddress = address
 	t.Cleanup(stop)
 	s.client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: cluster.Patience}
-	s.store.Declare(newManifest(3))
+	s.store.PutManifest(newManifest(3))
 	t.Cleanup(s.keepLogs)
 	return s
 }
@@ -210,13 +210,13 @@
 func (s *testbed) newCall(path string) platformtest.Call {
 	c := platformtest.Call{
 		Host: host, Path: path, Key: key, ID: fmt.Sprintf("request-%d", s.lastID.Add(1)),
-		Patience: 6 * time.Second, Body: "body of a request",
+		Timeout: 6 * time.Second, Body: "body of a request",
 	}
 	if path == pathSafe {
 		c.Method = http.MethodGet
 	}
 	if path == pathStream {
-		c.Model, c.Prompt, c.Patience = "*", "aa:100,bb:200,cc:50", 15*time.Second
+		c.Model, c.Prompt, c.Timeout = "*", "aa:100,bb:200,cc:50", 15*time.Second
 		c.Session = c.ID
 	}
 	return c
@@ -231,8 +231,8 @@
 func (s *testbed) serversThatRan(id string) []string {
 	var out []string
 	for name, server := range s.servers {
-		for _, received := range server.Seen() {
-			if received.ID == id && received.Behaviour.Ran() {
+		for _, received := range server.Received() {
+			if received.ID == id && received.Behaviour.Runs() {
 				out = append(out, name)
 			}
 		}
--- a/test/routes/limit_test.go
+++ b/test/routes/limit_test.go
@@ -137,12 +137,12 @@
 			daemons := s.startDaemons(5)
 			l := s.startLoad(daemons)
 			s.sendUntilReached(limited, daemons[0])
-			limited.Limit(perSecond)
+			limited.SetLimit(perSecond)
 			from := time.Now().Add(limitPropagation)
 			s.waitUntil(from.Add(limitWindow + 2*time.Second))
 			rate, err := strconv.ParseFloat(perSecond, 64)
 			require.NoError(t, err)
-			require.LessOrEqual(t, limited.MostIn(limitWindow, from), maxRequests(rate))
+			require.LessOrEqual(t, limited.MaxReceivedIn(limitWindow, from), maxRequests(rate))
 			s.requireAllServed(l.finish())
 		})
 	}
@@ -157,16 +157,16 @@
 			limited := s.startThreeServers("", nil)
 			daemons := s.startDaemons(5)
 			l := s.startLoad(daemons)
-			limited.Limit(perSecond)
+			limited.SetLimit(perSecond)
 			from := time.Now().Add(limitPropagation)
 			s.waitUntil(from.Add(2 * time.Second))
-			limited.Limit("")
+			limited.SetLimit("")
 			const noticed = 2 * time.Second
 			free := time.Now().Add(noticed)
 			s.waitUntil(free.Add(2 * time.Second))
 			s.requireAllServed(l.finish())
-			others := (len(s.servers["cat-2"].SeenSince(free)) + len(s.servers["cat-3"].SeenSince(free))) / 2
-			require.Greater(t, len(limited.SeenSince(free)), others/2, "requests at the server without a limit; the others had %d on average", others)
+			others := (len(s.servers["cat-2"].ReceivedSince(free)) + len(s.servers["cat-3"].ReceivedSince(free))) / 2
+			require.Greater(t, len(limited.ReceivedSince(free)), others/2, "requests at the server without a limit; the others had %d on average", others)
 		})
 	}
 }
@@ -179,7 +179,7 @@
 	daemons := s.startDaemons(3)
 	l := s.startLoad(daemons)
 	for _, server := range s.servers {
-		server.Limit("2")
+		server.SetLimit("2")
 	}
 	from := time.Now().Add(limitPropagation)
 	const counted = 10 * time.Second
@@ -187,8 +187,8 @@
 	replies := l.finish()
 	arrived := 0
 	for id, server := range s.servers {
-		require.LessOrEqual(t, server.MostIn(limitWindow, from), maxRequests(2), id)
-		arrived += len(server.SeenSince(from))
+		require.LessOrEqual(t, server.MaxReceivedIn(limitWindow, from), maxRequests(2), id)
+		arrived += len(server.ReceivedSince(from))
 	}
 	named := 2 * counted.Seconds() * float64(len(s.servers))
 	require.GreaterOrEqual(t, float64(arrived), 0.8*named)
@@ -217,11 +217,11 @@
 			s := newTestbed(t)
 			server := s.startThreeServers("", nil)
 			daemons := s.startDaemons(1)
-			server.Limit(text)
+			server.SetLimit(text)
 			l := s.startLoad(daemons)
 			const requests = 30
 			s.eventually(func() error {
-				if n := len(server.Seen()); n < requests {
+				if n := len(server.Received()); n < requests {
 					return trace.Errorf("the server has received %d requests", n)
 				}
 				return nil
@@ -236,7 +236,7 @@
 func TestRateLimitSurvivesReplacementOfDaemons(t *testing.T) {
 	s := newTestbed(t)
 	limited := s.startThreeServers("", nil)
-	limited.Limit("1")
+	limited.SetLimit("1")
 	first := s.startDaemons(3)
 	s.sendUntilReached(limited, first[0])
 	for _, d := range first {
@@ -246,14 +246,14 @@
 	for _, d := range second {
 		s.waitForLog(d, "instance.limited", "instance=cat-1")
 	}
-	s.store.SetFault(platformtest.FaultSilent)
+	s.store.SetFault(platformtest.FaultHang)
 	for _, d := range first {
 		d.Kill()
 	}
 	l := s.startLoad(second)
 	from := time.Now()
 	s.waitUntil(from.Add(limitWindow + time.Second))
-	require.LessOrEqual(t, limited.MostIn(limitWindow, from), maxRequests(1))
+	require.LessOrEqual(t, limited.MaxReceivedIn(limitWindow, from), maxRequests(1))
 	s.requireAllServed(l.finish())
 }
 
@@ -262,16 +262,16 @@
 func TestRestartedServerHasNoRateLimit(t *testing.T) {
 	s := newTestbed(t)
 	limited := s.startThreeServers("", nil)
-	limited.Limit("0.1")
+	limited.SetLimit("0.1")
 	d := s.startReadyDaemon()
 	s.sendUntilReached(limited, d)
 	s.waitForLog(d, "instance.limited", "instance=cat-1")
-	limited.Lose()
+	limited.Kill()
 	again := s.newServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService, Born: 2})
 	const requests = 20
 	s.eventually(func() error {
 		s.send(s.newCall(pathSafe), d)
-		if n := len(again.Seen()); n < requests {
+		if n := len(again.Received()); n < requests {
 			return trace.Errorf("the restarted server has received %d requests", n)
 		}
 		return nil
@@ -283,15 +283,15 @@
 // cache.
 func TestStreamsKeepRateLimit(t *testing.T) {
 	s := newTestbed(t)
-	cutSome := func(received platformtest.Seen) platformtest.Behaviour {
+	cutSome := func(received platformtest.ReceivedRequest) platformtest.Behaviour {
 		if len(received.ID)%2 == 0 && received.Header.Get(wire.HeaderLastEvent) == "" {
-			return platformtest.CutInside
+			return platformtest.CutInsideEvent
 		}
 		return platformtest.Answer
 	}
 	for n := range 3 {
 		s.startServer(platformtest.ServerOptions{
-			ID: fmt.Sprint("eng-", n), Service: engineService, Slots: 64, Events: 4, Work: 5 * time.Millisecond,
+			ID: fmt.Sprint("eng-", n), Service: engineService, Slots: 64, Events: 4, Delay: 5 * time.Millisecond,
 			Confidence: map[string]int{"small": 20, "large": 90}, Behave: cutSome,
 		})
 	}
@@ -305,22 +305,22 @@
 	l := s.startLoadOf(daemons, pathStream)
 	limited := s.servers["eng-1"]
 	s.eventually(func() error {
-		if len(limited.Seen()) == 0 {
+		if len(limited.Received()) == 0 {
 			return trace.Errorf("the server has received no request")
 		}
 		return nil
 	})
-	limited.Limit("1")
+	limited.SetLimit("1")
 	from := time.Now().Add(limitPropagation)
 	s.waitUntil(from.Add(limitWindow + time.Second))
-	limited.Limit("")
+	limited.SetLimit("")
 	s.waitUntil(time.Now().Add(2 * time.Second))
 	for _, d := range daemons {
 		require.NotEmpty(t, d.logLine("instance.limit_lifted", "instance=eng-1"), "%s still applies the limit of the server", d.Name)
 	}
 	replies := l.finish()
 	within := 0
-	for _, received := range limited.SeenSince(from) {
+	for _, received := range limited.ReceivedSince(from) {
 		if received.At.Before(from.Add(limitWindow)) {
 			within++
 		}
@@ -340,7 +340,7 @@
 	limited := s.startThreeServers("", nil)
 	daemons := s.startDaemons(4)
 	require.NoError(t, daemons[3].Freeze())
-	limited.Limit("1")
+	limited.SetLimit("1")
 	s.sendUntilReached(limited, daemons[0])
 	for _, d := range daemons[:3] {
 		s.waitForLog(d, "instance.limited", "instance=cat-1")
@@ -350,7 +350,7 @@
 	l := s.startLoad(daemons)
 	from := time.Now().Add(limitPropagation)
 	s.waitUntil(from.Add(limitWindow + time.Second))
-	require.LessOrEqual(t, limited.MostIn(limitWindow, from), maxRequests(1))
+	require.LessOrEqual(t, limited.MaxReceivedIn(limitWindow, from), maxRequests(1))
 	s.requireAllServed(l.finish())
 }
 
@@ -361,18 +361,18 @@
 		t.Run(perSecond, func(t *testing.T) {
 			t.Parallel()
 			s := newTestbed(t)
-			s.store.Declare(coldStartManifest(5))
+			s.store.PutManifest(coldStartManifest(5))
 			s.startTwoPerDomain()
 			daemons := s.startDaemons(5)
 			cold := s.startCold("hall-a-new", "hall-a", limitPropagation+limitWindow)
-			cold.Limit(perSecond)
+			cold.SetLimit(perSecond)
 			l := s.startLoad(daemons)
 			from := time.Now().Add(limitPropagation)
 			s.waitUntil(from.Add(limitWindow))
 			rate, err := strconv.ParseFloat(perSecond, 64)
 			require.NoError(t, err)
-			require.LessOrEqual(t, cold.MostIn(limitWindow, from), maxRequests(rate))
-			require.False(t, cold.Overrun())
+			require.LessOrEqual(t, cold.MaxReceivedIn(limitWindow, from), maxRequests(rate))
+			require.False(t, cold.Overloaded())
 			s.requireAllServed(l.finish())
 		})
 	}
@@ -385,19 +385,19 @@
 	var limited *platformtest.Server
 	var mu sync.Mutex
 	answers := 0
-	limited = s.startThreeServers("", func(platformtest.Seen) platformtest.Behaviour {
+	limited = s.startThreeServers("", func(platformtest.ReceivedRequest) platformtest.Behaviour {
 		mu.Lock()
 		defer mu.Unlock()
 		answers++
-		limited.Limit([]string{"1", "1.5"}[answers%2])
+		limited.SetLimit([]string{"1", "1.5"}[answers%2])
 		return platformtest.Answer
 	})
-	limited.Limit("1")
+	limited.SetLimit("1")
 	daemons := s.startDaemons(5)
 	l := s.startLoad(daemons)
 	s.sendUntilReached(limited, daemons[0])
 	from := time.Now().Add(limitPropagation)
 	s.waitUntil(from.Add(limitWindow + 2*time.Second))
-	require.LessOrEqual(t, limited.MostIn(limitWindow, from), maxRequests(1))
+	require.LessOrEqual(t, limited.MaxReceivedIn(limitWindow, from), maxRequests(1))
 	s.requireAllServed(l.finish())
 }
--- a/test/routes/path_test.go
+++ b/test/routes/path_test.go
@@ -30,9 +30,9 @@
 	d := s.startReadyDaemon()
 
 	once := s.newCall(pathUnsafe + "?a=1&b=%2F")
-	once.Extra = http.Header{wire.HeaderTenant: {"forged"}, wire.HeaderHold: {"forged"}, "Accept-Language": {"sv"}}
+	once.ExtraHeaders = http.Header{wire.HeaderTenant: {"forged"}, wire.HeaderHold: {"forged"}, "Accept-Language": {"sv"}}
 	s.requireWholeAnswer(once, s.send(once, d), "cat-1")
-	received := s.servers["cat-1"].Seen()[0]
+	received := s.servers["cat-1"].Received()[0]
 	require.Equal(t, pathUnsafe+"?a=1&b=%2F", received.Target)
 	require.Equal(t, "body of a request", received.Body)
 	require.Equal(t, host, received.Host)
@@ -48,7 +48,7 @@
 	reply := s.send(stream, d)
 	require.NoError(t, reply.Err)
 	require.Equal(t, eventStream(stream.ID, 5), reply.Body)
-	require.Equal(t, "small", s.servers["eng-1"].Seen()[0].Model)
+	require.Equal(t, "small", s.servers["eng-1"].Received()[0].Model)
 }
 
 // Guards against a status that misses routes or upstream instances in the output of
@@ -73,7 +73,7 @@
 // Guards against events that are buffered until the stream ends.
 func TestEventsAreStreamed(t *testing.T) {
 	s := newTestbed(t)
-	s.startServer(platformtest.ServerOptions{ID: "eng-1", Service: engineService, Events: 1 << 20, Work: 5 * time.Millisecond})
+	s.startServer(platformtest.ServerOptions{ID: "eng-1", Service: engineService, Events: 1 << 20, Delay: 5 * time.Millisecond})
 	d := s.startReadyDaemon()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -102,8 +102,8 @@
 		"unknown key":      {func(c *platformtest.Call) { c.Key = "none" }, http.StatusUnauthorized},
 		"no key":           {func(c *platformtest.Call) { c.Key = "" }, http.StatusUnauthorized},
 		"long body":        {func(c *platformtest.Call) { c.Body = strings.Repeat("x", 5000) }, http.StatusRequestEntityTooLarge},
-		"long header":      {func(c *platformtest.Call) { c.Extra = http.Header{"X-Long": {strings.Repeat("x", 40000)}} }, http.StatusRequestHeaderFieldsTooLarge},
-		"invalid deadline": {func(c *platformtest.Call) { c.Extra = http.Header{wire.HeaderDeadline: {"soon"}}; c.Patience = 0 }, http.StatusBadRequest},
+		"long header":      {func(c *platformtest.Call) { c.ExtraHeaders = http.Header{"X-Long": {strings.Repeat("x", 40000)}} }, http.StatusRequestHeaderFieldsTooLarge},
+		"invalid deadline": {func(c *platformtest.Call) { c.ExtraHeaders = http.Header{wire.HeaderDeadline: {"soon"}}; c.Timeout = 0 }, http.StatusBadRequest},
 		"malformed prompt": {func(c *platformtest.Call) { c.Prompt = "aa" }, http.StatusBadRequest},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -159,11 +159,11 @@
 // connection must be closed, and one with a request in progress must be kept.
 func TestConnectionTimeoutsFollowConfiguration(t *testing.T) {
 	s := newTestbed(t)
-	s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService, Work: 600 * time.Millisecond})
+	s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService, Delay: 600 * time.Millisecond})
 	d := s.startReadyDaemon()
 	next := newManifest(4)
 	next.Limits.HeaderTimeoutMS, next.Limits.IdleTimeoutMS = 300, 400
-	s.store.Declare(next)
+	s.store.PutManifest(next)
 	s.waitForLog(d, "msg=config.in_force", "version=4")
 
 	head := "POST " + pathUnsafe + " HTTP/1.1\r\nHost: " + host + "\r\n" + wire.HeaderCredential + ": " + key + "\r\n" + wire.HeaderRequestID
@@ -208,7 +208,7 @@
 // connection to the engine must be closed.
 func TestCancelledStreamEndsUpstreamRequest(t *testing.T) {
 	s := newTestbed(t)
-	engine := s.startServer(platformtest.ServerOptions{ID: "eng-1", Service: engineService, Events: 1 << 20, Work: 5 * time.Millisecond})
+	engine := s.startServer(platformtest.ServerOptions{ID: "eng-1", Service: engineService, Events: 1 << 20, Delay: 5 * time.Millisecond})
 	d := s.startReadyDaemon()
 	ctx, cancel := context.WithCancel(context.Background())
 	resp, err := s.newCall(pathStream).Open(ctx, s.client, d.callerAddress)
@@ -234,7 +234,7 @@
 	require.NoError(t, reply.Err)
 	require.Equal(t, eventStream(c.ID, 4), reply.Body)
 	var models []string
-	for _, received := range engine.Seen() {
+	for _, received := range engine.Received() {
 		models = append(models, received.Model)
 	}
 	require.Equal(t, []string{"small", "large"}, models)
--- a/test/routes/poison_test.go
+++ b/test/routes/poison_test.go
@@ -27,7 +27,7 @@
 	c := s.newCall(path)
 	c.Path += "-" + poison
 	c.Body = poison
-	c.Extra = http.Header{"X-Poison": []string{"1"}}
+	c.ExtraHeaders = http.Header{"X-Poison": []string{"1"}}
 	return c
 }
 
@@ -218,7 +218,7 @@
 	s.waitForLog(s.daemons[1], "quarantine.learned", "released=true")
 	for _, d := range s.daemons {
 		c := s.poisonCall(pathStream)
-		c.Extra = nil
+		c.ExtraHeaders = nil
 		reply := s.send(c, d)
 		require.Equal(t, http.StatusOK, reply.Status, reply.Body)
 	}
@@ -234,7 +234,7 @@
 	for range 3 {
 		s.startReadyDaemon()
 	}
-	s.store.SetFault(platformtest.FaultSilent)
+	s.store.SetFault(platformtest.FaultHang)
 	frozen := s.daemons[2]
 	require.NoError(t, frozen.Freeze())
 	ended := p.crashUntilRefused(size, s.daemons[0])
--- a/test/routes/pool_test.go
+++ b/test/routes/pool_test.go
@@ -52,9 +52,9 @@
 	id := fmt.Sprint(p.service, "-", p.next)
 	var server *platformtest.Server
 	server = platformtest.NewServer(platformtest.ServerOptions{
-		ID: id, Service: p.service, Version: "v1", Slots: 8, Work: 20 * time.Millisecond, Events: p.events,
+		ID: id, Service: p.service, Version: "v1", Slots: 8, Delay: 20 * time.Millisecond, Events: p.events,
 		Confidence: map[string]int{"small": 90},
-		Behave: func(received platformtest.Seen) platformtest.Behaviour {
+		Behave: func(received platformtest.ReceivedRequest) platformtest.Behaviour {
 			if received.Header.Get("X-Poison") != "" {
 				p.mu.Lock()
 				defer p.mu.Unlock()
@@ -63,7 +63,7 @@
 			}
 			return platformtest.Answer
 		},
-		Crashed: func() { p.replace(id, server) },
+		OnCrash: func() { p.replace(id, server) },
 	})
 	server.Register(p.store, wire.StateReady)
 	p.live = append(p.live, server)
@@ -93,7 +93,7 @@
 	lost = append(lost, p.live[:n]...)
 	p.mu.Unlock()
 	for _, server := range lost {
-		p.wg.Go(server.Lose)
+		p.wg.Go(server.Kill)
 	}
 }
 
--- a/test/routes/restore_test.go
+++ b/test/routes/restore_test.go
@@ -40,26 +40,26 @@
 // newTestbedAheadOfBackup returns a testbed with three servers, of which first is one, and a
 // backup of its store. The store has written more than 32 revisions since the backup, and the
 // daemons have read them.
-func newTestbedAheadOfBackup(t *testing.T) (s *testbed, first *platformtest.Server, daemons []*daemon, backup platformtest.Copy) {
+func newTestbedAheadOfBackup(t *testing.T) (s *testbed, first *platformtest.Server, daemons []*daemon, backup platformtest.Backup) {
 	s = newTestbed(t)
 	first = s.startThreeServers("", nil)
-	backup = s.store.Copy()
+	backup = s.store.Backup()
 	daemons = s.startDaemons(3)
 	s.raiseRevision(32)
-	s.store.Declare(newManifest(5))
+	s.store.PutManifest(newManifest(5))
 	s.waitUpToDate(daemons)
 	return s, first, daemons, backup
 }
 
 // restoreAfterOutage resets connections to the store until the given daemons have lost it,
 // then restores a backup and ends the outage.
-func (s *testbed) restoreAfterOutage(from platformtest.Copy, daemons ...*daemon) {
+func (s *testbed) restoreAfterOutage(from platformtest.Backup, daemons ...*daemon) {
 	s.t.Helper()
 	s.store.SetFault(platformtest.FaultReset)
 	for _, d := range daemons {
 		s.waitForLog(d, "store.lost")
 	}
-	s.store.RestoreFrom(from)
+	s.store.RestoreBackup(from)
 	s.store.SetFault(platformtest.FaultNone)
 }
 
@@ -71,7 +71,7 @@
 	bound := time.Now().Add(leavePropagation)
 	s.waitUntil(bound.Add(2 * time.Second))
 	s.requireAllServed(l.finish())
-	require.Empty(s.t, server.SeenSince(bound), "requests at a server that is leaving or gone")
+	require.Empty(s.t, server.ReceivedSince(bound), "requests at a server that is leaving or gone")
 }
 
 // Guards against a draining server that daemons do not notice: the store was restored from a
@@ -79,7 +79,7 @@
 func TestServerLeavesAfterStoreRestore(t *testing.T) {
 	s, leaving, daemons, backup := newTestbedAheadOfBackup(t)
 	s.restoreAfterOutage(backup, daemons[0])
-	s.store.Declare(newManifest(5))
+	s.store.PutManifest(newManifest(5))
 	l := s.startLoad(daemons)
 	s.requireNoneAfterLeaving(leaving, l)
 }
@@ -90,12 +90,12 @@
 	s, leaving, daemons, backup := newTestbedAheadOfBackup(t)
 	s.restoreAfterOutage(backup, daemons[0])
 	s.raiseRevision(16)
-	s.store.Declare(newManifest(7))
+	s.store.PutManifest(newManifest(7))
 	for _, d := range daemons {
 		s.waitForLog(d, "config.in_force", "version=7 ")
 	}
-	s.store.RestoreFrom(backup)
-	s.store.Declare(newManifest(7))
+	s.store.RestoreBackup(backup)
+	s.store.PutManifest(newManifest(7))
 	l := s.startLoad(daemons)
 	s.requireNoneAfterLeaving(leaving, l)
 }
@@ -106,7 +106,7 @@
 	s, leaving, daemons, backup := newTestbedAheadOfBackup(t)
 	require.NoError(t, daemons[2].Freeze())
 	s.restoreAfterOutage(backup, daemons[0])
-	s.store.Declare(newManifest(5))
+	s.store.PutManifest(newManifest(5))
 	daemons[2].Wake()
 	l := s.startLoad(daemons)
 	s.requireNoneAfterLeaving(leaving, l)
@@ -117,7 +117,7 @@
 	s := newTestbed(t)
 	gone := s.startThreeServers("", nil)
 	daemons := s.startDaemons(3)
-	backup := s.store.Copy()
+	backup := s.store.Backup()
 	s.store.Remove(wire.TableInstances, "cat-1")
 	for _, d := range daemons {
 		s.waitUnlisted(d, "cat-1")
@@ -130,7 +130,7 @@
 	s.store.Remove(wire.TableInstances, "cat-1")
 	s.waitUntil(from.Add(3 * time.Second))
 	s.requireAllServed(l.finish())
-	require.Empty(t, gone.SeenSince(from), "requests at a server that is leaving or gone")
+	require.Empty(t, gone.ReceivedSince(from), "requests at a server that is leaving or gone")
 }
 
 // Guards against running servers that are treated as gone because the restored backup does not
@@ -138,11 +138,11 @@
 func TestServersMissingFromBackupAreUsed(t *testing.T) {
 	s := newTestbed(t)
 	daemons := s.startDaemons(1)
-	backup := s.store.Copy()
+	backup := s.store.Backup()
 	s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService})
 	s.waitListed(daemons, "cat-1")
 	// There is no outage that daemons could notice.
-	s.store.RestoreFrom(backup)
+	s.store.RestoreBackup(backup)
 	l := s.startLoad(daemons)
 	s.waitUntil(time.Now().Add(time.Second))
 	s.servers["cat-1"].Register(s.store, wire.StateReady)
@@ -156,17 +156,17 @@
 func TestConfigurationAfterStoreRestore(t *testing.T) {
 	s := newTestbed(t)
 	s.startThreeServers("", nil)
-	backup := s.store.Copy()
+	backup := s.store.Backup()
 	daemons := s.startDaemons(3)
 	s.raiseRevision(60)
-	s.store.Declare(newManifest(5))
+	s.store.PutManifest(newManifest(5))
 	s.waitUpToDate(daemons)
 	s.restoreAfterOutage(backup, daemons[0])
 	before, _ := s.store.Counts()
 	back := time.Now()
 	l := s.startLoad(daemons)
 	s.waitUntil(back.Add(2 * time.Second))
-	s.store.Declare(newManifest(7))
+	s.store.PutManifest(newManifest(7))
 	for _, d := range daemons {
 		s.waitForLog(d, "config.in_force", "version=7 ")
 	}
@@ -189,9 +189,9 @@
 	for _, d := range daemons {
 		s.waitEvacuated(d, "hall-c")
 	}
-	backup := s.store.Copy()
+	backup := s.store.Backup()
 	s.store.Evacuate("hall-b")
-	s.store.Restore("hall-c")
+	s.store.EndEvacuation("hall-c")
 	for _, d := range daemons {
 		s.waitEvacuated(d, "hall-b")
 		s.waitForLog(d, "evacuation.lifted", "failure_domain=hall-c")
@@ -202,7 +202,7 @@
 	l := s.startLoad(daemons)
 	s.waitUntil(time.Now().Add(1500 * time.Millisecond))
 	s.store.Evacuate("hall-b")
-	s.store.Restore("hall-c")
+	s.store.EndEvacuation("hall-c")
 	s.waitUntil(time.Now().Add(4 * time.Second))
 	s.requireAllServed(l.finish())
 	require.Equal(t, before, s.requestsIn("hall-b"), "requests in an evacuated failure domain")
@@ -218,7 +218,7 @@
 	s := newTestbed(t)
 	s.startTwoPerDomain()
 	daemons := s.startDaemons(2)
-	backup := s.store.Copy()
+	backup := s.store.Backup()
 	s.store.Evacuate("hall-b")
 	for _, d := range daemons {
 		s.waitEvacuated(d, "hall-b")
@@ -238,13 +238,13 @@
 			s.startServer(platformtest.ServerOptions{ID: fmt.Sprintf("cat-%s-%d", version, n), Service: plainService, Version: version})
 		}
 	}
-	backup := s.store.Copy()
+	backup := s.store.Backup()
 	daemons := s.startDaemons(3)
 	l := s.startLoad(daemons)
 	s.raiseRevision(5)
-	s.store.Order(plainService, "v2", 6*time.Second)
+	s.store.OrderRollout(plainService, "v2", 6*time.Second)
 	complete := func() error {
-		if state := s.store.Rollout(plainService); state != "completed" {
+		if state := s.store.RolloutState(plainService); state != "completed" {
 			return trace.Errorf("the stored roll-out state is %q", state)
 		}
 		return nil
@@ -252,11 +252,11 @@
 	s.eventually(complete)
 	s.restoreAfterOutage(backup, daemons[0])
 	from := time.Now()
-	s.store.Order(plainService, "v2", 6*time.Second)
+	s.store.OrderRollout(plainService, "v2", 6*time.Second)
 	s.eventually(complete)
 	s.requireAllServed(l.finish())
 	for n := range 2 {
-		require.Empty(t, s.servers[fmt.Sprint("cat-v1-", n)].SeenSince(from), "requests at the old version")
+		require.Empty(t, s.servers[fmt.Sprint("cat-v1-", n)].ReceivedSince(from), "requests at the old version")
 	}
 }
 
@@ -265,7 +265,7 @@
 func TestDaemonRowsAreRewrittenAfterStoreRestore(t *testing.T) {
 	s := newTestbed(t)
 	s.startThreeServers("", nil)
-	backup := s.store.Copy()
+	backup := s.store.Backup()
 	first := s.startReadyDaemon()
 	s.waitForLog(first, "daemon.announced")
 	s.restoreAfterOutage(backup, first)
@@ -283,7 +283,7 @@
 	s := newTestbed(t)
 	s.startThreeServers("", nil)
 	daemons := s.startDaemons(3)
-	s.store.Forget()
+	s.store.DisableHistory()
 	for _, d := range daemons[:1] {
 		s.waitForLog(d, "store.history_gone")
 	}
@@ -291,7 +291,7 @@
 	s.waitUntil(time.Now().Add(2 * time.Second))
 	after, _ := s.store.Counts()
 	require.Less(t, after-before, 100, "reads in 2 s")
-	s.store.Declare(newManifest(7))
+	s.store.PutManifest(newManifest(7))
 	for _, d := range daemons {
 		s.waitForLog(d, "config.in_force", "version=7 ")
 	}
--- a/test/routes/rollout_test.go
+++ b/test/routes/rollout_test.go
@@ -37,7 +37,7 @@
 func (s *testbed) waitRolloutState(service, state string) {
 	s.t.Helper()
 	s.eventually(func() error {
-		if got := s.store.Rollout(service); got != state {
+		if got := s.store.RolloutState(service); got != state {
 			return trace.Errorf("the stored roll-out state is %q, want %q", got, state)
 		}
 		return nil
@@ -48,20 +48,20 @@
 // requests at the old version after it has.
 func TestGoodVersionIsRolledOut(t *testing.T) {
 	s := newTestbed(t)
-	old := s.startServer(platformtest.ServerOptions{ID: "old", Service: engineService, Events: 3, Work: time.Millisecond})
+	old := s.startServer(platformtest.ServerOptions{ID: "old", Service: engineService, Events: 3, Delay: time.Millisecond})
 	s.startReadyDaemon()
 	s.startReadyDaemon()
 	stop := s.startSessions(4)
 	defer stop()
-	s.startServer(platformtest.ServerOptions{ID: "new", Service: engineService, Version: "v2", Events: 3, Work: time.Millisecond})
-	s.store.Order(engineService, "v2", rolloutTime)
+	s.startServer(platformtest.ServerOptions{ID: "new", Service: engineService, Version: "v2", Events: 3, Delay: time.Millisecond})
+	s.store.OrderRollout(engineService, "v2", rolloutTime)
 	s.waitRolloutState(engineService, "running")
 	s.waitRolloutState(engineService, "completed")
-	before := len(old.Seen())
+	before := len(old.Received())
 	for range 20 {
 		require.Equal(t, http.StatusOK, s.send(s.newCall(pathStream), s.daemons[0]).Status)
 	}
-	require.Len(t, old.Seen(), before)
+	require.Len(t, old.Received(), before)
 }
 
 // Guards against a version that fails its requests and is not rolled back, or gets requests
@@ -69,13 +69,13 @@
 // one must continue from the stored state.
 func TestBadVersionIsRolledBack(t *testing.T) {
 	s := newTestbed(t)
-	s.startServer(platformtest.ServerOptions{ID: "old", Service: engineService, Events: 3, Work: time.Millisecond})
+	s.startServer(platformtest.ServerOptions{ID: "old", Service: engineService, Events: 3, Delay: time.Millisecond})
 	first, second := s.startReadyDaemon(), s.startReadyDaemon()
 	s.waitForDirectory(first, 2)
 	stop := s.startSessions(4)
 	defer stop()
 	bad := s.startServer(platformtest.ServerOptions{ID: "new", Service: engineService, Version: "v2", Events: 3, Behave: always(platformtest.Fail)})
-	s.store.Order(engineService, "v2", rolloutTime)
+	s.store.OrderRollout(engineService, "v2", rolloutTime)
 	s.waitRolloutState(engineService, "running")
 	holder := first
 	s.eventually(func() error {
@@ -89,7 +89,7 @@
 	})
 	holder.Kill()
 	s.waitRolloutState(engineService, "rolled_back")
-	before := len(bad.Seen())
+	before := len(bad.Received())
 	survivor := first
 	if holder == first {
 		survivor = second
@@ -97,7 +97,7 @@
 	for range 20 {
 		require.Equal(t, http.StatusOK, s.send(s.newCall(pathStream), survivor).Status)
 	}
-	require.Len(t, bad.Seen(), before)
+	require.Len(t, bad.Received(), before)
 }
 
 // Guards against sessions at a rolled-back version, whose servers still run, during the
@@ -105,29 +105,29 @@
 // that roll-out.
 func TestRolledBackVersionGetsNoRequestsInNextRollout(t *testing.T) {
 	s := newTestbed(t)
-	s.startServer(platformtest.ServerOptions{ID: "old", Service: engineService, Events: 3, Work: time.Millisecond})
+	s.startServer(platformtest.ServerOptions{ID: "old", Service: engineService, Events: 3, Delay: time.Millisecond})
 	s.startReadyDaemon()
 	stop := s.startSessions(4)
 	defer stop()
 	bad := s.startServer(platformtest.ServerOptions{ID: "bad", Service: engineService, Version: "v2", Events: 3, Behave: always(platformtest.Fail)})
-	s.store.Order(engineService, "v2", rolloutTime)
+	s.store.OrderRollout(engineService, "v2", rolloutTime)
 	s.waitRolloutState(engineService, "rolled_back")
-	before := len(bad.Seen())
-	s.startServer(platformtest.ServerOptions{ID: "next", Service: engineService, Version: "v3", Events: 3, Work: time.Millisecond})
-	s.store.Order(engineService, "v3", rolloutTime)
+	before := len(bad.Received())
+	s.startServer(platformtest.ServerOptions{ID: "next", Service: engineService, Version: "v3", Events: 3, Delay: time.Millisecond})
+	s.store.OrderRollout(engineService, "v3", rolloutTime)
 	s.waitRolloutState(engineService, "completed")
-	require.Len(t, bad.Seen(), before)
+	require.Len(t, bad.Received(), before)
 }
 
 // Guards against requests that are refused when the few instances of a new version are all
 // gone. The old version must answer them.
 func TestNewVersionIsUnreachable(t *testing.T) {
 	s := newTestbed(t)
-	s.startServer(platformtest.ServerOptions{ID: "old", Service: engineService, Events: 3, Work: time.Millisecond})
+	s.startServer(platformtest.ServerOptions{ID: "old", Service: engineService, Events: 3, Delay: time.Millisecond})
 	d := s.startReadyDaemon()
 	dead := s.startServer(platformtest.ServerOptions{ID: "new", Service: engineService, Version: "v2", Events: 3})
 	dead.Close()
-	s.store.Order(engineService, "v2", rolloutTime)
+	s.store.OrderRollout(engineService, "v2", rolloutTime)
 	s.waitForLog(d, "msg=rollout.state", "share=0.045")
 	for range 60 {
 		reply := s.send(s.newCall(pathStream), d)
@@ -141,11 +141,11 @@
 // the killed holder expired.
 func TestAllDaemonsRestartAfterRollout(t *testing.T) {
 	s := newTestbed(t)
-	old := s.startServer(platformtest.ServerOptions{ID: "old", Service: engineService, Events: 3, Work: time.Millisecond})
+	old := s.startServer(platformtest.ServerOptions{ID: "old", Service: engineService, Events: 3, Delay: time.Millisecond})
 	first := s.startReadyDaemon()
 	stop := s.startSessions(2)
-	s.startServer(platformtest.ServerOptions{ID: "new", Service: engineService, Version: "v2", Events: 3, Work: time.Millisecond})
-	s.store.Order(engineService, "v2", rolloutTime)
+	s.startServer(platformtest.ServerOptions{ID: "new", Service: engineService, Version: "v2", Events: 3, Delay: time.Millisecond})
+	s.store.OrderRollout(engineService, "v2", rolloutTime)
 	s.waitRolloutState(engineService, "completed")
 	stop()
 	s.store.Remove(wire.TableInstances, "old")
@@ -163,10 +163,10 @@
 // own start reported the result late.
 func TestDaemonRestartsDuringRollout(t *testing.T) {
 	s := newTestbed(t)
-	s.startServer(platformtest.ServerOptions{ID: "old", Service: engineService, Events: 3, Work: time.Millisecond})
+	s.startServer(platformtest.ServerOptions{ID: "old", Service: engineService, Events: 3, Delay: time.Millisecond})
 	first := s.startReadyDaemon()
-	s.startServer(platformtest.ServerOptions{ID: "new", Service: engineService, Version: "v2", Events: 3, Work: time.Millisecond})
-	s.store.Order(engineService, "v2", rolloutTime)
+	s.startServer(platformtest.ServerOptions{ID: "new", Service: engineService, Version: "v2", Events: 3, Delay: time.Millisecond})
+	s.store.OrderRollout(engineService, "v2", rolloutTime)
 	s.waitForLog(first, "msg=rollout.state", "share=0.045")
 	first.Kill()
 	s.daemons = nil
@@ -184,7 +184,7 @@
 // peers. Without that, the lease expired and another daemon acquired it seven seconds later.
 func TestLeaseHolderLosesStore(t *testing.T) {
 	s := newTestbed(t)
-	s.startServer(platformtest.ServerOptions{ID: "old", Service: engineService, Events: 3, Work: time.Millisecond})
+	s.startServer(platformtest.ServerOptions{ID: "old", Service: engineService, Events: 3, Delay: time.Millisecond})
 	proxies := map[*daemon]*cluster.Proxy{}
 	for range 3 {
 		proxy, err := cluster.NewProxy(s.storeAddress)
@@ -195,8 +195,8 @@
 		s.waitForLog(d, "msg=daemon.offered")
 	}
 	s.waitForDirectory(s.daemons[0], 3)
-	s.startServer(platformtest.ServerOptions{ID: "new", Service: engineService, Version: "v2", Events: 3, Work: time.Millisecond})
-	s.store.Order(engineService, "v2", rolloutTime)
+	s.startServer(platformtest.ServerOptions{ID: "new", Service: engineService, Version: "v2", Events: 3, Delay: time.Millisecond})
+	s.store.OrderRollout(engineService, "v2", rolloutTime)
 	s.waitRolloutState(engineService, "running")
 	holders := func() (out []*daemon) {
 		for _, d := range s.daemons {
@@ -220,19 +220,19 @@
 // the outage and beyond. All daemons must stop using it, including those that saw no failure.
 func TestBadVersionStopsWithoutLeaseHolderAndStore(t *testing.T) {
 	s := newTestbed(t)
-	s.startServer(platformtest.ServerOptions{ID: "old", Service: engineService, Events: 3, Work: time.Millisecond})
+	s.startServer(platformtest.ServerOptions{ID: "old", Service: engineService, Events: 3, Delay: time.Millisecond})
 	all := []*daemon{s.startReadyDaemon(), s.startReadyDaemon(), s.startReadyDaemon()}
 	s.waitForDirectory(all[0], 3)
 	var failing atomic.Bool
 	bad := s.startServer(platformtest.ServerOptions{ID: "new", Service: engineService, Version: "v2", Events: 3,
-		Behave: func(platformtest.Seen) platformtest.Behaviour {
+		Behave: func(platformtest.ReceivedRequest) platformtest.Behaviour {
 			if failing.Load() {
 				return platformtest.Fail
 			}
 			return platformtest.Answer
 		}})
 	const long = time.Minute
-	s.store.Order(engineService, "v2", long)
+	s.store.OrderRollout(engineService, "v2", long)
 	s.waitRolloutState(engineService, "running")
 	var holder *daemon
 	s.eventually(func() error {
@@ -258,9 +258,9 @@
 		}
 		return nil
 	})
-	before := len(bad.Seen())
+	before := len(bad.Received())
 	for range 60 {
 		require.Equal(t, http.StatusOK, s.send(s.newCall(pathStream), idle).Status)
 	}
-	require.Len(t, bad.Seen(), before)
+	require.Len(t, bad.Received(), before)
 }
--- a/test/routes/server_words_test.go
+++ b/test/routes/server_words_test.go
@@ -16,8 +16,8 @@
 
 // startThreeServers starts three servers of the plain service and returns the first one, which
 // has the given RetryAfter and Behave.
-func (s *testbed) startThreeServers(retryAfter string, behave func(platformtest.Seen) platformtest.Behaviour) *platformtest.Server {
-	first := s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService, Rest: retryAfter, Behave: behave})
+func (s *testbed) startThreeServers(retryAfter string, behave func(platformtest.ReceivedRequest) platformtest.Behaviour) *platformtest.Server {
+	first := s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService, RetryAfter: retryAfter, Behave: behave})
 	s.startServer(platformtest.ServerOptions{ID: "cat-2", Service: plainService})
 	s.startServer(platformtest.ServerOptions{ID: "cat-3", Service: plainService})
 	return first
@@ -28,21 +28,21 @@
 func (s *testbed) requireServedWithout(server *platformtest.Server, d *daemon) {
 	s.t.Helper()
 	const requests = 40
-	before := len(server.Seen())
+	before := len(server.Received())
 	for range requests {
 		reply := s.send(s.newCall(pathSafe), d)
 		require.Equal(s.t, http.StatusOK, reply.Status, reply.Body)
 	}
-	require.Equal(s.t, before, len(server.Seen()), "requests at the server")
+	require.Equal(s.t, before, len(server.Received()), "requests at the server")
 }
 
 // sendUntilReached sends requests through a daemon until one reaches the given server.
 func (s *testbed) sendUntilReached(server *platformtest.Server, d *daemon) {
 	s.t.Helper()
-	before := len(server.Seen())
+	before := len(server.Received())
 	s.eventually(func() error {
 		s.send(s.newCall(pathSafe), d)
-		if len(server.Seen()) == before {
+		if len(server.Received()) == before {
 			return trace.Errorf("the server has received no request")
 		}
 		return nil
@@ -58,21 +58,21 @@
 	s := newTestbed(t)
 	leaving := s.startThreeServers("", nil)
 	d := s.startReadyDaemon()
-	s.store.SetFault(platformtest.FaultSilent)
+	s.store.SetFault(platformtest.FaultHang)
 	leaving.Leave()
 	s.sendUntilReached(leaving, d)
 	s.requireServedWithout(leaving, d)
 
 	s.store.SetFault(platformtest.FaultNone)
 	leaving.Register(s.store, wire.StateReady)
-	s.store.Declare(newManifest(5))
+	s.store.PutManifest(newManifest(5))
 	s.waitForLog(d, "config.in_force", "version=5 ")
 	s.requireServedWithout(leaving, d)
 
 	s.store.Remove(wire.TableInstances, "cat-1")
 	s.waitUnlisted(d, "cat-1")
 	leaving.Register(s.store, wire.StateReady)
-	s.store.Declare(newManifest(7))
+	s.store.PutManifest(newManifest(7))
 	s.waitForLog(d, "config.in_force", "version=7 ")
 	s.startServer(platformtest.ServerOptions{ID: "cat-4", Service: plainService})
 	s.sendUntilReached(s.servers["cat-4"], d)
@@ -96,7 +96,7 @@
 // daemon went on sending it a third of all its requests, each of which it refused.
 func TestRetryAfterIsObeyed(t *testing.T) {
 	s := newTestbed(t)
-	busy := s.startThreeServers("3", firstOnly(platformtest.Rest))
+	busy := s.startThreeServers("3", firstOnly(platformtest.RefuseWithRetryAfter))
 	d := s.startReadyDaemon()
 	s.sendUntilReached(busy, d)
 	s.requireServedWithout(busy, d)
@@ -108,7 +108,7 @@
 	for _, retryAfter := range []string{"0.2", "-5", "soon", "NaN"} {
 		t.Run(retryAfter, func(t *testing.T) {
 			s := newTestbed(t)
-			busy := s.startThreeServers(retryAfter, firstOnly(platformtest.Rest))
+			busy := s.startThreeServers(retryAfter, firstOnly(platformtest.RefuseWithRetryAfter))
 			d := s.startReadyDaemon()
 			s.sendUntilReached(busy, d)
 			s.sendUntilReached(busy, d)
@@ -122,12 +122,12 @@
 func TestAllServersSendRetryAfter(t *testing.T) {
 	s := newTestbed(t)
 	for id, retryAfter := range map[string]string{"cat-1": "30", "cat-2": "7.5"} {
-		s.startServer(platformtest.ServerOptions{ID: id, Service: plainService, Rest: retryAfter, Behave: always(platformtest.Rest)})
+		s.startServer(platformtest.ServerOptions{ID: id, Service: plainService, RetryAfter: retryAfter, Behave: always(platformtest.RefuseWithRetryAfter)})
 	}
 	d := s.startReadyDaemon()
 	s.eventually(func() error {
 		s.send(s.newCall(pathSafe), d)
-		if len(s.servers["cat-1"].Seen()) == 0 || len(s.servers["cat-2"].Seen()) == 0 {
+		if len(s.servers["cat-1"].Received()) == 0 || len(s.servers["cat-2"].Received()) == 0 {
 			return trace.Errorf("a server has received no request yet")
 		}
 		return nil
@@ -140,7 +140,7 @@
 	require.NoError(t, err)
 	require.InDelta(t, 7.5, after, 5)
 	for _, server := range s.servers {
-		require.Len(t, server.Seen(), 1)
+		require.Len(t, server.Received(), 1)
 	}
 }
 
@@ -150,7 +150,7 @@
 	s := newTestbed(t)
 	leaving := s.startThreeServers("", nil)
 	first, second := s.startReadyDaemon(), s.startReadyDaemon()
-	s.store.SetFault(platformtest.FaultSilent)
+	s.store.SetFault(platformtest.FaultHang)
 	leaving.Leave()
 	s.sendUntilReached(leaving, first)
 	s.waitForLog(second, "instance.leaving", "instance=cat-1")
--- a/test/routes/soak_test.go
+++ b/test/routes/soak_test.go
@@ -115,7 +115,7 @@
 		version: 3, ended: make(chan struct{}), serverIDs: map[string]string{}, leaving: map[*platformtest.Server]int{},
 		limited: map[*platformtest.Server]int{}, requestsWhileLimited: map[*platformtest.Server]int{},
 	}
-	s.store.Declare(s.manifest())
+	s.store.PutManifest(s.manifest())
 	for i := range 3 {
 		s.startSoakServer(fmt.Sprint("cat-", i), c.seed, 0)
 		s.startSoakServer(fmt.Sprint("eng-", i), c.seed, 0)
@@ -148,7 +148,7 @@
 func (s *soak) startSoakServer(place string, seed uint64, cold time.Duration) {
 	s.mu.Lock()
 	s.serversStarted++
-	o := platformtest.ServerOptions{ID: fmt.Sprint(place, "-", s.serversStarted), Service: plainService, Work: 5 * time.Millisecond, Rest: soakRetryAfter, Cold: cold, ColdPerS: coldCrashRate}
+	o := platformtest.ServerOptions{ID: fmt.Sprint(place, "-", s.serversStarted), Service: plainService, Delay: 5 * time.Millisecond, RetryAfter: soakRetryAfter, ColdTime: cold, ColdPerS: coldCrashRate}
 	if strings.HasSuffix(place, "-0") {
 		o.FailureDomain = soakDomain
 	}
@@ -157,15 +157,15 @@
 	}
 	s.serverIDs[place] = o.ID
 	s.mu.Unlock()
-	o.Crashed = func() { s.replaceServer(place, seed) }
+	o.OnCrash = func() { s.replaceServer(place, seed) }
 	bad := []platformtest.Behaviour{
 		platformtest.Refuse, platformtest.Fail, platformtest.Reset, platformtest.Truncate,
-		platformtest.Extra, platformtest.NoLength, platformtest.Early, platformtest.Rest,
+		platformtest.DuplicateAnswer, platformtest.NoLength, platformtest.RefuseEarly, platformtest.RefuseWithRetryAfter,
 	}
 	if o.Events > 0 {
-		bad = []platformtest.Behaviour{platformtest.Refuse, platformtest.Fail, platformtest.Reset, platformtest.CutInside, platformtest.Rest}
+		bad = []platformtest.Behaviour{platformtest.Refuse, platformtest.Fail, platformtest.Reset, platformtest.CutInsideEvent, platformtest.RefuseWithRetryAfter}
 	}
-	o.Behave = func(received platformtest.Seen) platformtest.Behaviour {
+	o.Behave = func(received platformtest.ReceivedRequest) platformtest.Behaviour {
 		if received.Header.Get("X-Poison") != "" {
 			return platformtest.Crash
 		}
@@ -321,14 +321,14 @@
 		}
 	case 6:
 		s.store.SetFault([]platformtest.Fault{
-			platformtest.FaultRefuse, platformtest.FaultBusy, platformtest.FaultReset, platformtest.FaultSilent, platformtest.FaultLoseAnswer,
+			platformtest.FaultRefuse, platformtest.FaultBusy, platformtest.FaultReset, platformtest.FaultHang, platformtest.FaultLoseAnswer,
 		}[s.random.IntN(5)])
 		s.undoLater(func() { s.store.SetFault(platformtest.FaultNone) })
 	case 7:
 		s.store.Compact()
 	case 8:
 		s.version += 1 + s.random.Int64N(3)
-		s.store.Declare(s.manifest())
+		s.store.PutManifest(s.manifest())
 	case 9:
 		place := s.drawPlace()
 		s.store.Remove(wire.TableInstances, s.serverIDAt(place))
@@ -336,14 +336,14 @@
 	case 10:
 		d.Signal(1)
 	case 11:
-		s.store.LoseHeld()
+		s.store.HangWaitingFeeds()
 	case 12:
 		s.undoing.Go(s.repeatPoisonCall)
 	case 13:
 		s.leaveServer(s.drawPlace())
 	case 14:
 		s.store.Evacuate(soakDomain)
-		s.undoLater(func() { s.store.Restore(soakDomain) })
+		s.undoLater(func() { s.store.EndEvacuation(soakDomain) })
 	case 15:
 		s.limitServer(s.drawPlace())
 	case 16:
@@ -354,15 +354,15 @@
 // restoreStore restores the store from a backup after an outage. The operator and the servers
 // then write the lost rows again.
 func (s *soak) restoreStore() {
-	backup := s.store.Copy()
+	backup := s.store.Backup()
 	s.undoing.Go(func() {
 		<-time.After(soakBackupAge)
 		s.store.SetFault(platformtest.FaultReset)
 		<-time.After(soakOutage)
-		lost := s.store.RestoreFrom(backup)
+		lost := s.store.RestoreBackup(backup)
 		s.store.SetFault(platformtest.FaultNone)
 		<-time.After(soakOutage)
-		s.store.WriteAgain(lost)
+		s.store.Rewrite(lost)
 	})
 }
 
@@ -375,16 +375,16 @@
 		s.mu.Unlock()
 		return
 	}
-	s.limited[server] = len(server.Seen())
+	s.limited[server] = len(server.Received())
 	s.mu.Unlock()
-	server.Limit(fmt.Sprint(s.random.IntN(3)))
-	s.undoLater(func() { server.Limit("0.5") })
+	server.SetLimit(fmt.Sprint(s.random.IntN(3)))
+	s.undoLater(func() { server.SetLimit("0.5") })
 	s.undoLater(func() {
 		s.mu.Lock()
 		since := s.limited[server]
-		s.requestsWhileLimited[server] = len(server.Seen()) - since
+		s.requestsWhileLimited[server] = len(server.Received()) - since
 		s.mu.Unlock()
-		server.Limit("")
+		server.SetLimit("")
 	})
 }
 
@@ -431,7 +431,7 @@
 		s.mu.Unlock()
 		return
 	}
-	s.leaving[server] = len(server.Seen())
+	s.leaving[server] = len(server.Received())
 	s.mu.Unlock()
 	server.Leave()
 	s.startSoakServer(place, s.seed, soakColdTime)
@@ -451,7 +451,7 @@
 	live := append([]*daemon{}, s.live...)
 	s.mu.Unlock()
 	s.version++
-	s.store.Declare(s.manifest())
+	s.store.PutManifest(s.manifest())
 	for _, d := range live {
 		s.waitForLog(d, "msg=config.in_force", fmt.Sprint("version=", s.version, " "))
 		s.eventually(func() error {
@@ -468,7 +468,7 @@
 // live daemon.
 func (s *soak) requireEvacuation() {
 	s.store.Evacuate(soakDomain)
-	defer s.store.Restore(soakDomain)
+	defer s.store.EndEvacuation(soakDomain)
 	s.mu.Lock()
 	live := append([]*daemon{}, s.live...)
 	s.mu.Unlock()
@@ -513,7 +513,7 @@
 	n := 0
 	for id, server := range s.servers {
 		if strings.HasPrefix(id, "cat-0") || strings.HasPrefix(id, "eng-0") {
-			n += len(server.Seen())
+			n += len(server.Received())
 		}
 	}
 	return n
@@ -527,7 +527,7 @@
 	require.LessOrEqual(s.t, s.serversCrashed, maxSoakCrashes, "servers crashed by the poison request")
 	for server, before := range s.leaving {
 		// The requests that each daemon had in progress when it got the first such answer.
-		require.LessOrEqual(s.t, len(server.Seen())-before, soakWorkers*s.daemonsStarted, "requests at a leaving server")
+		require.LessOrEqual(s.t, len(server.Received())-before, soakWorkers*s.daemonsStarted, "requests at a leaving server")
 	}
 	for _, got := range s.requestsWhileLimited {
 		// The requests that each daemon had in progress when it got the first answer with a
@@ -536,9 +536,9 @@
 		require.LessOrEqual(s.t, got, soakWorkers*s.daemonsStarted+maxRequests(2), "requests at a server with a rate limit")
 	}
 	for id, server := range s.servers {
-		require.False(s.t, server.Overrun(), "%s crashed because it received too many requests while it was cold", id)
-		for _, received := range server.Seen() {
-			if received.Behaviour.Ran() {
+		require.False(s.t, server.Overloaded(), "%s crashed because it received too many requests while it was cold", id)
+		for _, received := range server.Received() {
+			if received.Behaviour.Runs() {
 				runs[received.ID]++
 			}
 			require.Equal(s.t, "visrad", received.Organisation)
