--- a/test/capacity/process.go
+++ b/test/capacity/process.go
@@ -48,7 +48,7 @@
 			Instance: fmt.Sprintf("engine-%d", i),
 			Profiles: map[string]standin.VersionProfile{"notes-large@1": {}}, Serving: []string{"notes-large@1"},
 		}
-		if _, err := c.Engine(o, "a", nil); err != nil {
+		if _, err := c.StartEngine(o, "a", nil); err != nil {
 			return idleCost{}, err
 		}
 	}
@@ -65,7 +65,7 @@
 	if err != nil {
 		return idleCost{}, err
 	}
-	if err := c.Settle(c.Daemons, upstreams); err != nil {
+	if err := c.WaitReady(c.Daemons, upstreams); err != nil {
 		return idleCost{}, err
 	}
 	return observeIdle(c)
--- a/test/cluster/client.go
+++ b/test/cluster/client.go
@@ -17,14 +17,14 @@
 
 // ChatRequest is a request for a chat completion. Kind, IdempotencyKey, Session and
 // DeadlineMS are sent as headers, unless they are empty.
-type Ask struct {
-	APIKey  string
-	Model   string
-	Prompt  string
-	Kind    string
-	Key     string
-	Session string
-	Stream  bool
+type ChatRequest struct {
+	APIKey         string
+	Model          string
+	Prompt         string
+	Kind           string
+	IdempotencyKey string
+	Session        string
+	Stream         bool
 	// DeadlineMS is the deadline in milliseconds, as text.
 	DeadlineMS string
 }
@@ -44,13 +44,13 @@
 }
 
 // Complete reports whether the caller received a complete answer without error.
-func (r Reply) Whole() bool { return r.Err == nil && r.Done }
+func (r Reply) Complete() bool { return r.Err == nil && r.Done }
 
 // RequestID returns the request id that the daemon assigned.
 func (r Reply) RequestID() string { return r.Header.Get(caller.HeaderRequest) }
 
 // Body returns the JSON body of the request.
-func (a Ask) Body() []byte {
+func (a ChatRequest) Body() []byte {
 	data, _ := json.Marshal(map[string]any{
 		"model":    a.Model,
 		"stream":   a.Stream,
@@ -60,7 +60,7 @@
 }
 
 // Send sends the request to a daemon and reads the answer as Do does.
-func (a Ask) Send(ctx context.Context, url string, onEvent func(Reply)) (Reply, error) {
+func (a ChatRequest) Send(ctx context.Context, url string, onEvent func(Reply)) (Reply, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url+"/v1/chat/completions", bytes.NewReader(a.Body()))
 	if err != nil {
 		return Reply{}, trace.Wrap(err)
@@ -68,7 +68,7 @@
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set("Authorization", "Bearer "+a.APIKey)
 	for name, value := range map[string]string{
-		caller.HeaderKind: a.Kind, caller.HeaderIdempotencyKey: a.Key, caller.HeaderSession: a.Session, caller.HeaderDeadline: a.DeadlineMS,
+		caller.HeaderKind: a.Kind, caller.HeaderIdempotencyKey: a.IdempotencyKey, caller.HeaderSession: a.Session, caller.HeaderDeadline: a.DeadlineMS,
 	} {
 		if value != "" {
 			req.Header.Set(name, value)
--- a/test/cluster/cluster.go
+++ b/test/cluster/cluster.go
@@ -25,7 +25,7 @@
 )
 
 // WaitTimeout bounds every wait for a condition.
-const Patience = 60 * time.Second
+const WaitTimeout = 60 * time.Second
 
 // Daemon is a running hornbeamsilld.
 type Daemon struct {
@@ -117,7 +117,7 @@
 
 // StartEngine starts an engine and adds it to the platform's list of instances.
 // via, if not nil, returns the address to list, such as that of a proxy.
-func (c *Cluster) Engine(o standin.EngineOptions, domain string, via func(address string) string) (*Upstream, error) {
+func (c *Cluster) StartEngine(o standin.EngineOptions, domain string, via func(address string) string) (*Upstream, error) {
 	o.Platform = c.Platform
 	data, err := json.Marshal(o)
 	if err != nil {
@@ -204,7 +204,7 @@
 
 // StartedDaemons returns a copy of Daemons. Code that runs while daemons are
 // started must use it instead of Daemons.
-func (c *Cluster) Started() []*Daemon {
+func (c *Cluster) StartedDaemons() []*Daemon {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.Daemons)
@@ -227,7 +227,7 @@
 // WaitReady waits until each of the daemons is ready, sees as many live
 // daemons with a URL for callers as there are in daemons, and knows at least the
 // given number of upstreams. Engines count once their versions are known.
-func (c *Cluster) Settle(daemons []*Daemon, upstreams int, options ...WaitOption) error {
+func (c *Cluster) WaitReady(daemons []*Daemon, upstreams int, options ...WaitOption) error {
 	allowOthers := len(options) > 0 && options[0] == AllowOtherDaemons
 	return Eventually(func() error {
 		for _, d := range daemons {
@@ -259,7 +259,7 @@
 // Eventually calls f every 10 ms until it returns nil. After WaitTimeout it
 // returns the last error.
 func Eventually(f func() error) error {
-	deadline := time.Now().Add(Patience)
+	deadline := time.Now().Add(WaitTimeout)
 	ticker := time.NewTicker(10 * time.Millisecond)
 	defer ticker.Stop()
 	for {
@@ -268,13 +268,13 @@
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return trace.Wrap(err, "condition not met within %v", Patience)
+			return trace.Wrap(err, "condition not met within %v", WaitTimeout)
 		}
 		<-ticker.C
 	}
 }
 
-var httpClient = &http.Client{Timeout: Patience}
+var httpClient = &http.Client{Timeout: WaitTimeout}
 
 // Get fetches JSON and decodes it into out.
 func Get(url string, out any) error { return roundTrip(http.MethodGet, url, nil, out) }
--- a/test/cluster/process.go
+++ b/test/cluster/process.go
@@ -81,7 +81,7 @@
 		return p, nil
 	case <-p.done:
 		return nil, trace.Errorf("%s exited before it was ready: %v\n%s", name, p.err, p.Log())
-	case <-time.After(Patience):
+	case <-time.After(WaitTimeout):
 		p.Kill()
 		return nil, trace.Errorf("%s was not ready in time\n%s", name, p.Log())
 	}
@@ -90,7 +90,7 @@
 // StartRoutesDaemon starts a daemon for plain HTTP callers and waits until it
 // listens. started is its "daemon.started" log line, in which LogField finds the
 // addresses.
-func (b Binaries) StartRoutes(name, settings string) (p *Process, started string, err error) {
+func (b Binaries) StartRoutesDaemon(name, settings string) (p *Process, started string, err error) {
 	p, err = start(name, b.Path("hornbeamsilld"), []string{"--config-file", settings}, func(line string) bool {
 		if strings.Contains(line, "msg=daemon.started") {
 			started = line
@@ -101,7 +101,7 @@
 }
 
 // LogField returns the value of key=value in a log line, or "".
-func Field(line, key string) string { return logField(line, key) }
+func LogField(line, key string) string { return logField(line, key) }
 
 // readOutput collects what the program prints, closes ready when onLine returns
 // true, and waits for the exit.
@@ -144,7 +144,7 @@
 // reports the program as stopped, because a program can still answer a call
 // shortly after the signal was sent. It returns a NotFound error if the program
 // has exited.
-func (p *Process) Freeze() error {
+func (p *Process) Pause() error {
 	p.Signal(syscall.SIGSTOP)
 	ended := false
 	err := Eventually(func() error {
@@ -172,7 +172,7 @@
 }
 
 // Resume lets a program continue after Pause.
-func (p *Process) Wake() { p.Signal(syscall.SIGCONT) }
+func (p *Process) Resume() { p.Signal(syscall.SIGCONT) }
 
 // Wait waits for the program's exit and returns the exit code, or -1 after
 // WaitTimeout.
@@ -180,7 +180,7 @@
 	select {
 	case <-p.done:
 		return p.cmd.ProcessState.ExitCode()
-	case <-time.After(Patience):
+	case <-time.After(WaitTimeout):
 		return -1
 	}
 }
--- a/test/cluster/proxy.go
+++ b/test/cluster/proxy.go
@@ -17,7 +17,7 @@
 }
 
 // StartProxy starts a proxy in front of an address. Cluster.Close stops it.
-func (c *Cluster) Proxy(target string) (*Proxy, error) {
+func (c *Cluster) StartProxy(target string) (*Proxy, error) {
 	p, err := NewProxy(target)
 	if err != nil {
 		return nil, err
@@ -54,12 +54,12 @@
 // Blackhole discards the data of one direction and keeps the connections open, as
 // a one-way network failure does. The direction is "upstream", towards the target,
 // or "downstream".
-func (p *Proxy) Hold(direction string) error {
+func (p *Proxy) Blackhole(direction string) error {
 	return p.addToxic(`{"name":"hold-` + direction + `","type":"timeout","stream":"` + direction + `","attributes":{"timeout":0}}`)
 }
 
 // AddLatency adds a latency of ms milliseconds to each direction.
-func (p *Proxy) Slow(ms string) error {
+func (p *Proxy) AddLatency(ms string) error {
 	if err := p.addToxic(`{"name":"slow-up","type":"latency","stream":"upstream","attributes":{"latency":` + ms + `}}`); err != nil {
 		return err
 	}
@@ -67,7 +67,7 @@
 }
 
 // RemoveToxics removes all faults except Cut.
-func (p *Proxy) Heal() { p.proxy.Toxics.ResetToxics() }
+func (p *Proxy) RemoveToxics() { p.proxy.Toxics.ResetToxics() }
 
 // addToxic adds a fault described in toxiproxy's JSON format.
 func (p *Proxy) addToxic(text string) error {
--- a/test/faults/faults.go
+++ b/test/faults/faults.go
@@ -44,8 +44,8 @@
 	}
 }
 
-func pauseDaemon(w *testSystem) error  { return w.Daemons[0].Freeze() }
-func resumeDaemon(w *testSystem) error { w.Daemons[0].Wake(); return nil }
+func pauseDaemon(w *testSystem) error  { return w.Daemons[0].Pause() }
+func resumeDaemon(w *testSystem) error { w.Daemons[0].Resume(); return nil }
 func killDaemon(w *testSystem) error   { w.Daemons[0].Kill(); return nil }
 
 // startReplacement starts a new daemon in the failure domain of the killed one.
@@ -61,9 +61,9 @@
 func cutEngine(w *testSystem) error       { w.engineLinks[0].Cut(); return nil }
 func restoreEngine(w *testSystem) error   { return w.engineLinks[0].Restore() }
 func clearLinkFaults(w *testSystem) error {
-	w.platformLink.Heal()
-	w.peerLinks[0].Heal()
-	w.engineLinks[0].Heal()
+	w.platformLink.RemoveToxics()
+	w.peerLinks[0].RemoveToxics()
+	w.engineLinks[0].RemoveToxics()
 	return nil
 }
 
@@ -74,19 +74,19 @@
 	{"daemon cut off from the platform", cutPlatform, restorePlatform},
 	{"daemon cut off from its peers", cutPeers, restorePeers},
 	{"daemon cut off from platform and peers", inOrder(cutPlatform, cutPeers), inOrder(restorePlatform, restorePeers)},
-	{"platform answers lost one way", func(w *testSystem) error { return w.platformLink.Hold("downstream") }, clearLinkFaults},
-	{"platform requests lost one way", func(w *testSystem) error { return w.platformLink.Hold("upstream") }, clearLinkFaults},
-	{"platform 200 ms slower", func(w *testSystem) error { return w.platformLink.Slow("200") }, clearLinkFaults},
+	{"platform answers lost one way", func(w *testSystem) error { return w.platformLink.Blackhole("downstream") }, clearLinkFaults},
+	{"platform requests lost one way", func(w *testSystem) error { return w.platformLink.Blackhole("upstream") }, clearLinkFaults},
+	{"platform 200 ms slower", func(w *testSystem) error { return w.platformLink.AddLatency("200") }, clearLinkFaults},
 	{"platform out", platformFault(standin.FaultRefuse), platformFault(standin.FaultNone)},
 	{"platform out, daemon killed", inOrder(platformFault(standin.FaultRefuse), killDaemon), inOrder(platformFault(standin.FaultNone), startReplacement)},
 	{"platform out, daemon paused", inOrder(platformFault(standin.FaultRefuse), pauseDaemon), inOrder(platformFault(standin.FaultNone), resumeDaemon)},
 	{"platform writes take effect, answers lost", platformFault(standin.FaultLoseAnswer), platformFault(standin.FaultNone)},
 	{"engine link cut", cutEngine, restoreEngine},
-	{"engine answers lost one way", func(w *testSystem) error { return w.engineLinks[0].Hold("downstream") }, clearLinkFaults},
-	{"engine link 100 ms slower", func(w *testSystem) error { return w.engineLinks[0].Slow("100") }, clearLinkFaults},
+	{"engine answers lost one way", func(w *testSystem) error { return w.engineLinks[0].Blackhole("downstream") }, clearLinkFaults},
+	{"engine link 100 ms slower", func(w *testSystem) error { return w.engineLinks[0].AddLatency("100") }, clearLinkFaults},
 	{"engine streams cut every 5 events", engineFault(standin.EngineFaults{CutAfter: 5}), engineFault(standin.EngineFaults{})},
 	{"engine events swapped, doubled, foreign", engineFault(standin.EngineFaults{Reorder: true, Duplicate: true, Foreign: true}), engineFault(standin.EngineFaults{})},
 	{"engine never answers an attempt", engineFault(standin.EngineFaults{NoAnswer: true}), engineFault(standin.EngineFaults{})},
 	{"engines refuse everything", engineFault(standin.EngineFaults{Refuse: "full"}), engineFault(standin.EngineFaults{})},
-	{"peer link 100 ms slower", func(w *testSystem) error { return w.peerLinks[0].Slow("100") }, clearLinkFaults},
+	{"peer link 100 ms slower", func(w *testSystem) error { return w.peerLinks[0].AddLatency("100") }, clearLinkFaults},
 }
--- a/test/faults/trial.go
+++ b/test/faults/trial.go
@@ -101,7 +101,7 @@
 		return nil, err
 	}
 	w := &testSystem{Cluster: c}
-	if w.platformLink, err = c.Proxy(c.Platform); err != nil {
+	if w.platformLink, err = c.StartProxy(c.Platform); err != nil {
 		return w, err
 	}
 	for i := range 2 {
@@ -127,9 +127,9 @@
 		o.Serving = append(o.Serving, v)
 	}
 	var failed error
-	e, err := w.Engine(o, "gbg-a", func(address string) string {
+	e, err := w.StartEngine(o, "gbg-a", func(address string) string {
 		var link *cluster.Proxy
-		if link, failed = w.Proxy(address); failed != nil {
+		if link, failed = w.StartProxy(address); failed != nil {
 			return address
 		}
 		w.engineLinks = append(w.engineLinks, link)
@@ -147,7 +147,7 @@
 	if err != nil {
 		return err
 	}
-	link, err := w.Proxy(address)
+	link, err := w.StartProxy(address)
 	if err != nil {
 		return err
 	}
@@ -173,7 +173,7 @@
 	if err != nil {
 		return err
 	}
-	return w.Settle(w.Daemons, 2)
+	return w.WaitReady(w.Daemons, 2)
 }
 
 // outcome is the final result of a request at its caller.
@@ -223,20 +223,20 @@
 
 func (l *loadGenerator) request(i, n int) outcome {
 	o := outcome{prompt: fmt.Sprintf("request %d %d", i, n), keyed: n%2 == 0}
-	a := cluster.Ask{
+	a := cluster.ChatRequest{
 		APIKey: "example-key-visrad", Model: "clauses", Prompt: o.prompt, Stream: n%3 != 0, DeadlineMS: "8000",
 	}
 	if o.keyed {
-		a.Model, a.Kind, a.Key = "notes-large", "clearance", l.idempotencyKey(i, n)
+		a.Model, a.Kind, a.IdempotencyKey = "notes-large", "clearance", l.idempotencyKey(i, n)
 	}
 	for try := range maxTries {
-		daemons := l.Started()
+		daemons := l.StartedDaemons()
 		d := daemons[(i+n+try)%len(daemons)]
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		o.reply, o.err = a.Send(ctx, d.CallerURL, nil)
 		cancel()
 		o.reportedNotRun = o.err == nil && o.reply.Err != nil && o.reply.Err.Ran == fault.RanNo
-		if o.err == nil && o.reply.Whole() {
+		if o.err == nil && o.reply.Complete() {
 			return o
 		}
 		if !o.keyed && !o.reportedNotRun {
@@ -261,7 +261,7 @@
 	var found struct {
 		Entries []caller.Entry `json:"entries"`
 	}
-	if cluster.Get(l.Started()[1].CallerURL+"/v1/entries", &found) != nil || len(found.Entries) == 0 {
+	if cluster.Get(l.StartedDaemons()[1].CallerURL+"/v1/entries", &found) != nil || len(found.Entries) == 0 {
 		return own
 	}
 	return found.Entries[(i+n)%len(found.Entries)].KeyPrefix + "." + own
@@ -283,7 +283,7 @@
 
 func (r *result) add(o outcome, started, finished map[string]int) {
 	switch {
-	case o.err == nil && o.reply.Whole():
+	case o.err == nil && o.reply.Complete():
 		r.Whole++
 		if finished[o.prompt] == 0 {
 			r.Lost++
--- a/test/process/at_most_once_test.go
+++ b/test/process/at_most_once_test.go
@@ -61,7 +61,7 @@
 		}
 		all.Wait()
 		require.NoError(t, cluster.Eventually(func() error {
-			if reply := send(t, s.Daemons[1], a); !reply.Whole() {
+			if reply := send(t, s.Daemons[1], a); !reply.Complete() {
 				return reply.Err
 			}
 			return nil
@@ -89,17 +89,17 @@
 func TestHomeDaemonPausedAndResumed(t *testing.T) {
 	s := newSite(t, 3, nil)
 	a := clearanceRequest("song 5", keyWithHome(t, s.Daemons[0], "five"))
-	require.NoError(t, s.Daemons[0].Freeze())
+	require.NoError(t, s.Daemons[0].Pause())
 	requireRefused(t, s.Daemons[1], a, fault.KeyUnsettled, fault.RanUnknown)
 	require.Zero(t, s.promptStarts("song 5"))
-	s.Daemons[0].Wake()
+	s.Daemons[0].Resume()
 	var all sync.WaitGroup
 	for i := range 9 {
 		all.Go(func() { _, _ = a.Send(context.Background(), s.Daemons[i%3].CallerURL, nil) })
 	}
 	all.Wait()
 	require.NoError(t, cluster.Eventually(func() error {
-		if reply := send(t, s.Daemons[2], a); !reply.Whole() {
+		if reply := send(t, s.Daemons[2], a); !reply.Complete() {
 			return reply.Err
 		}
 		return nil
--- a/test/process/billing_test.go
+++ b/test/process/billing_test.go
@@ -16,8 +16,8 @@
 )
 
 // summaryRequest returns a request that may run more than once.
-func summaryRequest(prompt string) cluster.Ask {
-	return cluster.Ask{APIKey: visradAPIKey, Model: "clauses", Prompt: prompt, Kind: "default"}
+func summaryRequest(prompt string) cluster.ChatRequest {
+	return cluster.ChatRequest{APIKey: visradAPIKey, Model: "clauses", Prompt: prompt, Kind: "default"}
 }
 
 // requireAllAnswered sends n requests at once to a daemon and requires a complete
@@ -29,7 +29,7 @@
 	for i := range n {
 		all.Go(func() {
 			reply, err := summaryRequest(fmt.Sprintf("%s %d", name, i)).Send(context.Background(), d.CallerURL, nil)
-			if err == nil && !reply.Whole() {
+			if err == nil && !reply.Complete() {
 				err = reply.Err
 			}
 			if err != nil {
@@ -77,7 +77,7 @@
 	s := newSite(t, 2, nil)
 	d, err := s.StartDaemon("gbg-c", func(set *settings.Settings) { set.Timing.CommitMS = int64(time.Hour / time.Millisecond) })
 	require.NoError(t, err)
-	require.NoError(t, s.Settle(s.Daemons, 2))
+	require.NoError(t, s.WaitReady(s.Daemons, 2))
 	requireAllAnswered(t, d, 20, "commit")
 	require.Empty(t, s.bills(s.Daemons[0]))
 	d.Kill()
@@ -131,17 +131,17 @@
 	for range replies {
 		<-started
 	}
-	require.NoError(t, s.Daemons[0].Freeze())
+	require.NoError(t, s.Daemons[0].Pause())
 	require.NoError(t, cluster.Eventually(func() error {
 		if n := len(s.bills(s.Daemons[1])); n < len(replies) {
 			return fmt.Errorf("%d bills closed", n)
 		}
 		return nil
 	}))
-	s.Daemons[0].Wake()
+	s.Daemons[0].Resume()
 	paused.Wait()
 	for _, r := range replies {
-		require.True(t, r.Whole(), "the pause must only delay the answer: %v", r.Err)
+		require.True(t, r.Complete(), "the pause must only delay the answer: %v", r.Err)
 	}
 	requireAllAnswered(t, s.Daemons[0], 4, "after")
 	s.requireFinishedBilled(s.Daemons[2])
@@ -156,7 +156,7 @@
 	first, _ := streamAndAct(t, s.Daemons[0], summaryRequest("resume"), 5, func(cluster.Reply) { s.Daemons[0].Kill() })
 	rest, err := resume(t, s.Daemons[1], first)
 	require.NoError(t, err)
-	require.True(t, rest.Whole())
+	require.True(t, rest.Complete())
 	requireComplete(t, first.Text+rest.Text)
 	s.requireBill(s.Daemons[2], first.RequestID(), ledger.Answered)
 	s.requireFinishedBilled(s.Daemons[1])
--- a/test/process/config_test.go
+++ b/test/process/config_test.go
@@ -140,7 +140,7 @@
 func TestPausedDaemonDoesNotUseAWithdrawnVersion(t *testing.T) {
 	s := newSite(t, 3, nil)
 	requireAnswered(t, s.Daemons[0], summaryRequest("before"))
-	require.NoError(t, s.Daemons[0].Freeze())
+	require.NoError(t, s.Daemons[0].Pause())
 	var queued sync.WaitGroup
 	for i := range 10 {
 		queued.Go(func() {
@@ -159,7 +159,7 @@
 		return nil
 	}))
 	before := s.versionStarts("clauses@1")
-	s.Daemons[0].Wake()
+	s.Daemons[0].Resume()
 	queued.Wait()
 	require.Equal(t, before, s.versionStarts("clauses@1"))
 }
@@ -219,7 +219,7 @@
 // confirmations and changes of the configuration from its peers.
 func TestDaemonCutOffFromPlatform(t *testing.T) {
 	s := newSite(t, 2, nil)
-	proxy, err := s.Proxy(s.Platform)
+	proxy, err := s.StartProxy(s.Platform)
 	require.NoError(t, err)
 	d, err := s.startBehindProxy(proxy)
 	require.NoError(t, err)
@@ -227,7 +227,7 @@
 	requireAnswered(t, d, summaryRequest("cut off"))
 	generation := s.withdraw(s.Daemons[0], "clauses", "1")
 	s.waitGeneration(generation, d)
-	requireRefused(t, d, cluster.Ask{APIKey: visradAPIKey, Model: "clauses@1", Prompt: "x"}, fault.VersionWithdrawn, fault.RanNo)
+	requireRefused(t, d, cluster.ChatRequest{APIKey: visradAPIKey, Model: "clauses@1", Prompt: "x"}, fault.VersionWithdrawn, fault.RanNo)
 	require.NoError(t, proxy.Restore())
 }
 
@@ -249,7 +249,7 @@
 		s.waitGeneration(generation, s.Daemons[i%3])
 	}
 	for _, d := range s.Daemons {
-		requireRefused(t, d, cluster.Ask{APIKey: visradAPIKey, Model: "notes-small@1", Prompt: "x"}, fault.VersionWithdrawn, fault.RanNo)
+		requireRefused(t, d, cluster.ChatRequest{APIKey: visradAPIKey, Model: "notes-small@1", Prompt: "x"}, fault.VersionWithdrawn, fault.RanNo)
 	}
 }
 
@@ -265,7 +265,7 @@
 		overlay := fmt.Sprintf(`{"models": {"clauses": {"versions": {"1": {"state": %q}}}}}`, state)
 		s.waitGeneration(s.applyConfig(s.Daemons[0], "gothenburg", int64(i+1), overlay), s.Daemons...)
 		for _, d := range s.Daemons {
-			pinned := cluster.Ask{APIKey: visradAPIKey, Model: "clauses@1", Prompt: "new"}
+			pinned := cluster.ChatRequest{APIKey: visradAPIKey, Model: "clauses@1", Prompt: "new"}
 			requireRefused(t, d, pinned, fault.VersionWithdrawn, fault.RanNo)
 			requireRefused(t, d, summaryRequest("new"), fault.NoUpstream, fault.RanNo)
 			if state == config.Draining {
@@ -283,15 +283,15 @@
 // and against a token that another organisation can use.
 func TestSessionSurvivesKeyRotation(t *testing.T) {
 	s := newSite(t, 3, nil)
-	first := requireAnswered(t, s.Daemons[0], cluster.Ask{APIKey: visradAPIKey, Model: "auto", Prompt: "one"})
+	first := requireAnswered(t, s.Daemons[0], cluster.ChatRequest{APIKey: visradAPIKey, Model: "auto", Prompt: "one"})
 	require.NoError(t, cluster.Post(s.Daemons[1].OperatorURL+"/v1/keys/rotate", nil, nil))
 	for _, d := range s.Daemons {
-		next := cluster.Ask{APIKey: visradAPIKey, Model: "auto", Prompt: "two", Session: first.Header.Get(caller.HeaderSession)}
+		next := cluster.ChatRequest{APIKey: visradAPIKey, Model: "auto", Prompt: "two", Session: first.Header.Get(caller.HeaderSession)}
 		reply := requireAnswered(t, d, next)
 		for _, h := range []string{caller.HeaderModel, caller.HeaderVersion, caller.HeaderSession} {
 			require.Equal(t, first.Header.Get(h), reply.Header.Get(h))
 		}
 	}
-	otherOrganisation := cluster.Ask{APIKey: "example-key-publisher-a", Model: "auto", Prompt: "three", Session: first.Header.Get(caller.HeaderSession)}
+	otherOrganisation := cluster.ChatRequest{APIKey: "example-key-publisher-a", Model: "auto", Prompt: "three", Session: first.Header.Get(caller.HeaderSession)}
 	requireRefused(t, s.Daemons[0], otherOrganisation, fault.BadSession, fault.RanNo)
 }
--- a/test/process/helpers_test.go
+++ b/test/process/helpers_test.go
@@ -16,12 +16,12 @@
 )
 
 // clearanceRequest returns a request that must not run twice.
-func clearanceRequest(prompt, key string) cluster.Ask {
-	return cluster.Ask{APIKey: visradAPIKey, Model: "notes-large", Prompt: prompt, Kind: "clearance", Key: key}
+func clearanceRequest(prompt, key string) cluster.ChatRequest {
+	return cluster.ChatRequest{APIKey: visradAPIKey, Model: "notes-large", Prompt: prompt, Kind: "clearance", IdempotencyKey: key}
 }
 
 // send sends a request to a daemon and requires that there is no transport error.
-func send(t *testing.T, d *cluster.Daemon, a cluster.Ask) cluster.Reply {
+func send(t *testing.T, d *cluster.Daemon, a cluster.ChatRequest) cluster.Reply {
 	t.Helper()
 	reply, err := a.Send(context.Background(), d.CallerURL, nil)
 	require.NoError(t, err)
@@ -29,7 +29,7 @@
 }
 
 // requireAnswered sends a request and requires a complete answer.
-func requireAnswered(t *testing.T, d *cluster.Daemon, a cluster.Ask) cluster.Reply {
+func requireAnswered(t *testing.T, d *cluster.Daemon, a cluster.ChatRequest) cluster.Reply {
 	t.Helper()
 	reply := send(t, d, a)
 	require.Nil(t, reply.Err)
@@ -40,7 +40,7 @@
 
 // requireRefused sends a request and requires an error with a kind and a value of
 // Ran.
-func requireRefused(t *testing.T, d *cluster.Daemon, a cluster.Ask, kind fault.Kind, ran fault.Ran) cluster.Reply {
+func requireRefused(t *testing.T, d *cluster.Daemon, a cluster.ChatRequest, kind fault.Kind, ran fault.Ran) cluster.Reply {
 	t.Helper()
 	reply := send(t, d, a)
 	require.NotNil(t, reply.Err, reply.Text)
@@ -111,7 +111,7 @@
 
 // streamAndAct sends a streaming request and calls act once, when n content events
 // have been received. It returns the reply at the end of the stream.
-func streamAndAct(t *testing.T, d *cluster.Daemon, a cluster.Ask, n int, act func(received cluster.Reply)) (cluster.Reply, error) {
+func streamAndAct(t *testing.T, d *cluster.Daemon, a cluster.ChatRequest, n int, act func(received cluster.Reply)) (cluster.Reply, error) {
 	t.Helper()
 	a.Stream = true
 	acted := false
--- a/test/process/leaving_test.go
+++ b/test/process/leaving_test.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return d, s.Settle(s.Daemons, len(s.engines))
+	return d, s.WaitReady(s.Daemons, len(s.engines))
 }
 
 // waitLeavingKnown waits until every daemon reports an upstream as leaving.
@@ -139,7 +139,7 @@
 				reply, err := a.Send(context.Background(), e.URL, nil)
 				mu.Lock()
 				sent++
-				if err != nil || !reply.Whole() {
+				if err != nil || !reply.Complete() {
 					failures = append(failures, fmt.Sprintf("%s: %v %v", a.Prompt, err, reply.Err))
 				}
 				mu.Unlock()
@@ -150,7 +150,7 @@
 		old := s.Daemons[i]
 		_, err := s.StartDaemon(fmt.Sprintf("gbg-%c", 'a'+i), nil)
 		require.NoError(t, err)
-		require.NoError(t, s.Settle(append(slices.Clone(s.Daemons[i+1:3]), s.Daemons[3:]...), 2, cluster.AllowOtherDaemons))
+		require.NoError(t, s.WaitReady(append(slices.Clone(s.Daemons[i+1:3]), s.Daemons[3:]...), 2, cluster.AllowOtherDaemons))
 		old.Signal(syscall.SIGTERM)
 		require.Equal(t, 0, old.Wait(), old.Log())
 	}
--- a/test/process/process_test.go
+++ b/test/process/process_test.go
@@ -65,13 +65,13 @@
 		if change != nil {
 			change(&o)
 		}
-		e, err := s.Engine(o, "gbg-a", nil)
+		e, err := s.StartEngine(o, "gbg-a", nil)
 		require.NoError(t, err)
 		s.engines = append(s.engines, e)
 	}
 	s.startDaemons(n)
 	s.applyExamples(s.Daemons[0])
-	require.NoError(t, s.Settle(s.Daemons, len(s.engines)))
+	require.NoError(t, s.WaitReady(s.Daemons, len(s.engines)))
 	return s
 }
 
--- a/test/process/rollout_test.go
+++ b/test/process/rollout_test.go
@@ -37,7 +37,7 @@
 	for i := range 12 {
 		load.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
-				a := cluster.Ask{APIKey: visradAPIKey, Model: model, Prompt: fmt.Sprintf("traffic %d %d", i, n)}
+				a := cluster.ChatRequest{APIKey: visradAPIKey, Model: model, Prompt: fmt.Sprintf("traffic %d %d", i, n)}
 				_, _ = a.Send(ctx, daemons[i%len(daemons)].CallerURL, nil)
 			}
 		})
--- a/test/process/service_test.go
+++ b/test/process/service_test.go
@@ -42,7 +42,7 @@
 		require.NoError(t, err)
 		services = append(services, u)
 	}
-	require.NoError(t, s.Settle(s.Daemons, 4))
+	require.NoError(t, s.WaitReady(s.Daemons, 4))
 	loseNextAnswers := func() {
 		for _, u := range services {
 			require.NoError(t, cluster.Post("http://"+u.Address+"/standin/faults", standin.ServiceFaults{NoAnswer: 1}, nil))
--- a/test/process/trace_test.go
+++ b/test/process/trace_test.go
@@ -27,7 +27,7 @@
 		set.Trace = settings.Trace{Exporter: "file", File: file}
 	})
 	require.NoError(t, err)
-	require.NoError(t, s.Settle(s.Daemons, 3))
+	require.NoError(t, s.WaitReady(s.Daemons, 3))
 
 	const traceID = "0af7651916cd43dd8448eb211c80319c"
 	call := func(method, path, body, key string) cluster.Reply {
--- a/test/routes/harness_test.go
+++ b/test/routes/harness_test.go
@@ -83,7 +83,7 @@
 	address, stop := s.store.Serve()
 	s.storeAddress = address
 	t.Cleanup(stop)
-	s.client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: cluster.Patience}
+	s.client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: cluster.WaitTimeout}
 	s.store.PutManifest(newManifest(3))
 	t.Cleanup(s.keepLogs)
 	return s
@@ -147,12 +147,12 @@
 	require.NoError(s.t, err)
 	path := filepath.Join(s.t.TempDir(), name+".jsonc")
 	require.NoError(s.t, os.WriteFile(path, text, 0o600))
-	p, line, err := binaries.StartRoutes(name, path)
+	p, line, err := binaries.StartRoutesDaemon(name, path)
 	require.NoError(s.t, err)
 	s.t.Cleanup(p.Kill)
 	d := &daemon{
-		Process: p, callerAddress: cluster.Field(line, "callers"), readyAddress: cluster.Field(line, "ready"),
-		directoryAddress: cluster.Field(line, "directory"), metricsAddress: cluster.Field(line, "metrics"), peerAddress: cluster.Field(line, "peers"),
+		Process: p, callerAddress: cluster.LogField(line, "callers"), readyAddress: cluster.LogField(line, "ready"),
+		directoryAddress: cluster.LogField(line, "directory"), metricsAddress: cluster.LogField(line, "metrics"), peerAddress: cluster.LogField(line, "peers"),
 	}
 	s.daemons = append(s.daemons, d)
 	return d
--- a/test/routes/limit_test.go
+++ b/test/routes/limit_test.go
@@ -339,13 +339,13 @@
 	s := newTestbed(t)
 	limited := s.startThreeServers("", nil)
 	daemons := s.startDaemons(4)
-	require.NoError(t, daemons[3].Freeze())
+	require.NoError(t, daemons[3].Pause())
 	limited.SetLimit("1")
 	s.sendUntilReached(limited, daemons[0])
 	for _, d := range daemons[:3] {
 		s.waitForLog(d, "instance.limited", "instance=cat-1")
 	}
-	daemons[3].Wake()
+	daemons[3].Resume()
 	daemons = append(daemons, s.startReadyDaemon())
 	l := s.startLoad(daemons)
 	from := time.Now().Add(limitPropagation)
--- a/test/routes/poison_test.go
+++ b/test/routes/poison_test.go
@@ -236,10 +236,10 @@
 	}
 	s.store.SetFault(platformtest.FaultHang)
 	frozen := s.daemons[2]
-	require.NoError(t, frozen.Freeze())
+	require.NoError(t, frozen.Pause())
 	ended := p.crashUntilRefused(size, s.daemons[0])
 	require.LessOrEqual(t, ended, 6, "five while a daemon does not answer, and one retry")
-	frozen.Wake()
+	frozen.Resume()
 	s.waitForLog(frozen, "quarantine.learned")
 	reply := s.send(s.poisonCall(pathStream), frozen)
 	require.Equal(t, http.StatusServiceUnavailable, reply.Status, reply.Body)
--- a/test/routes/raw_test.go
+++ b/test/routes/raw_test.go
@@ -17,7 +17,7 @@
 	conn, err := net.Dial("tcp", address)
 	require.NoError(t, err)
 	defer conn.Close()
-	require.NoError(t, conn.SetDeadline(time.Now().Add(cluster.Patience)))
+	require.NoError(t, conn.SetDeadline(time.Now().Add(cluster.WaitTimeout)))
 	_, err = io.WriteString(conn, text)
 	require.NoError(t, err)
 	// A daemon that refuses a request before it has read all of it may reset the connection.
--- a/test/routes/restore_test.go
+++ b/test/routes/restore_test.go
@@ -104,10 +104,10 @@
 // compares revisions from before the restore with new ones.
 func TestDaemonFrozenDuringStoreRestore(t *testing.T) {
 	s, leaving, daemons, backup := newTestbedAheadOfBackup(t)
-	require.NoError(t, daemons[2].Freeze())
+	require.NoError(t, daemons[2].Pause())
 	s.restoreAfterOutage(backup, daemons[0])
 	s.store.PutManifest(newManifest(5))
-	daemons[2].Wake()
+	daemons[2].Resume()
 	l := s.startLoad(daemons)
 	s.requireNoneAfterLeaving(leaving, l)
 }
--- a/test/routes/soak_test.go
+++ b/test/routes/soak_test.go
@@ -305,19 +305,19 @@
 		s.undoLater(func() { s.removeLive(d) })
 		s.startSoakDaemon()
 	case 2:
-		if d.Freeze() == nil {
-			s.undoLater(d.Wake)
+		if d.Pause() == nil {
+			s.undoLater(d.Resume)
 		}
 	case 3:
 		store.Cut()
 		s.undoLater(func() { s.restoreProxy(store) })
 	case 4:
-		if store.Hold([]string{"upstream", "downstream"}[s.random.IntN(2)]) == nil {
-			s.undoLater(store.Heal)
+		if store.Blackhole([]string{"upstream", "downstream"}[s.random.IntN(2)]) == nil {
+			s.undoLater(store.RemoveToxics)
 		}
 	case 5:
-		if store.Slow("200") == nil {
-			s.undoLater(store.Heal)
+		if store.AddLatency("200") == nil {
+			s.undoLater(store.RemoveToxics)
 		}
 	case 6:
 		s.store.SetFault([]platformtest.Fault{
