--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -125,7 +125,7 @@
 }
 
 // ResponseFor returns the response for kind. An unknown kind gets the response of Internal.
-func AnswerFor(kind Kind) Response {
+func ResponseFor(kind Kind) Response {
 	if a, ok := responses[kind]; ok {
 		return a
 	}
@@ -156,7 +156,7 @@
 		Kind:       kind,
 		Message:    fmt.Sprintf(format, args...),
 		Ran:        RanNo,
-		RetryAfter: AnswerFor(kind).RetryAfter,
+		RetryAfter: ResponseFor(kind).RetryAfter,
 	}
 }
 
--- a/internal/fault/wire.go
+++ b/internal/fault/wire.go
@@ -65,7 +65,7 @@
 		seconds := int64(math.Ceil(e.RetryAfter.Seconds()))
 		w.Header().Set("Retry-After", strconv.FormatInt(seconds, 10))
 	}
-	w.WriteHeader(AnswerFor(e.Kind).Status)
+	w.WriteHeader(ResponseFor(e.Kind).Status)
 	// A write fails only if the caller has disconnected, so the error is ignored.
 	_ = json.NewEncoder(w).Encode(e.ToBody())
 }
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -310,7 +310,7 @@
 		f = fault.New(fault.UpstreamFailed, "%v", err)
 	}
 	f = f.WithRan(q.ran)
-	if q.ran != fault.RanNo && promisesNotRun(fault.AnswerFor(f.Kind).Status) {
+	if q.ran != fault.RanNo && promisesNotRun(fault.ResponseFor(f.Kind).Status) {
 		// A caller repeats a request after a status that promises that it has not run. A
 		// request that may have run would then run twice.
 		changed := *f
@@ -332,7 +332,7 @@
 
 // sendError answers the caller with an error of this daemon.
 func (q *request) sendError(f *fault.Error) {
-	answer := fault.AnswerFor(f.Kind)
+	answer := fault.ResponseFor(f.Kind)
 	q.status = answer.Status
 	header := q.w.Header()
 	header.Set("Content-Type", "application/json")
--- a/internal/standin/batch.go
+++ b/internal/standin/batch.go
@@ -100,7 +100,7 @@
 // scheduleRating passes a rating of a finished answer to OnRating after RatingDelay, for a
 // random share of the answers.
 func (e *Engine) scheduleRating(r *attemptRun) {
-	if e.options.OnRating == nil || e.rng.Float64() >= e.options.RateShare {
+	if e.options.OnRating == nil || e.rng.Float64() >= e.options.RatedShare {
 		return
 	}
 	model, version, _ := strings.Cut(r.attempt.Chat.Model, "@")
@@ -111,5 +111,5 @@
 		Kind:      r.attempt.Kind,
 		Good:      r.good,
 	}
-	time.AfterFunc(time.Duration(e.options.RateDelay), func() { e.options.OnRating(rating) })
+	time.AfterFunc(time.Duration(e.options.RatingDelay), func() { e.options.OnRating(rating) })
 }
--- a/internal/standin/dev.go
+++ b/internal/standin/dev.go
@@ -103,7 +103,7 @@
 	}
 	base := EngineOptions{
 		Profiles: profiles, Slots: 8, QueueLimit: 32, BatchSlowdown: 0.05, LoadTime: ms(500),
-		RateShare: 0.5, RateDelay: ms(500),
+		RatedShare: 0.5, RatingDelay: ms(500),
 	}
 	a, b := base, base
 	a.Instance, a.Serving, a.Seed = "engine-small", []string{"small@1"}, 1
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -69,9 +69,9 @@
 	CacheTokens int    `json:"cache_tokens"`
 	Seed        uint64 `json:"seed"`
 	// RatedShare is the share of finished answers that get a rating.
-	RateShare float64 `json:"rate_share"`
+	RatedShare float64 `json:"rate_share"`
 	// RatingDelay is the time from the end of an answer to its rating.
-	RateDelay Duration `json:"rate_delay"`
+	RatingDelay Duration `json:"rate_delay"`
 	// Platform is the address of the platform stand-in that provides weights and takes
 	// ratings. If it is empty, the engine loads versions without fetching weights.
 	Platform string `json:"platform"`
--- a/test/process/rollout_test.go
+++ b/test/process/rollout_test.go
@@ -21,8 +21,8 @@
 // notes-large@2 a quality.
 func withRatings(quality float64) func(*standin.EngineOptions) {
 	return func(o *standin.EngineOptions) {
-		o.RateShare = 1
-		o.RateDelay = standin.Duration(50 * time.Millisecond)
+		o.RatedShare = 1
+		o.RatingDelay = standin.Duration(50 * time.Millisecond)
 		p := o.Profiles["notes-large@2"]
 		p.Quality = map[string]float64{"": quality}
 		o.Profiles["notes-large@2"] = p
