--- a/internal/cascade/cascade_test.go
+++ b/internal/cascade/cascade_test.go
@@ -23,19 +23,19 @@
 func TestLatencyEstimateRisesAndDecays(t *testing.T) {
 	const objective, timeout = 8 * time.Second, 8 * time.Second
 	now := time.Now()
-	times := NewLatencyEstimator()
+	latencies := NewLatencyEstimator()
 	large := Key{"r", "large"}
-	require.Zero(t, times.Estimate(large, 100, now))
+	require.Zero(t, latencies.Estimate(large, 100, now))
 	for range 10 {
-		times.Observe(large, time.Second, time.Second, 50, now)
+		latencies.Observe(large, time.Second, time.Second, 50, now)
 	}
-	require.InDelta(t, 3, times.Estimate(large, 100, now).Seconds(), 0.01)
+	require.InDelta(t, 3, latencies.Estimate(large, 100, now).Seconds(), 0.01)
 	for range 15 {
-		times.Observe(large, 8*time.Second, 0, 50, now)
+		latencies.Observe(large, 8*time.Second, 0, 50, now)
 	}
-	require.False(t, Escalation{Confidence: 0, Elapsed: 500 * time.Millisecond, Total: times.Estimate(large, 10, now), Objective: objective, Timeout: timeout}.Worthwhile())
+	require.False(t, Escalation{Confidence: 0, Elapsed: 500 * time.Millisecond, Total: latencies.Estimate(large, 10, now), Objective: objective, Timeout: timeout}.Worthwhile())
 	later := now.Add(2 * estimateHalfLife)
-	require.True(t, Escalation{Confidence: 0, Elapsed: 500 * time.Millisecond, Total: times.Estimate(large, 10, later), Objective: objective, Timeout: timeout}.Worthwhile())
+	require.True(t, Escalation{Confidence: 0, Elapsed: 500 * time.Millisecond, Total: latencies.Estimate(large, 10, later), Objective: objective, Timeout: timeout}.Worthwhile())
 }
 
 // Every third answer of the largest model shares its engine with long prompts and takes three
@@ -44,19 +44,19 @@
 func TestLatencyEstimateIncludesOverrun(t *testing.T) {
 	now := time.Now()
 	steady, varied := NewLatencyEstimator(), NewLatencyEstimator()
-	kind := Key{"r", "large"}
+	key := Key{"r", "large"}
 	for i := range 60 {
-		steady.Observe(kind, 500*time.Millisecond, 1500*time.Millisecond, 50, now)
+		steady.Observe(key, 500*time.Millisecond, 1500*time.Millisecond, 50, now)
 		rest := 1000 * time.Millisecond
 		if i%3 == 2 {
 			rest = 3000 * time.Millisecond
 		}
-		varied.Observe(kind, 500*time.Millisecond, rest, 50, now)
+		varied.Observe(key, 500*time.Millisecond, rest, 50, now)
 	}
 	const objective, timeout = 4 * time.Second, 3300 * time.Millisecond
-	require.InDelta(t, 2, steady.Estimate(kind, 50, now).Seconds(), 0.05)
-	require.True(t, Escalation{Confidence: 10, Elapsed: 300 * time.Millisecond, Total: steady.Estimate(kind, 50, now), Objective: objective, Timeout: timeout}.Worthwhile())
-	require.False(t, Escalation{Confidence: 10, Elapsed: 300 * time.Millisecond, Total: varied.Estimate(kind, 50, now), Objective: objective, Timeout: timeout}.Worthwhile())
+	require.InDelta(t, 2, steady.Estimate(key, 50, now).Seconds(), 0.05)
+	require.True(t, Escalation{Confidence: 10, Elapsed: 300 * time.Millisecond, Total: steady.Estimate(key, 50, now), Objective: objective, Timeout: timeout}.Worthwhile())
+	require.False(t, Escalation{Confidence: 10, Elapsed: 300 * time.Millisecond, Total: varied.Estimate(key, 50, now), Objective: objective, Timeout: timeout}.Worthwhile())
 }
 
 // As prompts wait longer, the small model's answer must be kept at lower and lower confidence.
@@ -80,10 +80,10 @@
 	now := time.Now()
 	p := &PrefillRate{}
 	require.InDelta(t, 1, p.Estimate(initialRate, now).Seconds(), 0.01)
-	observe := func(pace float64) {
+	observe := func(rate float64) {
 		for range 20 {
 			now = now.Add(500 * time.Millisecond)
-			p.Observe(8000, CachedFirstEvent+time.Duration(8000/pace*float64(time.Second)), now)
+			p.Observe(8000, CachedFirstEvent+time.Duration(8000/rate*float64(time.Second)), now)
 		}
 	}
 	observe(initialRate / 2)
--- a/internal/cascade/escalation.go
+++ b/internal/cascade/escalation.go
@@ -43,10 +43,10 @@
 // The length of a request is not considered: a longer one takes more engine time but is also
 // worth more. The longer prompts wait, the more a run costs other requests. An answer whose
 // first event is not expected in time would delay answers that can still be in time.
-func (l Escalation) Worthwhile() bool {
-	if l.Elapsed+l.FirstEvent >= l.Objective || float64(l.Elapsed+l.Total) >= deadlineFraction*float64(l.Timeout) {
+func (e Escalation) Worthwhile() bool {
+	if e.Elapsed+e.FirstEvent >= e.Objective || float64(e.Elapsed+e.Total) >= deadlineFraction*float64(e.Timeout) {
 		return false
 	}
-	better := 1 - float64(l.Confidence)/100
-	return better > runCost+waitCostPerSecond*l.Wait.Seconds()
+	better := 1 - float64(e.Confidence)/100
+	return better > runCost+waitCostPerSecond*e.Wait.Seconds()
 }
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -112,7 +112,8 @@
 type WarmUp struct {
 	// Time is the duration of the limit; 0 for instances that need no warm-up.
 	Time time.Duration
-	// Rate is the highest number of requests per second, from all daemons together, during that time.
+	// Rate is the highest number of requests per second, from all daemons together, during that
+	// time.
 	Rate float64
 }
 
@@ -209,7 +210,7 @@
 	return nil, false
 }
 
-// Organisation returns the organisation that holds an API key.
+// Organisation returns the organisation to which an API key belongs.
 func (c *Catalog) Organisation(key string) (*Organisation, bool) {
 	o, ok := c.byKey[key]
 	return o, ok
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -32,7 +32,7 @@
 }
 
 // Requests are split by weight, and a backend of weight 0 gets none.
-func TestServiceByWeight(t *testing.T) {
+func TestPickServiceByWeight(t *testing.T) {
 	r := Route{Backends: []Backend{{"a", 90}, {"b", 10}, {"c", 0}}}
 	require.Equal(t, "a", r.PickService(0))
 	require.Equal(t, "a", r.PickService(0.89))
--- a/internal/evacuation/book.go
+++ b/internal/evacuation/book.go
@@ -33,8 +33,8 @@
 }
 
 // Registry keeps the newest order of each failure domain. Orders that lift an evacuation are
-// kept, too, so that a delayed message about the evacuation cannot restore it. The number of
-// records is that of the failure domains.
+// kept, too, so that a delayed message about the evacuation cannot restore it. There is at
+// most one record per failure domain.
 //
 // Lock order: no other lock is taken while mu is held.
 type Registry struct {
@@ -139,7 +139,8 @@
 	return slices.DeleteFunc(b.Orders(), func(o Order) bool { return o.Lifted })
 }
 
-// emptyChecksum is the checksum if there are no evacuations in force.
+// emptyChecksum is the checksum if there are no evacuations in force. It differs from 0, which
+// means that Loaded is false.
 const emptyChecksum = 1
 
 // Checksum returns a checksum that is equal at daemons with the same evacuations in force; 0
--- a/internal/evacuation/book_test.go
+++ b/internal/evacuation/book_test.go
@@ -37,7 +37,7 @@
 }
 
 // Guards against a daemon that serves before it knows which failure domains are evacuated.
-func TestSingleOrdersDoNotMakeTheStateKnown(t *testing.T) {
+func TestSingleOrdersDoNotMakeTheRegistryLoaded(t *testing.T) {
 	b := NewRegistry(clockwork.NewFakeClock())
 	b.Merge([]Order{{FailureDomain: "hall-a", Revision: 10}})
 	require.False(t, b.Loaded())
--- a/internal/inventory/budget.go
+++ b/internal/inventory/budget.go
@@ -42,7 +42,7 @@
 	warmUpAssumed bool
 
 	pacer pacing.Pacer
-	// share is this daemon's share, computed at sharedAt for the given rate.
+	// share is this daemon's share of rate, computed at sharedAt.
 	share    pacing.Share
 	sharedAt time.Time
 	rate     float64
@@ -50,7 +50,8 @@
 	revoked chan struct{}
 }
 
-// ShareFunc returns this daemon's share of an instance's rate in requests per second.
+// ShareFunc returns this daemon's share of the requests per second (rate) that all daemons
+// together may send to the instance with the given ID.
 type ShareFunc func(instance string, rate float64) pacing.Share
 
 // SetWarmUps sets the warm-up settings by service, and the function that computes this
@@ -81,8 +82,8 @@
 // noteWarming records the remaining warm-up time of an instance; 0 means that it is warm. The
 // lock is held.
 //
-// After an evacuation, a listed entry may have been written before the instance became cold. A
-// remaining time of 0 therefore ends the warm-up only if the instance itself has reported it.
+// A remaining time of 0 does not end a warm-up that is only assumed after an evacuation: the
+// listed entry may have been written before the instance became cold.
 func (t *Table) noteWarming(e *entry, remaining time.Duration) {
 	now := t.clock.Now()
 	switch {
@@ -212,6 +213,7 @@
 		return turn, false
 	}
 	b := &e.budget
+	// A request that waits for the end of the warm-up instead of a turn uses none.
 	if b.share.Interval > 0 && turn.Wait == b.pacer.Wait(now) {
 		b.pacer.Take(now, b.share.Interval)
 	}
--- a/internal/inventory/health.go
+++ b/internal/inventory/health.go
@@ -41,6 +41,7 @@
 
 func (h *health) ejected(now time.Time) bool { return now.Before(h.ejectedUntil) }
 
+// note records an outcome, and ejects the instance if its failure rate has become too high.
 func (h *health) note(o Outcome, now time.Time) {
 	switch o {
 	case OutcomeNone:
@@ -60,6 +61,7 @@
 	}
 	if h.failureRate >= ejectFailureRate && !h.ejected(now) {
 		h.ejectedUntil = now.Add(min(baseEjectTime<<h.ejections, maxEjectTime))
+		// The bound keeps the shift above from overflowing.
 		h.ejections = min(h.ejections+1, 8)
 		// Start below the threshold, so that the first requests after the ejection decide
 		// whether the instance is ejected again.
--- a/internal/inventory/instance.go
+++ b/internal/inventory/instance.go
@@ -4,13 +4,13 @@
 
 import "time"
 
-// Instance is one incarnation of an upstream server as the platform lists it. Its address may
-// be assigned to another server after it has gone.
+// Instance is one incarnation of an upstream server as the platform lists it. After the server
+// has exited, its address may be assigned to another one.
 type Instance struct {
 	ID string
 	// Born is the start time of the server in milliseconds of its own clock; 0 means unknown.
-	// A server that restarts may keep its ID: a later start time is another incarnation, and
-	// nothing known of the earlier one applies to it.
+	// A server that restarts may keep its ID. A later start time means another incarnation, to
+	// which nothing that is known of the earlier one applies.
 	Born          int64
 	Service       string
 	Address       string
--- a/internal/inventory/leaving.go
+++ b/internal/inventory/leaving.go
@@ -8,8 +8,8 @@
 
 const (
 	// leavingTime is how long the table remembers that an instance is leaving. An instance
-	// exits some seconds, at times many seconds, after this is noticed. By the end of this
-	// time its entry has been removed for good.
+	// usually exits some seconds after this is noticed, at times much later. By the end of
+	// leavingTime its entry has been removed for good.
 	leavingTime = 2 * time.Minute
 	// leavingGossipTime is how long peers are informed that an instance is leaving, and
 	// maxLeavingGossip the maximum number of instances per message. The time covers several
@@ -22,36 +22,36 @@
 )
 
 // NoteLeaving records that an incarnation is leaving or no longer present, according to its
-// own answer or to a peer. It reports whether this was unknown.
+// own answer or to a peer. It returns true if this was unknown and is now recorded.
 //
-// The record outlives the list entry and overrides what the list says of the same incarnation,
-// because the row is older than the answer. During an outage of the store, a leaving server
-// cannot update its row. The row expires and may return as "ready" after the outage, and
-// without this record the server would get requests until it can update the row. A new
+// The record outlives the list entry and overrides it for the same incarnation, because the
+// server's row in the store is older than its answer. During an outage of the store, a leaving
+// server cannot update its row. The row expires and may return as "ready" after the outage.
+// Without this record, the server would then get requests until it can update the row. A new
 // incarnation is usable at once.
-func (t *Table) NoteLeaving(l Incarnation) bool {
+func (t *Table) NoteLeaving(inc Incarnation) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if e, ok := t.entries[l.ID]; ok && e.instance.Born == l.Born {
+	if e, ok := t.entries[inc.ID]; ok && e.instance.Born == inc.Born {
 		e.leaving = true
 	}
-	if _, known := t.leavingAt[l]; known || len(t.leavingAt) >= maxLeaving {
+	if _, known := t.leavingAt[inc]; known || len(t.leavingAt) >= maxLeaving {
 		return false
 	}
-	t.leavingAt[l] = t.clock.Now()
+	t.leavingAt[inc] = t.clock.Now()
 	return true
 }
 
 // IsLeaving reports whether an incarnation is known to be leaving, from the list or from
 // NoteLeaving.
-func (t *Table) IsLeaving(l Incarnation) bool {
+func (t *Table) IsLeaving(inc Incarnation) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if _, left := t.leavingAt[l]; left {
+	if _, left := t.leavingAt[inc]; left {
 		return true
 	}
-	e, ok := t.entries[l.ID]
-	return ok && e.instance.Born == l.Born && (e.leaving || e.instance.Leaving)
+	e, ok := t.entries[inc.ID]
+	return ok && e.instance.Born == inc.Born && (e.leaving || e.instance.Leaving)
 }
 
 // RecentlyLeaving returns the incarnations that were found to be leaving within
@@ -61,9 +61,9 @@
 	defer t.mu.Unlock()
 	now := t.clock.Now()
 	var out []Incarnation
-	for l, at := range t.leavingAt {
+	for inc, at := range t.leavingAt {
 		if now.Sub(at) <= leavingGossipTime {
-			out = append(out, l)
+			out = append(out, inc)
 		}
 	}
 	slices.SortFunc(out, func(a, b Incarnation) int {
@@ -74,9 +74,9 @@
 
 // forgetLeaving deletes records older than leavingTime. The lock is held.
 func (t *Table) forgetLeaving(now time.Time) {
-	for l, at := range t.leavingAt {
+	for inc, at := range t.leavingAt {
 		if now.Sub(at) > leavingTime {
-			delete(t.leavingAt, l)
+			delete(t.leavingAt, inc)
 		}
 	}
 }
--- a/internal/inventory/limit.go
+++ b/internal/inventory/limit.go
@@ -12,8 +12,9 @@
 )
 
 const (
-	// limitTime is how long a limit is remembered that was lifted or whose instance is not
-	// listed. Without the record, a delayed message would put the limit in force again.
+	// limitTime is how long a limit that is lifted, or whose instance is not listed, stays
+	// recorded after its last change. Without the record, a delayed message would put the
+	// limit in force again.
 	limitTime = 10 * time.Minute
 	// limitGossipTime is how long peers are sent a change of a limit, and maxLimitGossip the
 	// maximum number of changes per message. The time covers several heartbeat rounds.
@@ -31,7 +32,8 @@
 	// Lifted is set when the answers of the instance contain no limit any more.
 	Lifted bool
 	// Version orders the reports about the same incarnation. A daemon that observes a change
-	// increments it. Of two limits with the same version the lower rate applies.
+	// increments it. Of two reports with the same version, one of a limit in force supersedes
+	// one that the limit was lifted, and a lower rate supersedes a higher one.
 	Version uint64
 }
 
@@ -191,11 +193,11 @@
 // forgetLimits deletes records older than limitTime if the limit is lifted or its incarnation
 // is no longer listed. The lock is held.
 func (t *Table) forgetLimits(now time.Time) {
-	for life, l := range t.limits {
-		e, listed := t.entries[life.ID]
-		inForce := !l.Lifted && listed && e.instance.Incarnation() == life
+	for inc, l := range t.limits {
+		e, listed := t.entries[inc.ID]
+		inForce := !l.Lifted && listed && e.instance.Incarnation() == inc
 		if !inForce && now.Sub(l.learnedAt) > limitTime {
-			delete(t.limits, life)
+			delete(t.limits, inc)
 		}
 	}
 }
--- a/internal/inventory/limit_test.go
+++ b/internal/inventory/limit_test.go
@@ -35,10 +35,10 @@
 // Guards against daemons that exchange an outdated limit forever or never agree on one,
 // depending on the sequence in which messages arrive.
 func TestLimitsConvergeInAnySequence(t *testing.T) {
-	life := warmInstance("a").Incarnation()
+	a := warmInstance("a").Incarnation()
 	limits := []Limit{
-		{Life: life, Rate: 2, Version: 1}, {Life: life, Rate: 1, Version: 1}, {Life: life, Lifted: true, Version: 2},
-		{Life: life, Rate: 3, Version: 3}, {Life: life, Lifted: true, Version: 3},
+		{Life: a, Rate: 2, Version: 1}, {Life: a, Rate: 1, Version: 1}, {Life: a, Lifted: true, Version: 2},
+		{Life: a, Rate: 3, Version: 3}, {Life: a, Lifted: true, Version: 3},
 	}
 	for i := range limits {
 		table, _ := newLimitTable()
@@ -111,6 +111,8 @@
 	table, clock := newLimitTable()
 	a := warmInstance("a")
 	table.NoteLimit(a, 0)
+	// The three daemons together send probeRate requests per second, so that this daemon's
+	// turns are 4.5 s apart.
 	const longest = 3 * time.Second / 2 * 3
 	require.LessOrEqual(t, viewOf(t, table, "a").Wait, longest)
 	clock.Advance(longest)
--- a/internal/inventory/list.go
+++ b/internal/inventory/list.go
@@ -8,8 +8,8 @@
 	Instances []Instance
 	// Unreadable contains the IDs of entries that do not describe a usable server.
 	Unreadable []string
-	// Doubted contains, by ID, those of Instances that are missing from the list, with the
-	// remaining time for which they are kept.
+	// Doubted contains, by ID, the remaining time for which those of Instances are kept that
+	// are missing from the list.
 	Doubted map[string]time.Duration
 	// Warming contains the remaining warm-up time by ID; instances not in it are warm.
 	Warming map[string]time.Duration
@@ -30,7 +30,7 @@
 			s.Warming[id] = left
 		}
 		if !e.removeAt.IsZero() {
-			// Without this mark, a peer would take the entry for listed and might send it
+			// Without this time, a peer would treat the entry as listed and might send it
 			// back. A server that has left would then get requests for as long as daemons
 			// exchange their lists.
 			s.Doubted[id] = e.removeAt.Sub(now)
@@ -100,11 +100,11 @@
 // entries change only in their heartbeat, and the revision to which these changes apply. ok is
 // false and nothing is applied if the table is already newer.
 //
-// The table may have advanced since the changes were requested, through news from another
-// daemon. The returned changes do not contain that news. They are therefore valid only from
-// the revision that the table had here. If they were passed on as changes from the requested
-// revision, a daemon that has missed the news would not learn, for example, that a server is
-// leaving.
+// The table may have advanced since the changes were requested, through an update from another
+// daemon. The returned changes do not contain that update and are therefore valid only from
+// the revision that the table had when Apply was called. If they were passed on as changes
+// from the requested revision, a daemon that has missed the update would not learn, for
+// example, that a server is leaving.
 func (t *Table) Apply(changes []Change, revision int64, keepUntil time.Time) (changed []Change, from int64, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -155,8 +155,8 @@
 //
 // A server that restarts under its ID has lost its prompt cache, its requests and its
 // failures. State of the earlier incarnation would keep it ejected or leaving, so a new
-// incarnation gets a new entry. News of an earlier incarnation is ignored and update returns
-// nil; otherwise it returns the instance's entry.
+// incarnation gets a new entry. If i is of an earlier incarnation than the entry, update
+// ignores it and returns nil; otherwise it returns the instance's entry.
 func (t *Table) update(i Instance) *entry {
 	e, ok := t.entries[i.ID]
 	switch {
@@ -175,6 +175,7 @@
 	return e
 }
 
+// noteVersion records when the instance's version was first listed; see Table.firstListed.
 func (t *Table) noteVersion(i Instance) {
 	versions := t.firstListed[i.Service]
 	if versions == nil {
@@ -198,9 +199,9 @@
 	return !first.IsZero() && now.Sub(first) < announceTime
 }
 
-// removeUnreadable removes an entry that cannot be read, without a delay: it may say that its
-// server is leaving, and a server without a readable entry must not be used. The next readable
-// entry restores it. It returns false if there was no such entry.
+// removeUnreadable removes the entry of a server whose row in the store cannot be read. It does
+// so at once: the server may be leaving, and a server without a readable row must not be used.
+// The next readable row restores the entry. It returns false if there was no such entry.
 func (t *Table) removeUnreadable(id string) bool {
 	e, ok := t.entries[id]
 	if !ok || e.removed {
@@ -222,8 +223,9 @@
 	}
 }
 
-// Expire removes missing entries whose time is over, and deletes removed entries that have no
-// open request of this daemon.
+// Expire removes missing entries that have been kept for their time, and deletes removed
+// entries that have no open request of this daemon. It also deletes outdated records of
+// leaving and removed incarnations and of limits.
 func (t *Table) Expire() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/inventory/prompts.go
+++ b/internal/inventory/prompts.go
@@ -72,10 +72,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.rotate()
-	for _, b := range prefixes {
-		r := CachedPrefix{Key: b.Key, Instance: hash}
-		if p.add(r) && b.Work >= minGossipWork && len(p.pending) < maxPending {
-			p.pending = append(p.pending, r)
+	for _, prefix := range prefixes {
+		c := CachedPrefix{Key: prefix.Key, Instance: hash}
+		if p.add(c) && prefix.Work >= minGossipWork && len(p.pending) < maxPending {
+			p.pending = append(p.pending, c)
 		}
 	}
 }
@@ -85,17 +85,17 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.rotate()
-	for _, r := range reported {
-		p.add(r)
+	for _, c := range reported {
+		p.add(c)
 	}
 }
 
 // add adds a prefix to the current generation and reports whether it was missing there.
-func (p *PrefixIndex) add(r CachedPrefix) bool {
-	if _, known := p.current[r]; known {
+func (p *PrefixIndex) add(c CachedPrefix) bool {
+	if _, known := p.current[c]; known {
 		return false
 	}
-	p.current[r] = struct{}{}
+	p.current[c] = struct{}{}
 	return true
 }
 
@@ -136,10 +136,10 @@
 	return 0
 }
 
-func (p *PrefixIndex) contains(r CachedPrefix) bool {
-	if _, ok := p.current[r]; ok {
+func (p *PrefixIndex) contains(c CachedPrefix) bool {
+	if _, ok := p.current[c]; ok {
 		return true
 	}
-	_, ok := p.previous[r]
+	_, ok := p.previous[c]
 	return ok
 }
--- a/internal/inventory/stale.go
+++ b/internal/inventory/stale.go
@@ -20,8 +20,8 @@
 // isStale reports whether a list that contains the instance may be older than the instance's
 // removal. The lock is held.
 func (t *Table) isStale(i Instance) bool {
-	_, gone := t.removedAt[i.Incarnation()]
-	return gone && t.clock.Now().Before(t.staleUntil)
+	_, removed := t.removedAt[i.Incarnation()]
+	return removed && t.clock.Now().Before(t.staleUntil)
 }
 
 // remove marks an entry as removed and records its incarnation. The lock is held.
@@ -34,9 +34,9 @@
 
 // forgetRemoved deletes records older than removedTime. The lock is held.
 func (t *Table) forgetRemoved(now time.Time) {
-	for life, at := range t.removedAt {
+	for inc, at := range t.removedAt {
 		if now.Sub(at) > removedTime {
-			delete(t.removedAt, life)
+			delete(t.removedAt, inc)
 		}
 	}
 }
--- a/internal/inventory/table.go
+++ b/internal/inventory/table.go
@@ -63,8 +63,9 @@
 	// Waiting is the work of all daemons' requests there that have no first event yet, in
 	// prompt tokens of the largest model.
 	Waiting float64
-	// Unannounced instances have a version that was first listed a moment ago, so that the
-	// order to use it may still be on its way. They get no requests while others can serve.
+	// Unannounced instances have a version that was first listed less than announceTime ago,
+	// so that the order to use it may not have arrived yet. They get no requests while others
+	// can serve.
 	Unannounced bool
 	// Ejected instances have failed recently and get no requests while others can serve.
 	Ejected bool
--- a/internal/inventory/table_test.go
+++ b/internal/inventory/table_test.go
@@ -29,8 +29,8 @@
 	clock := clockwork.NewFakeClock()
 	table := NewTable(clock)
 	table.Replace(Snapshot{Revision: 5, Instances: []Instance{instance("a"), instance("b")}}, time.Time{})
-	regained := clock.Now()
-	keepUntil := regained.Add(2 * time.Second)
+	outageEnd := clock.Now()
+	keepUntil := outageEnd.Add(2 * time.Second)
 
 	clock.Advance(1500 * time.Millisecond)
 	table.Apply([]Change{{ID: "a"}}, 6, keepUntil)
@@ -45,7 +45,7 @@
 
 // Entries of running servers expire during an outage of the store and return after it.
 // Requests must not be refused in the meantime because the list is empty.
-func TestLapsedEntriesAreKeptUntilTheyReturn(t *testing.T) {
+func TestExpiredEntriesAreKeptUntilTheyReturn(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	table := NewTable(clock)
 	table.Replace(Snapshot{Revision: 5, Instances: []Instance{instance("a")}}, time.Time{})
@@ -239,7 +239,7 @@
 
 // A server crashes while it is ejected and has an open request, and restarts under its ID. The
 // new incarnation must start without any state of the earlier one: neither the end of the
-// earlier request nor late news of the earlier incarnation may change it.
+// earlier request nor a late entry of the earlier incarnation may change it.
 func TestServerRestartsUnderTheSameID(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	table := NewTable(clock)
--- a/internal/inventory/warmup_test.go
+++ b/internal/inventory/warmup_test.go
@@ -44,7 +44,7 @@
 
 // Guards against an instance that gets its full load too early because its warm-up is reported
 // only in a heartbeat without any other change.
-func TestHeartbeatTellsOfWarmUp(t *testing.T) {
+func TestHeartbeatReportsWarmUp(t *testing.T) {
 	table, clock := newWarmTable()
 	require.False(t, isWarming(table, "a"))
 	table.applyEntry(2, "a", 2*time.Second)
@@ -118,7 +118,8 @@
 	}
 }
 
-// Guards against a newly started daemon that takes all instances for warm.
+// Guards against a newly started daemon that treats all instances as warm because the list
+// from its peer omits their warm-ups.
 func TestSnapshotCarriesWarmUps(t *testing.T) {
 	table, clock := newWarmTable()
 	table.applyEntry(2, "a", coldTime)
--- a/internal/inventory/work.go
+++ b/internal/inventory/work.go
@@ -41,8 +41,9 @@
 }
 
 // fleetOpen returns the number of open requests of all daemons at an instance, or only those
-// of this daemon if no recent report of the others is available. The reports are accurate for
-// requests that last seconds and misleading for requests of some 60 ms.
+// of this daemon if no recent report of the others is available. The number is accurate for
+// requests that last seconds and misleading for requests of some 60 ms, most of which have
+// ended when the report arrives.
 func (t *Table) fleetOpen(e *entry, now time.Time) int {
 	if !t.fleetKnown(now) {
 		return e.inFlight
--- a/internal/limit/allocator.go
+++ b/internal/limit/allocator.go
@@ -15,7 +15,8 @@
 // rest is divided by demand.
 const evenFraction = 0.1
 
-// grant is a daemon's share of an organisation's limits.
+// grant is a daemon's share of an organisation's limits, with the demand for which it was
+// granted. Both are fractions of the whole limits.
 type grant struct {
 	demand   float64
 	fraction float64
@@ -33,15 +34,16 @@
 	clock   clockwork.Clock
 	daemons func() int
 
-	mu    sync.Mutex
-	table map[string]map[string]*grant
-	// firstReport is when this daemon first granted shares of an organisation.
+	mu sync.Mutex
+	// grants contains the grants by organisation and daemon.
+	grants map[string]map[string]*grant
+	// firstReport is when this Allocator first got a report on each organisation.
 	firstReport map[string]time.Time
 }
 
 // NewAllocator returns an Allocator. daemons returns how many daemons share the limits.
 func NewAllocator(clock clockwork.Clock, daemons func() int) *Allocator {
-	return &Allocator{clock: clock, daemons: daemons, table: map[string]map[string]*grant{}, firstReport: map[string]time.Time{}}
+	return &Allocator{clock: clock, daemons: daemons, grants: map[string]map[string]*grant{}, firstReport: map[string]time.Time{}}
 }
 
 // Report records a daemon's demand and returns its shares by organisation.
@@ -64,22 +66,22 @@
 func (a *Allocator) Release(from string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, shares := range a.table {
-		delete(shares, from)
+	for _, byDaemon := range a.grants {
+		delete(byDaemon, from)
 	}
 }
 
 func (a *Allocator) allocate(from string, d Demand, now time.Time) Share {
-	shares := a.table[d.Organisation]
-	if shares == nil {
-		shares = map[string]*grant{}
-		a.table[d.Organisation] = shares
+	byDaemon := a.grants[d.Organisation]
+	if byDaemon == nil {
+		byDaemon = map[string]*grant{}
+		a.grants[d.Organisation] = byDaemon
 		a.firstReport[d.Organisation] = now
 	}
 	total, taken := 0.0, 0.0
-	for id, g := range shares {
+	for id, g := range byDaemon {
 		if now.After(g.until) {
-			delete(shares, id)
+			delete(byDaemon, id)
 			continue
 		}
 		if id != from {
@@ -100,6 +102,6 @@
 		own.fraction = evenFraction/parts + (1-evenFraction)*own.demand/total
 	}
 	own.fraction = max(min(own.fraction, 1-taken), 0)
-	shares[from] = own
+	byDaemon[from] = own
 	return Share{Fraction: own.fraction, Until: own.until}
 }
--- a/internal/limit/fleet.go
+++ b/internal/limit/fleet.go
@@ -11,15 +11,15 @@
 type FleetRetryPolicy struct {
 	// Ratio is the number of retries allowed per request.
 	Ratio float64
-	// Slack is the number of retries that all daemons together may send in a window in
-	// addition.
+	// Slack is the number of retries that all daemons together may send per Window in addition
+	// to those allowed by Ratio.
 	Slack  float64
 	Window time.Duration
 }
 
-// usableFraction is the fraction of the budget that is used. The rest is a margin: the windows
-// of the daemons and of an observer do not begin at the same time, and callers count requests
-// that no daemon has read.
+// usableFraction is the fraction of the budget that is used. The rest is a margin, since the
+// count of an observer of the fleet differs from that of the daemons: their windows do not
+// begin at the same time, and callers also count requests that no daemon has read.
 const usableFraction = 0.85
 
 // windowSteps is the number of steps in which the window slides. Retries are remembered for
--- a/internal/limit/fleet_test.go
+++ b/internal/limit/fleet_test.go
@@ -61,7 +61,7 @@
 }
 
 // More bytes than the limit must not be reserved, and released bytes must be available again.
-func TestBytes(t *testing.T) {
+func TestByteBudget(t *testing.T) {
 	b := NewByteBudget(10)
 	require.True(t, b.Take(6))
 	require.False(t, b.Take(5))
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -87,7 +87,7 @@
 }
 
 // The callers of an organisation move to another daemon, with a demand far below the limit.
-// They are refused until the next reports if the first daemon holds nearly all of the limit.
+// They are refused until the next reports if the first daemon's share is nearly all of the limit.
 func TestUnusedLimitIsSharedEqually(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	a := NewAllocator(clock, func() int { return 3 })
@@ -146,8 +146,8 @@
 	return done
 }
 
-// Urgent requests go first. An organisation with many requests must not delay the first request of
-// another one with the same priority.
+// Urgent requests go first. An organisation with many requests must not delay the first request
+// of another one with the same priority.
 func TestQueueOrder(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	q := NewQueue(clock)
--- a/internal/limit/organisation.go
+++ b/internal/limit/organisation.go
@@ -79,6 +79,7 @@
 	if limits.InFlight > 0 && u.inFlight >= scaled(limits.InFlight, fraction) {
 		return nil, inFlightRetryAfter, false
 	}
+	// A request that exceeds the token limit by itself is admitted if no other is in flight.
 	if limits.TokensInFlight > 0 && u.tokens > 0 && u.tokens+tokens > scaled(limits.TokensInFlight, fraction) {
 		return nil, inFlightRetryAfter, false
 	}
--- a/internal/limit/queue.go
+++ b/internal/limit/queue.go
@@ -203,10 +203,10 @@
 	q.lastGrant = now
 }
 
-// reset clears the state once the queue is empty. Organisations without waiting requests have
-// no place in the fair order. The grant interval is cleared because one kept from an outage
-// would refuse every short deadline, and with nobody admitted to the queue would never be
-// corrected.
+// reset clears the state once the queue is empty. The fair order covers only organisations with
+// waiting requests. The grant interval is cleared because a long one from an outage would make
+// the queue refuse every request with a short deadline. Without queued requests, it would then
+// never be corrected.
 func (q *Queue) reset() {
 	clear(q.lastFinish)
 	q.virtualTime = 0
--- a/internal/pacing/pacing.go
+++ b/internal/pacing/pacing.go
@@ -1,5 +1,5 @@
-// Package pacing divides among the daemons the requests to an upstream instance that accepts
-// few of them, because it warms up or has a limit.
+// Package pacing divides the requests to an upstream instance among the daemons if the instance
+// accepts few of them, because it warms up or has a limit.
 //
 // Such an instance is less busy than others, so that every daemon by itself would choose it
 // for every request and the fleet would overload it. The daemons need no coordination: each
@@ -26,8 +26,8 @@
 type Share struct {
 	// Interval is the time between two requests of this daemon.
 	Interval time.Duration
-	// Phase is the offset of the daemon's turns within an interval, from 0 to 1. The phases of
-	// an instance's owners are spread evenly.
+	// Phase is the offset of the daemon's turns within an interval, as a fraction of it. The
+	// phases of an instance's owners are spread evenly.
 	Phase float64
 }
 
--- a/internal/pacing/pacing_test.go
+++ b/internal/pacing/pacing_test.go
@@ -23,8 +23,8 @@
 	simSkew = 1200 * time.Millisecond
 )
 
-// rankHashes returns the hash of each daemon that determines the order of an instance's
-// owners.
+// rankHashes returns a hash for each daemon. The order of the hashes is the order of the
+// daemons as owners of the instance.
 func rankHashes(instance, daemons int) []uint64 {
 	out := make([]uint64, daemons)
 	for d := range out {
@@ -155,11 +155,11 @@
 	var all []time.Duration
 	for d, fleet := range views {
 		owners := OwnerCount(rate, len(fleet))
-		at := rankOf(hashes, d, fleet)
-		if at >= owners {
+		rank := rankOf(hashes, d, fleet)
+		if rank >= owners {
 			continue
 		}
-		share := ShareOf(rate, at, owners)
+		share := ShareOf(rate, rank, owners)
 		var p Pacer
 		now := time.Unix(0, 0).Add(time.Duration(random.Int64N(int64(simSkew))))
 		p.Start(now, share)
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -55,14 +55,16 @@
 	// waits for a slot. It is below 1 because the known number of other daemons' requests is
 	// up to a second old.
 	fullFraction = 0.75
-	// fullBatchWork is the cost, as work, of as many requests above fullFraction as the
-	// instance has slots. A slot becomes free only when an answer ends, after some seconds.
+	// fullBatchWork is the cost, as work, of exceeding fullFraction by as many requests as the
+	// instance has slots; a smaller excess costs proportionally less. The cost is high because
+	// a slot becomes free only when an answer ends, after some seconds.
 	fullBatchWork = 40_000.0
 	// crossDomainWork is the cost, as work, of the traffic between failure domains.
 	crossDomainWork = 150.0
-	// tieBreakWork is the difference in work that is ignored, some 20 ms of reading. Within it
-	// a hash of the prompt and the instance decides, which is the same at all daemons, so that
-	// requests with the same uncached prompt go to one instance.
+	// tieBreakWork is the difference in work that is ignored, some 20 ms of reading. Between
+	// instances that differ by less, a hash of the prompt and the instance decides. The hash is
+	// the same at all daemons, so that requests with the same uncached prompt go to one
+	// instance.
 	tieBreakWork = 300.0
 	// workPerRequest converts requests to work: an engine needs as long for reading this many
 	// tokens as for a typical answer.
@@ -185,7 +187,8 @@
 	return ranked[:n]
 }
 
-// cost returns the expected time until the first event at the instance, as work.
+// cost returns the expected time until the first event at the instance, as work. key identifies
+// the prompt.
 func (c Candidate) cost(key string) float64 {
 	cost := c.Waiting + c.Prefill
 	if over := float64(c.Open+1) - fullFraction*float64(c.Slots); over > 0 {
@@ -201,8 +204,8 @@
 func hashFraction(hash uint64) float64 { return float64(hash>>11) / (1 << 53) }
 
 // LowestCost returns the instance that will probably answer a prompt first: the one with the
-// lowest sum of waiting work, prefill work and penalties. Without a key it returns the least
-// loaded instance.
+// lowest sum of waiting work, prefill work and penalties. key identifies the prompt; if it is
+// empty, LowestCost returns the least loaded instance.
 func LowestCost(all []Candidate, key string, random *rand.Rand) (Candidate, bool) {
 	if key == "" || len(all) == 0 {
 		return LeastLoaded(all, random)
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -90,13 +90,13 @@
 	require.Equal(t, "i-1", picked.ID)
 	all = candidates(2)
 	all[1].Local = true
-	near := 0
+	localPicks := 0
 	for range 100 {
 		if picked, _ := LeastLoaded(all, random()); picked.ID == "i-1" {
-			near++
+			localPicks++
 		}
 	}
-	require.Greater(t, near, 50)
+	require.Greater(t, localPicks, 50)
 	_, ok := LeastLoaded(nil, random())
 	require.False(t, ok)
 }
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// EvidenceTTL is how long a crash counts as evidence, and how long the completion of a
-	// request is remembered. It covers repeated attempts: a caller retries a request for some
-	// ten seconds, and the caller's user for some minutes.
+	// EvidenceTTL is how long a crash counts as evidence. The completion of a request is
+	// remembered for at least half of it; see Finished. It covers repeated attempts: a caller
+	// retries a request for some ten seconds, and the caller's user for some minutes.
 	EvidenceTTL = 5 * time.Minute
 	// minCrashes is the number of crashed instances after which a request is quarantined if it
 	// alone explains all crashes of that time.
@@ -78,9 +78,9 @@
 // instance ended in that time without it, and no other request was on all of the three. If
 // other instances ended too, because of a power loss or a second crashing request, it must
 // have been on five (minCrashesConfounded, counted by weightedCrashes) and on at least a third
-// of all that ended. Two requests that were on exactly the same instances are told apart by
-// the next crash with only one of them, or by the first that completes. Crashes of instances
-// that had a quarantined request are not held against other requests.
+// of all that ended. If two requests were on exactly the same instances, neither is
+// quarantined until an instance crashes with only one of them or one of them completes.
+// Crashes of instances that had a quarantined request do not count against other requests.
 //
 // Lock order: mu is taken alone.
 type Evidence struct {
@@ -119,8 +119,8 @@
 }
 
 // insertOrdered inserts n into order at the position of its time. Reports may arrive out of
-// order: daemons send them at different times, and a daemon that has just started to judge
-// receives all at once.
+// order: daemons send them at different times, and a daemon that has just become the judge (the
+// one that decides on quarantines) receives all at once.
 func (e *Evidence) insertOrdered(n inventory.InstanceHash, at time.Time) {
 	i := len(e.order)
 	for i > 0 && e.crashes[e.order[i-1]].at.After(at) {
@@ -260,7 +260,7 @@
 	return all
 }
 
-// isCulprit reports whether the evidence suffices to quarantine c. It also counts c.unrelated.
+// isCulprit reports whether the evidence suffices to quarantine c. It also sets c.unrelated.
 func (e *Evidence) isCulprit(c *SuspectCrashes, unexplained []inventory.InstanceHash, complete time.Duration) bool {
 	if len(c.crashes) < minCrashes {
 		return false
@@ -281,8 +281,8 @@
 
 // weightedCrashes is the number of instances that ended with a request, less what other causes
 // explain: if k instances end simultaneously and only one of them has the request, that one
-// counts 1/k. This tells repeated power losses of a rack from several crashing requests, whose
-// crashes are not simultaneous.
+// counts 1/k. This distinguishes repeated power losses of a rack from several crashing requests,
+// whose crashes are not simultaneous.
 func (e *Evidence) weightedCrashes(c *SuspectCrashes, unexplained []inventory.InstanceHash) float64 {
 	sum := 0.0
 	for _, n := range c.crashes {
--- a/internal/quarantine/evidence_test.go
+++ b/internal/quarantine/evidence_test.go
@@ -17,7 +17,7 @@
 	return Suspect{Digest: NewDigest("POST", "shop.example", "/notes/"+name, "visrad", nil), Route: "notes", Organisation: "visrad"}
 }
 
-// harness holds the evidence and the list of a daemon that judges crashes.
+// harness has the evidence and the list of the judge, the daemon that decides on quarantines.
 type harness struct {
 	clock    *clockwork.FakeClock
 	evidence *Evidence
@@ -46,11 +46,11 @@
 		_, yes := h.list.Refused(d)
 		return yes
 	}
-	cases := h.evidence.Culprits(complete, refused, h.list.OnProbation)
-	for _, c := range cases {
+	culprits := h.evidence.Culprits(complete, refused, h.list.OnProbation)
+	for _, c := range culprits {
 		h.list.Quarantine(c)
 	}
-	return len(cases)
+	return len(culprits)
 }
 
 func (h *harness) refused(name string) bool {
@@ -130,7 +130,7 @@
 	require.Zero(t, h.decide(allDaemonsKnown), "seven power losses must not quarantine it either")
 }
 
-// The daemon has just started to judge, or another daemon does not answer. The missing reports
+// The judge has just started, or another daemon does not answer. The missing reports
 // may clear the request or name another cause, so five crashes are needed.
 func TestIncompleteEvidenceNeedsFiveCrashes(t *testing.T) {
 	h := newHarness()
@@ -271,8 +271,8 @@
 	random    *rand.Rand
 	instances [18][]string
 	requests  int
-	// crashed counts the instances that the crashing request ended, and wrong the other
-	// requests found in quarantine, at each step.
+	// crashed counts the instances that the crashing request ended. At each step, wrong counts
+	// the other requests that are in quarantine.
 	crashed, wrong int
 }
 
@@ -348,7 +348,7 @@
 // A request that is sent every minute or two completes, except three times when its instance
 // loses power. If its completions were forgotten before the crashes, it would look like their
 // cause.
-func TestCompletionsAreKeptAsLongAsCrashes(t *testing.T) {
+func TestCompletionIsRememberedForHalfEvidenceTTL(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	f := NewFinished(clock)
 	d := suspectNamed("a").Digest
@@ -362,8 +362,8 @@
 	require.False(t, known)
 }
 
-// More distinct requests complete than the memory holds. It stays within its bound and still
-// knows the latest.
+// More distinct requests complete than Finished can remember. It must stay within its bound and
+// still know the latest.
 func TestCompletionsAreBounded(t *testing.T) {
 	f := NewFinished(clockwork.NewFakeClock())
 	for n := range 5 * maxPerGeneration {
--- a/internal/quarantine/finished.go
+++ b/internal/quarantine/finished.go
@@ -8,13 +8,14 @@
 )
 
 // maxPerGeneration bounds each of the two generations of Finished: 20,000 digests of some 60
-// bytes. That covers all of EvidenceTTL at 130 requests per second. If completions were
-// forgotten earlier, a request that completes normally between three power losses would look
-// like their cause.
+// bytes. Up to 130 requests per second, a generation does not fill before half of EvidenceTTL
+// is over. If completions were forgotten earlier, a request that completes normally between
+// three power losses would look like their cause.
 const maxPerGeneration = 20_000
 
 // Finished remembers when requests last completed. It keeps two generations, which are rotated
-// every half EvidenceTTL, or earlier when the current one is full.
+// every half EvidenceTTL, or earlier when the current one is full. Unless a generation fills
+// up, a completion is remembered for at least half of EvidenceTTL.
 //
 // Lock order: mu is taken alone.
 type Finished struct {
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -18,7 +18,7 @@
 
 // The cheapest plan that meets the target with confidence must be picked. A version with too few
 // ratings does not meet it, and without any such plan the best one is picked.
-func TestPick(t *testing.T) {
+func TestPickPlan(t *testing.T) {
 	cheap, dear := candidate("cheap", 10, 850, 150), candidate("dear", 100, 970, 30)
 	for name, c := range map[string]struct {
 		candidates []Candidate
@@ -85,7 +85,7 @@
 
 // Requests with the same prefix must go to the same upstream, so that its prompt cache is used,
 // but not once that upstream is much busier than the others. None is picked when all are full.
-func TestBalance(t *testing.T) {
+func TestPickUpstream(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	loads := []UpstreamLoad{{ID: "a", Slots: 10}, {ID: "b", Slots: 10}, {ID: "c", Slots: 10}}
 	first, ok := PickUpstream(loads, 7, 1.25, 1.5, random)
