--- a/internal/inventory/evacuated.go
+++ b/internal/inventory/evacuated.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Evacuate starts or ends the evacuation of a failure domain, whose instances get no new
+// SetEvacuated starts or ends the evacuation of a failure domain, whose instances get no new
 // requests in the meantime; running requests continue. At the end of an evacuation, the
 // instances are assumed to be cold, because the list reports their warm-up late.
 func (t *Table) Evacuate(domain string, evacuated bool) {
--- a/internal/inventory/limit.go
+++ b/internal/inventory/limit.go
@@ -32,8 +32,8 @@
 	// Lifted is set when the answers of the instance contain no limit any more.
 	Lifted bool
 	// Version orders the reports about the same incarnation. A daemon that observes a change
-	// increments it. Of two reports with the same version, one of a limit in force supersedes
-	// one that the limit was lifted, and a lower rate supersedes a higher one.
+	// increments it. If the versions are equal, a limit in force supersedes a lifted one, and a
+	// lower rate supersedes a higher one.
 	Version uint64
 }
 
--- a/internal/inventory/list.go
+++ b/internal/inventory/list.go
@@ -8,8 +8,8 @@
 	Instances []Instance
 	// Unreadable contains the IDs of entries that do not describe a usable server.
 	Unreadable []string
-	// Doubted contains, by ID, the remaining time for which those of Instances are kept that
-	// are missing from the list.
+	// Doubted contains, for each of Instances that is missing from the list, the remaining time
+	// for which it is kept, by ID.
 	Doubted map[string]time.Duration
 	// Warming contains the remaining warm-up time by ID; instances not in it are warm.
 	Warming map[string]time.Duration
--- a/internal/limit/queue.go
+++ b/internal/limit/queue.go
@@ -204,9 +204,9 @@
 }
 
 // reset clears the state once the queue is empty. The fair order covers only organisations with
-// waiting requests. The grant interval is cleared because a long one from an outage would make
-// the queue refuse every request with a short deadline. Without queued requests, it would then
-// never be corrected.
+// waiting requests. The grant interval does not apply to the next queue: a long one from an
+// outage would make the queue refuse every request with a short deadline, and without queued
+// requests it would never be corrected.
 func (q *Queue) reset() {
 	clear(q.lastFinish)
 	q.virtualTime = 0
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -18,6 +18,8 @@
 
 func random() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
+// Ejected and tried instances must get no requests. If most instances are ejected, the ejected
+// ones must be usable, too, so that the few others are not overloaded.
 func TestFilter(t *testing.T) {
 	all := candidates(4)
 	all[0].Ejected = true
@@ -29,6 +31,8 @@
 	require.Len(t, Filter(all, nil), 4, "when most fail, the cause is probably elsewhere")
 }
 
+// A subset must have the wanted fraction of the instances, always the same ones, and at least
+// minSubset of them.
 func TestSubset(t *testing.T) {
 	all := candidates(18)
 	require.Len(t, Subset(all, 0), 18)
@@ -83,6 +87,8 @@
 	require.False(t, ok)
 }
 
+// The instance with the lowest load must be picked. Of equally loaded ones, that of the own
+// failure domain must be picked more often.
 func TestLeastLoadedPrefersLowLoadThenTheOwnDomain(t *testing.T) {
 	all := candidates(3)
 	all[0].Load, all[1].Load, all[2].Load = 60, 10, 30
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -73,7 +73,7 @@
 	return left, left > 0
 }
 
-// Held reports whether a request is quarantined or on probation.
+// QuarantinedOrOnProbation reports whether a request is quarantined or on probation.
 func (l *List) Held(d Digest) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
