--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -140,7 +140,7 @@
 	a.notifyWaiters()
 }
 
-// Started reports whether the head is set, so that readers may have received it.
+// Started reports whether the head is set. If it is, readers may have received it.
 func (a *Answer) Started() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/answer/packed.go
+++ b/internal/answer/packed.go
@@ -35,7 +35,7 @@
 			p.finishReason, p.usage = e.FinishReason, e.Usage
 		}
 	}
-	p.text = strings.Clone(text.String())
+	p.text = strings.Clone(text.String()) // without the unused capacity of the builder
 	return p
 }
 
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -108,7 +108,8 @@
 	Duplicate
 	// Redirect: the key must be requested from the incarnation MovedTo.
 	Redirect
-	// Busy: this daemon is requesting the key itself; the caller should retry.
+	// Busy: this daemon is requesting the key from another daemon for an earlier
+	// request; the caller should retry.
 	Busy
 	// Mismatch: the key was used with a different request body.
 	Mismatch
@@ -153,10 +154,10 @@
 }
 
 // Begin claims key for the request requestID at this daemon. digest identifies
-// the request body. If the table has an entry for the key other than a
-// tombstone, or this daemon is the key's home, Begin decides from the table
-// alone. Otherwise it marks the key as Pending and returns Redirect; the caller
-// must then request the key from MovedTo and call Finish.
+// the request body. Begin decides from the table alone if it has an entry for
+// the key other than a tombstone, or if it has none and the key is expired or
+// this daemon is its home. Otherwise it marks the key as Pending and returns
+// Redirect; the caller must then request the key from MovedTo and call Finish.
 func (t *Table) Begin(key Key, home Home, digest, requestID string) Result {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -186,8 +187,9 @@
 // expiry returns the time until which an entry is kept.
 func expiry(home Home) time.Time { return home.Issued.Add(Lifetime + LifetimeMargin) }
 
-// isExpired also returns true for a key issued more than LifetimeMargin in the
-// future, because its entry would stay in the table for longer than intended.
+// isExpired reports whether a key was issued more than Lifetime ago, or more than
+// LifetimeMargin in the future. The entry of a key from the future would stay in
+// the table for longer than intended.
 func (t *Table) isExpired(home Home) bool {
 	age := t.clock.Since(home.Issued)
 	return age > Lifetime || age < -LifetimeMargin
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -19,6 +19,7 @@
 
 func incarnation(n int) string { return fmt.Sprintf("%026d", n) }
 
+// Guards against a key that gets a home although its prefix has not the full form.
 func TestParseHome(t *testing.T) {
 	home, ok := ParseHome(Prefix(incarnation(1), clock.Now()) + ".own.key")
 	require.True(t, ok)
--- a/internal/claim/resolver.go
+++ b/internal/claim/resolver.go
@@ -81,34 +81,34 @@
 	return decision, err
 }
 
-// followOwners requests the key from the incarnation at and then along the
+// followOwners requests the key from the incarnation owner and then along the
 // chain of tombstones, until a daemon returns a result other than Redirect.
-func (r *Resolver) followOwners(ctx context.Context, key Key, home Home, digest, at string) (Decision, error) {
+func (r *Resolver) followOwners(ctx context.Context, key Key, home Home, digest, owner string) (Decision, error) {
 	for range maxHops {
-		if at == r.self {
+		if owner == r.self {
 			// The chain ends at this daemon, and Begin found no earlier request
 			// with the key in the table.
 			return Decision{Run: true}, nil
 		}
-		result, err := r.keyTaker.Take(ctx, at, key, home, digest)
+		result, err := r.keyTaker.Take(ctx, owner, key, home, digest)
 		if err != nil {
 			return Decision{}, err
 		}
 		if result.Outcome != Redirect {
-			return r.toDecision(result, at)
+			return r.toDecision(result, owner)
 		}
-		at = result.MovedTo
+		owner = result.MovedTo
 	}
 	return Decision{}, keyUnsettled("the key moves between daemons")
 }
 
-// toDecision converts the result that the incarnation at returned.
-func (r *Resolver) toDecision(result Result, at string) (Decision, error) {
+// toDecision converts the result that the incarnation owner returned.
+func (r *Resolver) toDecision(result Result, owner string) (Decision, error) {
 	switch result.Outcome {
 	case Granted:
 		return Decision{Run: true}, nil
 	case Duplicate:
-		return Decision{RequestID: result.RequestID, Owner: at}, nil
+		return Decision{RequestID: result.RequestID, Owner: owner}, nil
 	case Mismatch:
 		return Decision{}, fault.New(fault.KeyReused, "Idempotency-Key: the key was used with another request")
 	case Expired:
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -1,7 +1,7 @@
-// Package config stores, checks and distributes the co-operative's
-// configuration. It consists of a base document for all sites, one overlay
-// document per site, and the states of roll-outs. Each accepted change creates a
-// new generation of the whole configuration.
+// Package config stores, checks and distributes the configuration. It consists of
+// a base document for all sites, one overlay document per site, and the states of
+// roll-outs. Each accepted change creates a new generation of the whole
+// configuration.
 package config
 
 import (
--- a/internal/config/follower.go
+++ b/internal/config/follower.go
@@ -35,9 +35,10 @@
 	documents map[string]StoredDocument
 	rollouts  map[string]Rollout
 	snapshot  *Snapshot
-	// confirmed is the last time at which the active generation was the newest.
+	// confirmed is the last time at which the active generation was known to be the
+	// newest.
 	confirmed time.Time
-	// changed is closed and replaced when a new generation becomes active.
+	// changed is closed and replaced each time a new generation becomes active.
 	changed chan struct{}
 }
 
--- a/internal/config/rollouts.go
+++ b/internal/config/rollouts.go
@@ -66,8 +66,8 @@
 }
 
 // resolveRolloutWrite returns the result of a write that failed with cause. If the
-// outcome is unknown, it reads the row: nil means that the row has the wanted
-// state, and a ConfigUnknown error that it cannot tell.
+// outcome is unknown, it reads the row. It returns nil if the row has the wanted
+// state and stage, and otherwise a ConfigUnknown error.
 func (s *Store) resolveRolloutWrite(ctx context.Context, wanted Rollout, cause error) error {
 	if !backing.IsUnknownOutcome(cause) {
 		return storeError(cause)
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -32,7 +32,7 @@
 	// Good and Bad are the numbers of ratings counted so far.
 	Good int `json:"good"`
 	Bad  int `json:"bad"`
-	// Fence is the fencing token of the lease under which this row was written; 0
+	// Fence is the fencing number of the lease under which this row was written; 0
 	// if an operator wrote it.
 	Fence  int64  `json:"fence"`
 	Reason string `json:"reason,omitempty"`
@@ -93,8 +93,8 @@
 	if !ok {
 		return "", false
 	}
-	r, live := s.Rollouts[ref]
-	if !live || v.State == Withdrawn {
+	r, found := s.Rollouts[ref]
+	if !found || v.State == Withdrawn {
 		return v.State, true
 	}
 	return r.State, true
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -81,7 +81,7 @@
 	Author     string    `json:"author,omitempty"`
 	At         time.Time `json:"at"`
 	// Abandoned marks an id whose write had an unknown outcome. The change was not
-	// accepted, and this row prevents that it is committed later.
+	// accepted, and this row prevents a delayed write from committing it later.
 	Abandoned bool `json:"abandoned,omitempty"`
 }
 
@@ -186,13 +186,14 @@
 	return s.Apply(ctx, req)
 }
 
-// resolveUnknownOutcome determines whether a commit without a response took effect.
+// resolveUnknownOutcome determines whether a commit took effect that failed with an
+// error other than CompareFailed.
 //
 // The commit may still be in transit when the change row is read. If a missing row
-// were reported as a failure, the change could become active after the operator was
-// told that it was not accepted. So this function first writes an abandoned change
-// row, on condition that the row does not exist. If that succeeds, the original
-// commit can no longer succeed, because its transaction has the same condition.
+// were reported as a failure, the change could become active after it was reported
+// as not accepted. So this function first writes an abandoned change row, on
+// condition that the row does not exist. If that succeeds, the original commit can
+// no longer succeed, because its transaction has the same condition.
 func (s *Store) resolveUnknownOutcome(ctx context.Context, id string) (Change, error) {
 	done, found, err := s.readChange(ctx, id)
 	if err == nil && !found {
@@ -357,7 +358,8 @@
 	return Parse(text)
 }
 
-// History returns the first limit accepted revisions of a document, oldest first.
+// History returns the accepted revisions of a document, oldest first. If there are
+// more than limit, it omits the newest ones.
 func (s *Store) History(ctx context.Context, site string, limit int) ([]StoredDocument, error) {
 	rows, err := s.table.List(ctx, historyKeyPrefix+DocumentName(site)+"/", "", limit)
 	if err != nil {
@@ -372,7 +374,7 @@
 	return out, nil
 }
 
-// changeRetention is how long the outcome of a change can be read by its id.
+// changeRetention is how long the outcome of a change can be looked up by its id.
 const changeRetention = 30 * 24 * time.Hour
 
 // SweepChanges deletes Change rows that are older than changeRetention, one page
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -43,14 +43,14 @@
 	// when it was first seen.
 	seenRevision int64
 	seenAt       time.Time
-	// fence is the highest fencing number seen, which the table may have lost.
+	// fence is the highest fencing number seen. It is kept so that no number is used twice
+	// after the table has lost the row.
 	fence int64
 
-	// HolderEnded reports whether the process of a holder has certainly ended. If it is nil,
-	// the lease of an ended process stays taken until it expires.
-	//
-	// It avoids the time without a holder, up to a whole duration, after all daemons were
-	// killed at once.
+	// HolderEnded reports whether the process of a holder has certainly ended. Its lease can
+	// then be taken at once; otherwise, after all daemons were killed, no daemon would hold the
+	// lease for up to a whole duration. If HolderEnded is nil, the lease of an ended process
+	// stays taken until it expires.
 	HolderEnded func(ctx context.Context, holder string) bool
 }
 
@@ -109,8 +109,9 @@
 		return false, nil
 	}
 	if err != nil {
-		// If the write took effect, the next Renew finds the row with this daemon as the
-		// holder. Until then only the last confirmed renewal counts.
+		// The write may have taken effect. held.Fence lets the next Renew recognise the row as
+		// this daemon's own. Until then a takeover does not count as held, and of a renewal
+		// only the last confirmed one counts.
 		if backing.IsUnknownOutcome(err) && next.Fence != l.held.Fence {
 			l.held.Fence = next.Fence
 			l.renewed = time.Time{}
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -19,7 +19,7 @@
 	// is the newest batch of the owner's log.
 	Replicate(ctx context.Context, owner string, after int64, bills []Bill) error
 	// Release makes the peers delete their replicas of bills that are committed
-	// or void.
+	// or void. It must not wait for the peers.
 	Release(ctx context.Context, owner string, ids []string)
 	// Epoch returns a number that changes whenever the set of peers that hold
 	// replicas changes.
@@ -60,8 +60,9 @@
 
 // Ledger bills the requests of one daemon. It is safe for concurrent use.
 //
-// Lock order: logMu before mu. Neither is held during calls to peers; logMu is
-// held while the table is written.
+// Lock order: logMu before mu. Neither is held during Replicator.Replicate, which
+// waits for peers. logMu is held while the table is written and during
+// Replicator.Release.
 type Ledger struct {
 	self                string
 	peers               Replicator
@@ -95,10 +96,8 @@
 
 // Open records the bill of a request that is about to be dispatched. If it
 // returns nil, the bill is durable: it survives a crash of this daemon. If it
-// returns an error, the request must not be dispatched.
-//
-// Otherwise the work of a daemon that crashes after the dispatch would never be
-// billed.
+// returns an error, the request must not be dispatched, because its work would
+// never be billed if this daemon crashed.
 func (l *Ledger) Open(ctx context.Context, b Bill) error {
 	b.State = Open
 	if !l.put(b, true) {
@@ -275,8 +274,8 @@
 	}
 }
 
-// commitLoop commits bills at intervals and replicates missing ones until ctx
-// ends.
+// commitLoop commits bills at intervals and replicates those without replicas
+// until ctx ends.
 func (l *Ledger) commitLoop(ctx context.Context) {
 	for {
 		select {
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -126,8 +126,8 @@
 				if rapid.Bool().Draw(t, "copy is open") {
 					copied.State = Open
 				}
-				for _, h := range replicaStores {
-					h.Add("a", owner.Last(), []Bill{copied})
+				for _, r := range replicaStores {
+					r.Add("a", owner.Last(), []Bill{copied})
 				}
 				pending = append(pending, b)
 			case "commit":
@@ -142,8 +142,8 @@
 		if err := owner.Append(ctx, pending, false); err != nil {
 			t.Fatal(err)
 		}
-		for _, h := range replicaStores {
-			if _, err := h.Seal(ctx, "a"); err != nil {
+		for _, r := range replicaStores {
+			if _, err := r.Seal(ctx, "a"); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/ledger/log.go
+++ b/internal/ledger/log.go
@@ -129,9 +129,9 @@
 	}
 }
 
-// StartAfter makes the log treat batches up to n as read. A peer calls it if its
-// replicas can only be in batches after n. Sync still reads earlier batches from
-// the oldest open bill on.
+// StartAfter makes the log treat batches up to n as read. A peer calls it if only
+// batches after n can contain final versions of its replicas. The first Sync still
+// reads from the batch of the oldest open bill on.
 func (l *Log) StartAfter(n int64) { l.head.Last = n }
 
 // Last returns the number of the newest batch that was read or written.
--- a/internal/ledger/replicas.go
+++ b/internal/ledger/replicas.go
@@ -13,8 +13,8 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/upstream"
 )
 
-// usageTimeout is the age of a bill, counted from its opening, from which on it
-// is closed without usage if the upstream does not respond.
+// usageTimeout is the time after the opening of a bill from which on the bill is
+// closed without usage if the upstream does not respond.
 const usageTimeout = 10 * time.Minute
 
 // UsageReader reads from an upstream which work it did for a request.
@@ -56,13 +56,13 @@
 // Add adds or replaces replicas of the bills of owner. after is the newest batch
 // of the owner's log. An open bill never replaces a final one, because messages
 // may arrive out of order.
-func (h *ReplicaStore) Add(owner string, after int64, bills []Bill) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	replicas := h.owners[owner]
+func (s *ReplicaStore) Add(owner string, after int64, bills []Bill) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	replicas := s.owners[owner]
 	if replicas == nil {
 		replicas = map[string]replica{}
-		h.owners[owner] = replicas
+		s.owners[owner] = replicas
 	}
 	for _, b := range bills {
 		have, seen := replicas[b.RequestID]
@@ -77,46 +77,46 @@
 }
 
 // Remove deletes replicas of bills that are committed or void.
-func (h *ReplicaStore) Remove(owner string, ids []string) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+func (s *ReplicaStore) Remove(owner string, ids []string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	for _, id := range ids {
-		delete(h.owners[owner], id)
+		delete(s.owners[owner], id)
 	}
-	if len(h.owners[owner]) == 0 {
-		delete(h.owners, owner)
+	if len(s.owners[owner]) == 0 {
+		delete(s.owners, owner)
 	}
 }
 
 // Owners returns the incarnations that own the replicated bills.
-func (h *ReplicaStore) Owners() []string {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	out := make([]string, 0, len(h.owners))
-	for owner := range h.owners {
+func (s *ReplicaStore) Owners() []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	out := make([]string, 0, len(s.owners))
+	for owner := range s.owners {
 		out = append(out, owner)
 	}
 	return out
 }
 
 // Len returns the number of replicas.
-func (h *ReplicaStore) Len() int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+func (s *ReplicaStore) Len() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	n := 0
-	for _, replicas := range h.owners {
+	for _, replicas := range s.owners {
 		n += len(replicas)
 	}
 	return n
 }
 
 // replicasOf returns a copy of the replicas of owner's bills.
-func (h *ReplicaStore) replicasOf(owner string) []replica {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	out := make([]replica, 0, len(h.owners[owner]))
-	for _, c := range h.owners[owner] {
-		out = append(out, c)
+func (s *ReplicaStore) replicasOf(owner string) []replica {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	out := make([]replica, 0, len(s.owners[owner]))
+	for _, r := range s.owners[owner] {
+		out = append(out, r)
 	}
 	return out
 }
@@ -126,9 +126,9 @@
 // are closed, it marks the log as sealed and returns true. Bills whose requests
 // still run at the upstream, or whose usage cannot be read yet, are left for a
 // later call.
-func (h *ReplicaStore) Seal(ctx context.Context, owner string) (bool, error) {
-	replicas := h.replicasOf(owner)
-	log := NewLog(h.table, owner, h.self)
+func (s *ReplicaStore) Seal(ctx context.Context, owner string) (bool, error) {
+	replicas := s.replicasOf(owner)
+	log := NewLog(s.table, owner, s.self)
 	log.StartAfter(lowestAfter(replicas))
 	if err := log.Sync(ctx); err != nil {
 		return false, trace.Wrap(err)
@@ -141,10 +141,10 @@
 	for _, b := range open {
 		bills[b.RequestID] = b
 	}
-	for _, c := range replicas {
-		bills[c.bill.RequestID] = c.bill
+	for _, r := range replicas {
+		bills[r.bill.RequestID] = r.bill
 	}
-	final, running := h.closeOpenBills(ctx, log, bills)
+	final, running := s.closeOpenBills(ctx, log, bills)
 	if err := log.Append(ctx, final, running == 0); err != nil {
 		return false, trace.Wrap(err)
 	}
@@ -152,27 +152,27 @@
 	for i, b := range final {
 		ids[i] = b.RequestID
 	}
-	for _, c := range replicas {
-		if log.closed(c.bill.RequestID) {
-			ids = append(ids, c.bill.RequestID)
+	for _, r := range replicas {
+		if log.closed(r.bill.RequestID) {
+			ids = append(ids, r.bill.RequestID)
 		}
 	}
-	h.Remove(owner, ids)
+	s.Remove(owner, ids)
 	if len(final) > 0 {
 		slog.Info("ledger.sealed", "incarnation", owner, "bills", len(final), "running", running)
 	}
 	return running == 0, nil
 }
 
-// lowestAfter returns the newest batch that cannot contain any of the bills; 0 if
-// there are none.
+// lowestAfter returns the newest batch up to which the log cannot contain a final
+// version of any of the bills; 0 if there are none.
 func lowestAfter(replicas []replica) int64 {
 	if len(replicas) == 0 {
 		return 0
 	}
 	start := replicas[0].after
-	for _, c := range replicas {
-		start = min(start, c.after)
+	for _, r := range replicas {
+		start = min(start, r.after)
 	}
 	return start
 }
@@ -180,7 +180,7 @@
 // closeOpenBills returns the bills that are final or can be closed, and the
 // number of those that have to stay open. It omits open bills that the log has
 // closed already.
-func (h *ReplicaStore) closeOpenBills(ctx context.Context, log *Log, bills map[string]Bill) (final []Bill, running int) {
+func (s *ReplicaStore) closeOpenBills(ctx context.Context, log *Log, bills map[string]Bill) (final []Bill, running int) {
 	for _, b := range bills {
 		if b.Final() {
 			final = append(final, b)
@@ -189,7 +189,7 @@
 		if log.closed(b.RequestID) {
 			continue
 		}
-		done, ok := h.closeOpenBill(ctx, b)
+		done, ok := s.closeOpenBill(ctx, b)
 		if !ok {
 			running++
 			continue
@@ -201,15 +201,16 @@
 
 // closeOpenBill closes an open bill according to the usage that the upstream
 // reports. It returns false if the bill has to stay open for now.
-func (h *ReplicaStore) closeOpenBill(ctx context.Context, b Bill) (Bill, bool) {
-	now := h.clock.Now()
+func (s *ReplicaStore) closeOpenBill(ctx context.Context, b Bill) (Bill, bool) {
+	now := s.clock.Now()
 	b.Closed = now
+	// Plain services do not report usage.
 	if b.Service != "" || b.Upstream == "" {
 		b.State, b.Presumed = Failed, true
 		b.Reason = "daemon lost; outcome unknown"
 		return b, true
 	}
-	usage, err := h.usage.RequestUsage(ctx, b.Upstream, b.RequestID)
+	usage, err := s.usage.RequestUsage(ctx, b.Upstream, b.RequestID)
 	switch {
 	case err != nil && now.Sub(b.Opened) < usageTimeout:
 		return b, false
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -19,7 +19,7 @@
 type State int
 
 // States of an incarnation, in the order in which they supersede each other. The incarnation
-// refutes Suspect with a higher version. Leaving and Left are final.
+// refutes Suspect with a higher version. Leaving is followed only by Left, which is final.
 const (
 	Alive State = iota
 	Suspect
@@ -48,8 +48,8 @@
 	Successor string
 }
 
-// supersedes reports whether d replaces old. From Leaving on, only a later state does; before
-// that a higher version does, and with equal versions a later state.
+// supersedes reports whether d replaces old. If either is Leaving or Left, d must have a later
+// state. Otherwise it must have a higher version, or the same version and a later state.
 func (d Daemon) supersedes(old Daemon) bool {
 	if d.State >= Leaving || old.State >= Leaving {
 		return d.State > old.State
@@ -74,14 +74,14 @@
 // Options are the parameters of a Registry.
 type Options struct {
 	// RingTargets is the number of daemons, next on the ring, to which each daemon sends a
-	// heartbeat in every round. It is responsible for detecting their failure.
+	// heartbeat in every round. Each daemon detects the failure of its ring targets.
 	RingTargets int
 	// RandomTargets is the number of further daemons, drawn at random, that get a heartbeat in
 	// every round, so that updates spread quickly.
 	RandomTargets int
 	// MaxUpdates is the maximum number of membership updates in one heartbeat.
 	MaxUpdates int
-	// RetransmitFactor times the binary logarithm of the number of daemons is how often a
+	// RetransmitFactor times the binary logarithm of the number of daemons is how many times a
 	// daemon sends each update.
 	RetransmitFactor int
 	// ForgetAfter is how long an incarnation that left or is suspect stays in the table.
@@ -297,9 +297,9 @@
 }
 
 // RanksFirst reports whether this daemon ranks first among the live daemons for a duty.
-// Daemons with different tables may get different results, so this does not exclude two
-// holders.
-func (r *Registry) RanksFirst(name string) bool {
+// Daemons with different tables may get different results, so two of them may perform the duty
+// at the same time.
+func (r *Registry) RanksFirst(duty string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	best, bestWeight := "", uint64(0)
@@ -307,7 +307,7 @@
 		if d.State != Alive {
 			continue
 		}
-		if w := weight("duty/"+name, d.Incarnation); best == "" || w > bestWeight {
+		if w := weight("duty/"+duty, d.Incarnation); best == "" || w > bestWeight {
 			best, bestWeight = d.Incarnation, w
 		}
 	}
@@ -330,7 +330,7 @@
 
 // HeartbeatTargets returns the daemons to send the next heartbeat to: the next ones on the
 // ring of daemons sorted by incarnation, whose failure this daemon detects, and some drawn at
-// random. In a small installation these are all other daemons.
+// random. In a small installation these are all other daemons that have not left.
 func (r *Registry) HeartbeatTargets() []Daemon {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -369,8 +369,8 @@
 }
 
 // NextUpdates returns the updates to send in the next heartbeat, least often sent first, and
-// counts them as sent. An update that each daemon sends three times the binary logarithm of
-// the number of daemons reaches all of them with high probability.
+// counts them as sent. With a RetransmitFactor of 3 an update reaches all daemons with high
+// probability.
 func (r *Registry) NextUpdates() []Daemon {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -105,16 +105,16 @@
 	for i := range n {
 		everyone = append(everyone, daemon(i))
 	}
-	watched := map[string]int{}
+	monitors := map[string]int{}
 	for i := range n {
 		r := registry(i, clock)
 		r.Merge(everyone)
 		for _, target := range r.HeartbeatTargets()[:2] {
-			watched[target.Incarnation]++
+			monitors[target.Incarnation]++
 		}
 	}
 	for _, d := range everyone {
-		require.Equal(t, 2, watched[d.Incarnation])
+		require.Equal(t, 2, monitors[d.Incarnation])
 	}
 }
 
--- a/internal/member/upstreams.go
+++ b/internal/member/upstreams.go
@@ -20,9 +20,9 @@
 	// measured.
 	Report     upstream.LoadReport
 	ReportedAt time.Time
-	// InFlight counts the running attempts of this daemon at the upstream.
-	InFlight int
-	// SentSince counts those of them that started after ReportedAt.
+	// InFlight counts the running attempts of this daemon at the upstream, and SentSince those
+	// of them that started after ReportedAt, which the report does not include.
+	InFlight  int
 	SentSince int
 	// Failures counts consecutive failures.
 	Failures int
@@ -30,10 +30,11 @@
 	// since the last success.
 	EjectedUntil time.Time
 	ejections    int
-	// leavingUntil is until when the upstream gets no new work, because a source reported that
-	// it is leaving.
+	// leavingUntil is the time until which the upstream gets no new work, because it or
+	// another source reported that it is leaving; see MarkLeaving.
 	leavingUntil time.Time
-	listed       bool
+	// listed is set if the platform's latest list contains the upstream.
+	listed bool
 	// sent has the start times of the running attempts, for SentSince.
 	sent map[string]time.Time
 }
@@ -83,8 +84,8 @@
 	t.changed = make(chan struct{})
 }
 
-// SetList replaces the platform's instance list. An upstream that is no longer listed is
-// removed at the next list after the last attempt of this daemon on it has ended.
+// SetList replaces the platform's instance list. An upstream that is not listed is removed,
+// unless attempts of this daemon still run at it; then a later call removes it.
 func (t *Upstreams) SetList(instances []backing.Instance) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -162,7 +163,7 @@
 	return out
 }
 
-// Started records that an attempt was sent to an upstream.
+// Started records that an attempt is sent to an upstream.
 func (t *Upstreams) Started(id, attempt string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -29,7 +29,7 @@
 
 // Client calls other daemons. It keeps one connection per address.
 //
-// Lock order: mu is never held together with another lock. Connections are dialed without it.
+// Lock order: mu is never held together with another lock, nor while a connection is dialed.
 type Client struct {
 	tls     *tls.Config
 	traffic *Traffic
@@ -59,8 +59,8 @@
 	}
 }
 
-// connect returns the connection to address and dials it if there is none. Of two connections
-// dialed at the same time the second is closed.
+// connect returns the connection to address and dials it if there is none. If two calls dial
+// at the same time, the connection established later is closed.
 func (c *Client) connect(ctx context.Context, address string) (*rpc.Client, error) {
 	c.mu.Lock()
 	conn, ok := c.conns[address]
@@ -173,13 +173,13 @@
 	return callPeer[[]member.Daemon](ctx, c, address, "Members", Empty{})
 }
 
-// HoldBills sends copies of bills for the peer to hold.
+// HoldBills sends replicas of bills for the peer to hold.
 func (c *Client) HoldBills(ctx context.Context, address string, r HoldRequest) error {
 	_, err := callPeer[Empty](ctx, c, address, "Hold", r)
 	return err
 }
 
-// ReleaseBills asks the peer to drop copies of bills.
+// ReleaseBills asks the peer to delete replicas of bills.
 func (c *Client) ReleaseBills(ctx context.Context, address string, r ReleaseRequest) error {
 	_, err := callPeer[Empty](ctx, c, address, "Release", r)
 	return err
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -34,9 +34,9 @@
 }
 
 // write sends a header and a body as one frame. It fails if the connection does not accept the
-// frame within CallTimeout. The caller holds the lock that serialises all calls to the peer:
-// without the deadline a peer that stops reading would block them, and with them the heartbeat
-// round, until it exits.
+// frame within CallTimeout. net/rpc calls it with a lock held that all calls on the connection
+// need: without the deadline a peer that stops reading would block these calls, and with them
+// the heartbeat round, until the peer exits.
 func (f *frameConn) write(method string, header, body any) error {
 	start := f.writer.bytes
 	if err := f.conn.SetWriteDeadline(time.Now().Add(CallTimeout)); err != nil {
--- a/internal/peer/codec_test.go
+++ b/internal/peer/codec_test.go
@@ -51,8 +51,9 @@
 }
 
 // Guards against calls that hang because the peer accepts a connection and does not read from
-// it, as behind a cut link. A large frame fills the socket buffers; without a write deadline
-// the call then blocks the heartbeat round, and the other daemons suspect this one too.
+// it, as if its network link were cut. A large frame fills the socket buffers; without a write
+// deadline the call then blocks the heartbeat round, and the other daemons suspect this daemon
+// as well as the peer.
 func TestCallTimesOutWhenPeerDoesNotRead(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/peer/quarantine.go
+++ b/internal/peer/quarantine.go
@@ -75,7 +75,7 @@
 }
 
 // SendQuarantineUpdate sends requests that were quarantined or released to a peer.
-func (c *Client) SendQuarantineUpdate(ctx context.Context, address string, n QuarantineUpdate) error {
-	_, err := callService[Empty](ctx, c, address, routesName, "Quarantine", n)
+func (c *Client) SendQuarantineUpdate(ctx context.Context, address string, u QuarantineUpdate) error {
+	_, err := callService[Empty](ctx, c, address, routesName, "Quarantine", u)
 	return err
 }
--- a/internal/peer/routes.go
+++ b/internal/peer/routes.go
@@ -11,12 +11,13 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/shift"
 )
 
-// routesName is the name of the net/rpc service between daemons that serve plain HTTP callers.
+// routesName is the name of the net/rpc service between the daemons of package entry, which
+// serve plain HTTP callers.
 const routesName = "Routes"
 
-// RoutesHeartbeat is the heartbeat between these daemons, used as request and as reply. Its
-// versions, revisions and digests let the receiver find out what it lacks; it then asks with a
-// SyncRequest.
+// RoutesHeartbeat is used both as the request and as the reply of a heartbeat of the Routes
+// service. Its versions, revisions and digests let the receiver find out what it lacks; it
+// fetches that with a SyncRequest.
 type RoutesHeartbeat struct {
 	From member.Daemon
 	// News are recent membership changes.
@@ -70,7 +71,8 @@
 	// Instances is the list of upstream instances; nil if it was not requested or is not newer
 	// than SyncRequest.List.
 	Instances *inventory.Snapshot
-	// Doubted is how long the receiver keeps instances that it knows and the list lacks.
+	// Doubted is how long the receiver keeps instances that it knows and the list lacks; see
+	// StoreUpdate.Doubted.
 	Doubted time.Duration
 	Orders  []shift.Order
 	States  []shift.State
@@ -85,7 +87,7 @@
 }
 
 // StoreUpdate is what a daemon that reads the store sends to the daemons of its group that do
-// not.
+// not. A group is the whole fleet or, in a large fleet, a failure domain.
 type StoreUpdate struct {
 	From string
 	// Manifest is the encoded configuration; empty if it has not changed or is too large to be
@@ -116,8 +118,8 @@
 	Base    int64
 	List    int64
 	ListAge time.Duration
-	// Doubted is how long the receiver keeps instances that the list lacks. It is set if the
-	// sender has only recently regained access to the store, whose list may then be
+	// Doubted is how long the receiver keeps instances that it knows and the list lacks. It is
+	// set if the sender has only recently regained access to the store, whose list may then be
 	// incomplete.
 	Doubted time.Duration
 }
@@ -132,17 +134,17 @@
 
 // RoutesHandler handles the calls of the Routes service.
 type RoutesHandler interface {
-	OnHeartbeat(b RoutesHeartbeat) RoutesHeartbeat
+	OnHeartbeat(h RoutesHeartbeat) RoutesHeartbeat
 	OnSync(r SyncRequest) SyncReply
 	OnEvidence(r EvidenceRequest) shift.Evidence
 	OnRolloutState(s shift.State)
-	OnStoreUpdate(n StoreUpdate)
+	OnStoreUpdate(u StoreUpdate)
 	OnFleetWork(w FleetWork) DaemonWork
 	OnDomainWork(w DomainWork)
 	OnStoreCall(c StoreCall) StoreReply
 	OnCrashes(r CrashReport) CrashReply
 	OnQuarantineEvidence(r QuarantineEvidenceRequest) QuarantineEvidence
-	OnQuarantineUpdate(n QuarantineUpdate)
+	OnQuarantineUpdate(u QuarantineUpdate)
 }
 
 // routesService exposes a RoutesHandler with the method signatures that net/rpc requires.
@@ -191,8 +193,8 @@
 }
 
 // SendStoreUpdate sends an update read from the store to a peer.
-func (c *Client) SendStoreUpdate(ctx context.Context, address string, n StoreUpdate) error {
-	_, err := callService[Empty](ctx, c, address, routesName, "News", n)
+func (c *Client) SendStoreUpdate(ctx context.Context, address string, u StoreUpdate) error {
+	_, err := callService[Empty](ctx, c, address, routesName, "News", u)
 	return err
 }
 
@@ -208,8 +210,8 @@
 }
 
 // RoutesHeartbeat sends a heartbeat and returns the heartbeat of the peer.
-func (c *Client) RoutesHeartbeat(ctx context.Context, address string, b RoutesHeartbeat) (RoutesHeartbeat, error) {
-	return callService[RoutesHeartbeat](ctx, c, address, routesName, "Beat", b)
+func (c *Client) RoutesHeartbeat(ctx context.Context, address string, h RoutesHeartbeat) (RoutesHeartbeat, error) {
+	return callService[RoutesHeartbeat](ctx, c, address, routesName, "Beat", h)
 }
 
 // Sync fetches the requested parts of a peer's state.
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -120,13 +120,13 @@
 	return nil
 }
 
-// Hold stores copies of bills.
+// Hold stores replicas of bills.
 func (s *service) Hold(in HoldRequest, _ *Empty) error {
 	s.handler.OnHold(in)
 	return nil
 }
 
-// Release drops copies of bills.
+// Release deletes replicas of bills.
 func (s *service) Release(in ReleaseRequest, _ *Empty) error {
 	s.handler.OnRelease(in)
 	return nil
--- a/internal/peer/wire.go
+++ b/internal/peer/wire.go
@@ -44,15 +44,16 @@
 	Known config.Head
 }
 
-// HoldRequest sends copies of bills of the daemon Owner. After is the last batch in the
-// owner's ledger log when the copies were made; the bills can only be in later batches.
+// HoldRequest sends replicas of bills of the daemon Owner. After is the newest batch of the
+// owner's ledger log when they were sent; a final bill among them can only be in later batches.
 type HoldRequest struct {
 	Owner string
 	After int64
 	Bills []ledger.Bill
 }
 
-// ReleaseRequest names copies of bills, by request id, that are no longer needed.
+// ReleaseRequest lists, by request id, bills of the daemon Owner whose replicas are no longer
+// needed.
 type ReleaseRequest struct {
 	Owner string
 	IDs   []string
@@ -77,14 +78,16 @@
 	WaitMS int64
 }
 
-// AnswerReply is a part of a stored answer. Found is false if the daemon does not have it; a
-// View without events means that none arrived within WaitMS.
+// AnswerReply is a part of a stored answer. Found is false if the daemon does not have it. A
+// View that is not Done and has neither head nor events means that nothing new arrived within
+// WaitMS.
 type AnswerReply struct {
 	Found bool
 	View  answer.View
 }
 
 // CreditRequest asks the daemon that holds the lease of a roll-out for Want exposure credits.
+// Each credit allows one use of the version that is rolled out.
 type CreditRequest struct {
 	Version config.VersionRef
 	Want    int
@@ -102,7 +105,8 @@
 }
 
 // HandoverRequest sends the idempotency keys and answers of a stopping daemon to its
-// successor. Homes are the incarnations whose keys the successor then answers for.
+// successor. Homes are the incarnations for whose keys the successor then acts as home; see
+// package claim.
 type HandoverRequest struct {
 	Homes   []string
 	Entries []claim.HandoverEntry
--- a/internal/peer/work.go
+++ b/internal/peer/work.go
@@ -7,17 +7,17 @@
 )
 
 // FleetWork is the outstanding work of all daemons at upstream instances. A daemon that reads
-// the store sends it to the daemons of its group.
+// the store sends it to the daemons of its group; see StoreUpdate.
 type FleetWork struct {
 	// Amounts is the work per instance, encoded by PackWork.
 	Amounts []byte
 	// Readings are the prompt prefixes that daemons sent to instances since the last message,
-	// encoded by PackReadings.
+	// encoded by PackPrefixes.
 	Readings []byte
 }
 
 // DaemonWork is the reply to FleetWork: the outstanding work of one daemon, and the prompt
-// prefixes that it sent to instances.
+// prefixes that it sent to instances since its last reply, in the same encodings.
 type DaemonWork struct {
 	Incarnation string
 	Amounts     []byte
@@ -25,19 +25,19 @@
 }
 
 // DomainWork is the outstanding work of all daemons of a failure domain, and the prompt
-// prefixes that they sent to instances since the last message.
+// prefixes that they sent to instances since the last message, in the same encodings.
 type DomainWork struct {
 	Domain   string
 	Amounts  []byte
 	Readings []byte
 }
 
-// Work and readings have a compact encoding, because they make up most of the traffic between
-// daemons: an amount takes about 6 bytes instead of 25 with gob, a reading 8 instead of 35. On
+// Work and prefixes have a compact encoding, because they make up most of the traffic between
+// daemons: an amount takes about 6 bytes instead of 25 with gob, a prefix 8 instead of 35. On
 // links of 10 Mbit/s the gob encoding delays the responses to callers.
 
-// workResolution is the resolution of encoded work in prompt tokens: a hundredth of a long
-// prompt.
+// workResolution is the resolution of encoded work in prompt tokens. 50 tokens are a hundredth
+// of a long prompt.
 const workResolution = 50
 
 // PackWork returns the encoding of w. Negative values are encoded as 0.
@@ -76,11 +76,11 @@
 	// inventory.PrefixHash.
 	instanceBytes = 4
 	keyBytes      = 4
-	// ReadingBytes is the encoded length of an inventory.CachedPrefix.
+	// PrefixBytes is the encoded length of an inventory.CachedPrefix.
 	ReadingBytes = keyBytes + instanceBytes
 )
 
-// PackReadings returns the encoding of readings.
+// PackPrefixes returns the encoding of prompt prefixes and the instances they were sent to.
 func PackReadings(all []inventory.CachedPrefix) []byte {
 	out := make([]byte, 0, ReadingBytes*len(all))
 	for _, r := range all {
@@ -90,7 +90,7 @@
 	return out
 }
 
-// UnpackReadings decodes the output of PackReadings. It ignores an incomplete last record.
+// UnpackPrefixes decodes the output of PackPrefixes. It ignores an incomplete last record.
 func UnpackReadings(packed []byte) []inventory.CachedPrefix {
 	var out []inventory.CachedPrefix
 	for ; len(packed) >= ReadingBytes; packed = packed[ReadingBytes:] {
--- a/internal/peer/work_test.go
+++ b/internal/peer/work_test.go
@@ -10,7 +10,7 @@
 )
 
 // Work must survive encoding, in fewer than 8 bytes per instance. Negative values become 0,
-// and truncated input yields no record that was not complete.
+// and truncated input yields only the complete records.
 func TestPackWorkRoundTrip(t *testing.T) {
 	w := inventory.Work{1: {Waiting: 1500, Open: 3}, math.MaxUint32: {Waiting: 400_000, Open: 0}}
 	packed := PackWork(w)
@@ -22,7 +22,7 @@
 	}
 }
 
-// Readings must survive encoding, and an incomplete last record is ignored.
+// Prefixes must survive encoding, and an incomplete last record is ignored.
 func TestPackReadingsRoundTrip(t *testing.T) {
 	all := []inventory.CachedPrefix{{Key: 1, Instance: 2}, {Key: math.MaxUint32, Instance: math.MaxUint32}}
 	packed := PackReadings(all)
--- a/internal/rating/rating.go
+++ b/internal/rating/rating.go
@@ -17,8 +17,8 @@
 	checkpointKey = "rating/summary"
 	// pageSize is the number of ratings read at once.
 	pageSize = 2000
-	// decayWindow is the number of ratings after which an old one counts little: each new
-	// rating shrinks the weight of the earlier ones by 1/decayWindow.
+	// decayWindow is the number of later ratings of the same key after which the weight of a
+	// rating has decreased to about 0.37: each new one decreases it by 1/decayWindow.
 	decayWindow = 1000
 	// checkpointInterval is the smallest number of ratings between two checkpoints.
 	checkpointInterval = 5000
@@ -30,7 +30,7 @@
 	Kind    string            `json:"kind"`
 }
 
-// Count holds the ratings of a key.
+// Count holds the numbers of ratings of a key.
 type Count struct {
 	// Good and Bad count all ratings.
 	Good int64 `json:"good"`
@@ -68,32 +68,32 @@
 func NewCounter() *Counter { return &Counter{counts: map[Key]Count{}} }
 
 // Seq returns the sequence number of the last rating counted.
-func (t *Counter) Seq() int64 {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.seq
+func (c *Counter) Seq() int64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.seq
 }
 
 // Install replaces the counts by a summary if the summary is newer.
-func (t *Counter) Install(s Summary) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if s.Seq <= t.seq {
+func (c *Counter) Install(s Summary) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if s.Seq <= c.seq {
 		return
 	}
-	t.seq = s.Seq
-	t.counts = make(map[Key]Count, len(s.Lines))
+	c.seq = s.Seq
+	c.counts = make(map[Key]Count, len(s.Lines))
 	for _, line := range s.Lines {
-		t.counts[line.Key] = line.Count
+		c.counts[line.Key] = line.Count
 	}
 }
 
 // Summary returns the current counts.
-func (t *Counter) Summary() Summary {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	s := Summary{Seq: t.seq, Lines: make([]Line, 0, len(t.counts))}
-	for key, count := range t.counts {
+func (c *Counter) Summary() Summary {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	s := Summary{Seq: c.seq, Lines: make([]Line, 0, len(c.counts))}
+	for key, count := range c.counts {
 		s.Lines = append(s.Lines, Line{Key: key, Count: count})
 	}
 	return s
@@ -101,16 +101,16 @@
 
 // Add counts ratings, which must be in order of their sequence numbers, and skips those
 // already counted.
-func (t *Counter) Add(ratings []backing.Rating) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (c *Counter) Add(ratings []backing.Rating) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for _, r := range ratings {
-		if r.Seq <= t.seq {
+		if r.Seq <= c.seq {
 			continue
 		}
-		t.seq = r.Seq
+		c.seq = r.Seq
 		key := Key{Version: config.VersionRef{Model: r.Model, Version: r.Version}, Kind: r.Kind}
-		t.counts[key] = t.counts[key].add(r.Good)
+		c.counts[key] = c.counts[key].add(r.Good)
 	}
 }
 
@@ -130,18 +130,18 @@
 }
 
 // Count returns the count of a key; zero if it has no ratings.
-func (t *Counter) Count(key Key) Count {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.counts[key]
+func (c *Counter) Count(key Key) Count {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.counts[key]
 }
 
 // ByKind returns the counts of a version by kind of request.
-func (t *Counter) ByKind(ref config.VersionRef) map[string]Count {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (c *Counter) ByKind(ref config.VersionRef) map[string]Count {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	out := map[string]Count{}
-	for key, count := range t.counts {
+	for key, count := range c.counts {
 		if key.Version == ref {
 			out[key.Kind] = count
 		}
@@ -157,7 +157,7 @@
 
 // Quality returns the estimated quality of a version for the kind of key: the prior from its
 // documents, updated with the recent ratings.
-func (t *Counter) Quality(version config.Version, key Key) route.Quality {
+func (c *Counter) Quality(version config.Version, key Key) route.Quality {
 	prior, ok := version.Prior[key.Kind]
 	if !ok {
 		prior, ok = version.Prior["default"]
@@ -165,32 +165,32 @@
 	if !ok {
 		prior = config.Prior{Mean: defaultPriorMean, Weight: defaultPriorWeight}
 	}
-	count := t.Count(key)
+	count := c.Count(key)
 	return route.NewQuality(prior.Mean, prior.Weight, count.RecentGood, count.RecentBad)
 }
 
 // Restore loads the checkpoint if it is newer than the counts.
-func (t *Counter) Restore(ctx context.Context, table backing.Table) error {
+func (c *Counter) Restore(ctx context.Context, table backing.Table) error {
 	var s Summary
 	if _, err := backing.GetJSON(ctx, table, checkpointKey, &s); err != nil {
 		return trace.Wrap(err)
 	}
-	t.Install(s)
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.saved = max(t.saved, s.Seq)
+	c.Install(s)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.saved = max(c.saved, s.Seq)
 	return nil
 }
 
 // Read counts the new ratings of the feed and returns how many it read.
-func (t *Counter) Read(ctx context.Context, feed backing.Ratings) (int, error) {
+func (c *Counter) Read(ctx context.Context, feed backing.Ratings) (int, error) {
 	total := 0
 	for {
-		ratings, err := feed.ReadRatings(ctx, t.Seq(), pageSize)
+		ratings, err := feed.ReadRatings(ctx, c.Seq(), pageSize)
 		if err != nil {
 			return total, trace.Wrap(err)
 		}
-		t.Add(ratings)
+		c.Add(ratings)
 		total += len(ratings)
 		if len(ratings) < pageSize {
 			return total, nil
@@ -201,10 +201,10 @@
 // Checkpoint stores the summary if at least checkpointInterval ratings were counted since the
 // last checkpoint, so that a starting daemon need not read the feed from its beginning. It
 // does not overwrite a newer checkpoint of another daemon.
-func (t *Counter) Checkpoint(ctx context.Context, table backing.Table) error {
-	t.mu.Lock()
-	due := t.seq-t.saved >= checkpointInterval
-	t.mu.Unlock()
+func (c *Counter) Checkpoint(ctx context.Context, table backing.Table) error {
+	c.mu.Lock()
+	due := c.seq-c.saved >= checkpointInterval
+	c.mu.Unlock()
 	if !due {
 		return nil
 	}
@@ -213,7 +213,7 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	s := t.Summary()
+	s := c.Summary()
 	if s.Seq > stored.Seq {
 		_, err = table.Commit(ctx, backing.Txn{
 			Checks: []backing.Check{{Key: checkpointKey, Revision: revision}},
@@ -223,8 +223,8 @@
 			return trace.Wrap(err)
 		}
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.saved = max(t.saved, s.Seq, stored.Seq)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.saved = max(c.saved, s.Seq, stored.Seq)
 	return nil
 }
