--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -341,6 +341,7 @@
 	wanted := r.options.RingTargets + r.options.RandomTargets
 	var out []Daemon
 	for i := 1; i < n && len(out) < wanted; i++ {
+		// Further targets are drawn at random, unless few daemons remain.
 		if len(out) == r.options.RingTargets && n-i > wanted {
 			break
 		}
--- a/internal/peer/routes.go
+++ b/internal/peer/routes.go
@@ -180,13 +180,13 @@
 	return nil
 }
 
-// GroupWork receives the work of all daemons and returns that of this daemon.
+// GroupWork receives the outstanding work of all daemons and returns that of this daemon.
 func (s *routesService) GroupWork(in FleetWork, out *DaemonWork) error {
 	*out = s.handler.OnFleetWork(in)
 	return nil
 }
 
-// DomainWork receives the work of another failure domain.
+// DomainWork receives the outstanding work of another failure domain.
 func (s *routesService) DomainWork(in DomainWork, _ *Empty) error {
 	s.handler.OnDomainWork(in)
 	return nil
@@ -198,12 +198,13 @@
 	return err
 }
 
-// SendFleetWork sends the work of all daemons to a peer and returns that of the peer.
+// SendFleetWork sends the outstanding work of all daemons to a peer and returns that of the
+// peer.
 func (c *Client) SendFleetWork(ctx context.Context, address string, w FleetWork) (DaemonWork, error) {
 	return callService[DaemonWork](ctx, c, address, routesName, "GroupWork", w)
 }
 
-// SendDomainWork sends the work of this failure domain to a peer in another one.
+// SendDomainWork sends the outstanding work of this failure domain to a peer in another one.
 func (c *Client) SendDomainWork(ctx context.Context, address string, w DomainWork) error {
 	_, err := callService[Empty](ctx, c, address, routesName, "DomainWork", w)
 	return err
--- a/internal/peer/wire.go
+++ b/internal/peer/wire.go
@@ -45,7 +45,8 @@
 }
 
 // HoldRequest sends replicas of bills of the daemon Owner. After is the newest batch of the
-// owner's ledger log when they were sent; a final bill among them can only be in later batches.
+// owner's ledger log when they were sent; only later batches can contain final versions of
+// these bills.
 type HoldRequest struct {
 	Owner string
 	After int64
--- a/internal/peer/work.go
+++ b/internal/peer/work.go
@@ -6,13 +6,14 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/inventory"
 )
 
-// FleetWork is the outstanding work of all daemons at upstream instances. A daemon that reads
-// the store sends it to the daemons of its group; see StoreUpdate.
+// FleetWork is the outstanding work of all daemons at upstream instances. One daemon of each
+// group sends it to the others, and collects their work from the replies. A group is the whole
+// fleet or, in a large fleet, a failure domain.
 type FleetWork struct {
 	// Amounts is the work per instance, encoded by PackWork.
 	Amounts []byte
-	// Readings are the prompt prefixes that daemons sent to instances since the last message,
-	// encoded by PackPrefixes.
+	// Readings are prompt prefixes that daemons recently sent to instances, encoded by
+	// PackPrefixes.
 	Readings []byte
 }
 
@@ -24,8 +25,8 @@
 	Readings    []byte
 }
 
-// DomainWork is the outstanding work of all daemons of a failure domain, and the prompt
-// prefixes that they sent to instances since the last message, in the same encodings.
+// DomainWork is the outstanding work of all daemons of a failure domain, and prompt prefixes
+// that they recently sent to instances, in the same encodings.
 type DomainWork struct {
 	Domain   string
 	Amounts  []byte
