--- a/internal/entry/budget.go
+++ b/internal/entry/budget.go
@@ -8,7 +8,8 @@
 )
 
 // budgetShare returns this daemon's share of rate, the requests per second that an instance
-// may get from the whole fleet.
+// may get from the whole fleet. Only the owners of an instance, some of the live daemons, have
+// a share of its rate.
 //
 // The daemons of each side of a network partition see the others as gone and choose owners
 // only among themselves. Each side therefore distributes only the part of the rate that
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -16,8 +16,9 @@
 	// maxHeaderBytes is the limit of the HTTP server on a request header. The declared limit,
 	// which may change while the server runs, is checked afterwards.
 	maxHeaderBytes = 256 << 10
-	// headerTimeout and idleTimeout apply if the configuration declares none: several times
-	// what the slowest network path to a caller needs, and twice the usual declaration.
+	// headerTimeout and idleTimeout apply to callers if the configuration declares none, and
+	// always to the internal listeners. headerTimeout is several times what the slowest network
+	// path to a caller needs, and idleTimeout twice the usual declaration.
 	headerTimeout = 5 * time.Second
 	idleTimeout   = 30 * time.Second
 	// slowResponseTimeout limits the time for writing requestTimeoutResponse to a slow caller.
--- a/internal/entry/crashes.go
+++ b/internal/entry/crashes.go
@@ -42,7 +42,8 @@
 	// been probed.
 	broken  map[inventory.InstanceHash][]quarantine.Suspect
 	reports []*report
-	// waiting are the requests whose next attempt waits for a decision.
+	// waiting are the requests whose next attempt waits, until the instance is found not to
+	// have ended or the judges have decided.
 	waiting map[quarantine.Digest][]chan struct{}
 	// reporting has the incarnations of the judges to which a report is being sent.
 	reporting  map[string]bool
@@ -65,7 +66,7 @@
 	}
 }
 
-// Broken implements forward.Quarantine. It does not block.
+// ConnectionBroken implements forward.Quarantine. It does not block.
 func (c *crashReporter) ConnectionBroken(i inventory.Instance, s quarantine.Suspect) <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -76,16 +77,16 @@
 		c.signal()
 		return decided
 	}
-	number := i.Hash()
-	first := c.broken[number] == nil
-	c.broken[number] = append(c.broken[number], s)
+	hash := i.Hash()
+	first := c.broken[hash] == nil
+	c.broken[hash] = append(c.broken[hash], s)
 	if first {
 		go c.probe(i)
 	}
 	return decided
 }
 
-// Ended implements forward.Quarantine.
+// InstanceEnded implements forward.Quarantine.
 func (c *crashReporter) InstanceEnded(i inventory.Instance) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -120,6 +121,7 @@
 	at := c.clock.Now()
 	ended := c.pool.ProcessEnded(context.Background(), i.Address)
 	if !ended {
+		// The requests do not wait for the second probe.
 		c.resumeWaiting(c.brokenSuspects(i))
 		c.clock.Sleep(secondProbeDelay)
 		ended = c.pool.ProcessEnded(context.Background(), i.Address)
@@ -243,8 +245,8 @@
 	return n.registry.TopRanked(judgeRankKey, judgeCount, func(member.Daemon) bool { return true })
 }
 
-// reportUnsent sends to a judge what it does not have yet, and reports whether the judge now
-// has all of that.
+// reportUnsent sends a judge the suspects that were not sent to it yet. It returns false if
+// the judge did not answer.
 //
 // Requests that were on no other ended instance may continue at once. If one of them is the
 // culprit, the next crash shows it.
--- a/internal/entry/duty.go
+++ b/internal/entry/duty.go
@@ -22,15 +22,16 @@
 	// version must be withdrawn within five seconds of its fiftieth bad answer.
 	rolloutInterval = 300 * time.Millisecond
 	// rolloutCallTimeout limits the calls to other daemons in such a check. It is a hundred
-	// times the latency between failure domains. A check takes the whole timeout while a
-	// daemon is frozen, and little time is left once all sessions have moved.
+	// times the latency between failure domains. It must be short because a check takes the
+	// whole timeout while a daemon is frozen: once all sessions have moved, little is left of
+	// the time allowed for the roll-out.
 	rolloutCallTimeout = 150 * time.Millisecond
 	// leaseTTL is how long a lease is valid without renewal, and leaseRenewInterval how often
 	// it is renewed.
 	leaseTTL           = 4 * time.Second
 	leaseRenewInterval = 1 * time.Second
-	// holderTimeout is how long no holder must have been seen before a daemon that does not
-	// rank first tries to take the duty.
+	// holderTimeout is how long a daemon that does not rank first must not have had a request
+	// from a holder before it tries to take the duty.
 	holderTimeout = 2500 * time.Millisecond
 	// takeoverCandidates is how many daemons, by rank, try to take the duty after
 	// holderTimeout. The others wait until one of these has had the time to do so
@@ -79,7 +80,9 @@
 	// table is the store, accessed through peers if necessary.
 	table *relayedTable
 
-	mu            sync.Mutex
+	mu sync.Mutex
+	// holderContact is when the holder of the duty last asked this daemon for its evidence, by
+	// service.
 	holderContact map[string]time.Time
 	// byService is only used by run.
 	byService map[string]*rolloutDuty
@@ -89,6 +92,7 @@
 	return &rolloutDuties{Node: n, table: &relayedTable{Node: n}, holderContact: map[string]time.Time{}, byService: map[string]*rolloutDuty{}}
 }
 
+// noteHolder records that the holder of the duty has just asked this daemon for its evidence.
 func (d *rolloutDuties) noteHolder(service string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -157,9 +161,9 @@
 	}
 	// loadState may have brought a newer state and the age of the order.
 	running := d.rollouts.Unfinished()
-	now := slices.IndexFunc(running, func(a shift.UnfinishedRollout) bool { return a.Order.Service == service })
-	if now >= 0 {
-		d.decide(ctx, duty, running[now])
+	index := slices.IndexFunc(running, func(a shift.UnfinishedRollout) bool { return a.Order.Service == service })
+	if index >= 0 {
+		d.decide(ctx, duty, running[index])
 	}
 }
 
@@ -333,6 +337,7 @@
 	return true
 }
 
+// reportPhase reports the phase of a roll-out to the operator.
 func (d *rolloutDuties) reportPhase(ctx context.Context, duty *rolloutDuty, order shift.Order, phase shift.Phase) bool {
 	err := d.table.publishStatus(ctx, order.Service, order.To, phase, duty.lease.Check())
 	if err != nil {
@@ -344,12 +349,13 @@
 	return true
 }
 
-// collectEvidence asks every live daemon for its evidence. missing is the number of daemons
-// that did not answer.
+// collectEvidence asks the other daemons for their evidence and adds it up with that of this
+// daemon. missing is the number of daemons that did not answer or do not know the order.
 func (d *rolloutDuties) collectEvidence(ctx context.Context, duty *rolloutDuty, order shift.Order) (input shift.DecisionInput, missing int) {
 	all := []shift.Evidence{d.ownEvidence(order.Service)}
 	var mu sync.Mutex
-	// Only the holder may count as a sign that the duty has a holder.
+	// Daemons that receive the request with Holder set do not try to take the duty for some
+	// time, so a daemon without the lease must not set it.
 	request := peer.EvidenceRequest{Service: order.Service, Holder: duty.lease.Held()}
 	d.callPeers(ctx, func(call context.Context, address string) {
 		e, err := d.peers.Evidence(call, address, request)
@@ -373,7 +379,7 @@
 	return e
 }
 
-// broadcastState applies a state and sends it to every live daemon.
+// broadcastState applies a state and sends it to the other daemons.
 func (d *rolloutDuties) broadcastState(ctx context.Context, s shift.State) {
 	d.applyRolloutState(s, "own")
 	d.callPeers(ctx, func(call context.Context, address string) {
@@ -383,6 +389,7 @@
 	})
 }
 
+// callPeers calls f for all other daemons that are alive or leaving, in parallel.
 func (d *rolloutDuties) callPeers(ctx context.Context, f func(ctx context.Context, address string)) {
 	self := d.registry.Self().Incarnation
 	others := slices.DeleteFunc(d.registry.All(), func(peer member.Daemon) bool {
--- a/internal/entry/evacuate.go
+++ b/internal/entry/evacuate.go
@@ -33,7 +33,8 @@
 	n.enforceEvacuations(n.evacuations.MergeAll(orders), source)
 }
 
-// enforceEvacuations applies changed evacuation orders to the instance table.
+// enforceEvacuations applies changed evacuation orders to the instance table. It also publishes
+// the address for callers, because this daemon may just have become ready.
 func (n *Node) enforceEvacuations(orders []evacuation.Order, source string) {
 	for _, o := range orders {
 		n.table.Evacuate(o.FailureDomain, !o.Lifted)
--- a/internal/entry/guard.go
+++ b/internal/entry/guard.go
@@ -13,8 +13,8 @@
 // for the next holder. Each write is a call to the store.
 const totalsWriteInterval = 1500 * time.Millisecond
 
-// guardInterval is the interval at which a daemon without the duty checks the evidence. Six
-// daemons of a fleet do so, and each asks all others.
+// guardInterval is the interval at which a daemon without the duty checks the evidence. The
+// takeoverCandidates, six daemons of a fleet, do so first, and each asks all others.
 const guardInterval = 1 * time.Second
 
 // storedState is the stored row of a roll-out: its state and the totals of the evidence at the
@@ -32,14 +32,14 @@
 	return s.Seen
 }
 
-// stopIfRegressed stops a bad version while no daemon holds the duty.
+// stopIfRegressed stops a bad version while the holder of the duty is silent.
 //
 // If a holder restarts while the store is unavailable, no other daemon can take its lease
 // until the store is back and the lease has expired. In this time, thirteen seconds in an
-// outage of eight, a version that fails a third of its requests would go on: the evidence of
-// each single daemon is too little to stop it. Stopping needs no lease because it can only
-// limit the damage. The next daemons by rank therefore collect the evidence of all and
-// broadcast the stop if the version has regressed.
+// outage of eight, a version that fails a third of its requests would stay in use: the
+// evidence of each single daemon is too little to stop it. Stopping needs no lease because it
+// can only limit the damage. The daemons that are first to take over the duty therefore
+// collect the evidence of all and broadcast the stop if the version has regressed.
 func (d *rolloutDuties) stopIfRegressed(ctx context.Context, duty *rolloutDuty, active shift.UnfinishedRollout) {
 	state := active.State
 	if state.Phase != shift.Running || state.Stopped || !d.holderSilent(active.Order.Service, duty) ||
--- a/internal/entry/link_test.go
+++ b/internal/entry/link_test.go
@@ -17,7 +17,8 @@
 )
 
 // The load of the test: 80 daemons in 4 failure domains and 140 engines, with 430 prompts per
-// second to random engines, each with one of 600 subjects and one of 4 shared prefixes.
+// second for 20 seconds to random engines, each with one of 600 subjects and one of 4 shared
+// prefixes.
 const (
 	linkDomains          = 4
 	linkDaemonsPerDomain = 20
--- a/internal/entry/list.go
+++ b/internal/entry/list.go
@@ -73,9 +73,9 @@
 	if err != nil {
 		return err
 	}
-	if n := len(rows.Malformed); n > 0 {
+	if count := len(rows.Malformed); count > 0 {
 		// Logs one line per read, however many entries are malformed.
-		slog.Error("instances.unreadable", "revision", rows.Revision, "count", n, "first", rows.Malformed[0])
+		slog.Error("instances.unreadable", "revision", rows.Revision, "count", count, "first", rows.Malformed[0])
 	}
 	graceEnd := n.graceEnd(n.clock.Now())
 	if whole {
@@ -88,7 +88,8 @@
 		return nil
 	}
 	update, ok := n.applyChanges(rows, graceEnd)
-	// The revision of the list also shows whether the operator's rows are up to date.
+	// The revision of the list also shows whether the operator's rows are up to date. This is
+	// done before the update is sent, since the update also contains how new these rows are.
 	n.confirmOperator(ctx, rows.Revision)
 	if ok {
 		n.sendListChanges(ctx, update)
--- a/internal/entry/module.go
+++ b/internal/entry/module.go
@@ -41,12 +41,12 @@
 )
 
 const (
-	// entriesTTL is how long callers cache an answer of the directory. Callers use an answer
-	// for up to three times as long, so a short TTL keeps a stopped daemon from being used for
-	// long.
-	entriesTTL = 1 * time.Second
+	// directoryTTL is the TTL of an answer of the directory. Callers use an answer for up to
+	// three times as long, so a short TTL keeps a stopped daemon from being used for long.
+	directoryTTL = 1 * time.Second
 	// acceptFraction is the fraction of the stop time in which new requests are still
-	// accepted: of eight seconds, the three in which callers may use an old directory answer.
+	// accepted. Of a stop time of eight seconds that is just over three, the time for which
+	// callers may use an old directory answer.
 	acceptFraction = 0.41
 	// stopFraction is the fraction of the stop time after which the process ends even if
 	// requests are still running.
@@ -93,7 +93,7 @@
 	if err != nil {
 		return err
 	}
-	directory, err := p.listenAuxiliary(s.DirectoryListen, platform.DirectoryHandler(p.node.entries, entriesTTL))
+	directory, err := p.listenAuxiliary(s.DirectoryListen, platform.DirectoryHandler(p.node.directoryAddresses, directoryTTL))
 	if err != nil {
 		return err
 	}
@@ -210,7 +210,7 @@
 // refuseStreamsAfter is how long after the start of a planned stop new streams are refused. By
 // then callers that use the directory have switched, and a later stream might not finish in
 // the stop time.
-const refuseStreamsAfter = 3*entriesTTL - 100*time.Millisecond
+const refuseStreamsAfter = 3*directoryTTL - 100*time.Millisecond
 
 // refusesStreams reports whether a planned stop began at least refuseStreamsAfter ago.
 func (n *Node) refusesStreams() bool {
--- a/internal/entry/node.go
+++ b/internal/entry/node.go
@@ -71,7 +71,7 @@
 	current  atomic.Pointer[catalog.Catalog]
 	manifest []byte
 
-	// seeds are the peer addresses from the settings.
+	// seeds are the peer addresses from the settings, which can change at run time.
 	seeds atomic.Pointer[[]string]
 	// lastPeerSearch is when this daemon started or last searched the store for peers. Only
 	// the heartbeat loop uses it.
@@ -88,8 +88,8 @@
 	// leaving is set when a planned stop begins, at leavingSince.
 	leaving      atomic.Bool
 	leavingSince atomic.Pointer[time.Time]
-	// workTotals is the work of other daemons that this daemon has collected as a reader, and
-	// prefixes which upstream instances have which prompt prefixes cached.
+	// workTotals adds up the outstanding work of daemons while this daemon is the first reader
+	// of its group. prefixes tracks which upstream instances have which prompt prefixes cached.
 	workTotals *workTotals
 	prefixes   *inventory.PrefixIndex
 	// quarantine refuses requests that crash upstream instances.
@@ -190,7 +190,8 @@
 	}
 }
 
-// readyRetryAfter returns when a daemon without a configuration will likely have one.
+// readyRetryAfter returns the Retry-After of a daemon without a configuration: the time after
+// which it will likely have one.
 func (n *Node) readyRetryAfter() time.Duration {
 	if n.storeHealth.isLost() {
 		return storeLostRetryAfter
@@ -242,9 +243,9 @@
 	n.requestHeartbeat()
 }
 
-// entries returns the daemons for a caller with those of its failure domain first, since an
-// answer cannot list all daemons of a large fleet.
-func (n *Node) entries(_, failureDomain string) []string {
+// directoryAddresses returns the addresses for callers of the live daemons, those in the
+// caller's failure domain first: an answer cannot list all daemons of a large fleet.
+func (n *Node) directoryAddresses(_, failureDomain string) []string {
 	var near, far []string
 	for _, d := range n.registry.Live() {
 		switch {
--- a/internal/entry/node_test.go
+++ b/internal/entry/node_test.go
@@ -27,7 +27,7 @@
 const daemons = 40
 
 // newFleetNode returns a daemon that knows a fleet and is not a reader in it. Its loops do not
-// run.
+// run. It builds daemons until one is no reader, which depends on its random incarnation.
 func newFleetNode(t *testing.T, clock clockwork.Clock) *Node {
 	t.Helper()
 	for {
@@ -82,26 +82,26 @@
 	n := newFleetNode(t, clock)
 	n.setKnownState()
 	mine := n.heartbeat()
-	peerBeat := mine
-	peerBeat.Digest++
-	peerBeat.List++
+	theirs := mine
+	theirs.Digest++
+	theirs.List++
 
-	_, lacking := n.missingFrom(peerBeat, mine)
+	_, lacking := n.missingFrom(theirs, mine)
 	require.False(t, lacking)
 
 	clock.Advance(membershipSettleTime + time.Millisecond)
-	request, lacking := n.missingFrom(peerBeat, mine)
+	request, lacking := n.missingFrom(theirs, mine)
 	require.True(t, lacking)
 	require.True(t, request.Members)
 	require.True(t, request.Instances, "the store is silent and the list is old")
 
 	n.storeHealth.record(clock.Now(), clock.Now(), nil)
-	request, _ = n.missingFrom(peerBeat, mine)
+	request, _ = n.missingFrom(theirs, mine)
 	require.False(t, request.Instances, "the store answers")
 
-	peerBeat = mine
-	peerBeat.Shifts++
-	request, lacking = n.missingFrom(peerBeat, mine)
+	theirs = mine
+	theirs.Shifts++
+	request, lacking = n.missingFrom(theirs, mine)
 	require.True(t, lacking && request.Shifts)
 	require.False(t, request.Members || request.Instances)
 
--- a/internal/entry/operator.go
+++ b/internal/entry/operator.go
@@ -100,8 +100,8 @@
 		return err
 	}
 	n.wholeReadDue, n.lastWholeRead = false, n.clock.Now()
-	// The rows do not contain orders that are no longer in force, so the update does not
-	// continue from any revision.
+	// The rows lack orders that are no longer in force, so the update does not contain every
+	// change after some revision. It gets a base that no daemon has reached.
 	const noBase = math.MaxInt64
 	n.applyRead(ctx, rows, noBase)
 	return nil
@@ -227,20 +227,20 @@
 
 // begin returns the context of a long poll, which ends when the poll is aborted. The caller
 // calls done after the answer.
-func (q *longPoll) begin(ctx context.Context) (call context.Context, done func()) {
+func (p *longPoll) begin(ctx context.Context) (call context.Context, done func()) {
 	call, cancel := context.WithCancel(ctx)
-	q.mu.Lock()
-	defer q.mu.Unlock()
-	q.cancel = cancel
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.cancel = cancel
 	return call, cancel
 }
 
 // abort cancels the current long poll, so that a new one starts.
-func (q *longPoll) abort() {
-	q.mu.Lock()
-	defer q.mu.Unlock()
-	if q.cancel != nil {
-		q.cancel()
+func (p *longPoll) abort() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.cancel != nil {
+		p.cancel()
 	}
 }
 
--- a/internal/entry/operator_test.go
+++ b/internal/entry/operator_test.go
@@ -120,16 +120,16 @@
 	require.Equal(t, int64(2), r.configVersion(), "the configuration is in force in time")
 }
 
-// Guards against an update of the list that waits for a read of the operator's rows. An
-// instance leaves while the store does not answer reads of these rows, one of which starts
-// because the list has a newer revision. If other daemons got the update only after that read
-// has failed, they would send requests to the instance until its timeout.
+// Guards against an update of the list that waits longer than confirmTimeout for a read of the
+// operator's rows. An instance leaves while the store does not answer reads of these rows, one
+// of which starts because the list has a newer revision. If other daemons got the update only
+// after that read has failed, they would send requests to the instance until its timeout.
 func TestListChangesAreSentBeforeOperatorRowsAreConfirmed(t *testing.T) {
 	r := newStoreReader(t, 2000)
 	other := newTestNode(r.clock, func(s *settings.Routes) { s.PeerListen = "127.0.0.1:0" })
 	storeLost := make(chan bool, 1)
-	server, err := peer.ListenRoutes("127.0.0.1:0", &updateRecorder{Node: other, onUpdate: func(n peer.StoreUpdate) {
-		if len(n.Changes) > 0 {
+	server, err := peer.ListenRoutes("127.0.0.1:0", &updateRecorder{Node: other, onUpdate: func(update peer.StoreUpdate) {
+		if len(update.Changes) > 0 {
 			storeLost <- r.storeHealth.isLost()
 		}
 	}})
@@ -152,7 +152,7 @@
 }
 
 // OnStoreUpdate implements peer.RoutesHandler.
-func (l *updateRecorder) OnStoreUpdate(n peer.StoreUpdate) { l.onUpdate(n) }
+func (r *updateRecorder) OnStoreUpdate(update peer.StoreUpdate) { r.onUpdate(update) }
 
 // Guards against a reader that confirms the operator's rows to other daemons although its long
 // poll is lost. Its updates must not confirm the rows for a time after the store's last
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -21,8 +21,8 @@
 	heartbeatInterval = 700 * time.Millisecond
 	peerCallTimeout   = 500 * time.Millisecond
 	// suspectAfter is how many consecutive heartbeats must fail before a daemon is suspected
-	// and left out of the directory. That takes 1.4 s, less than the second that callers allow
-	// for a new connection plus the TTL of a directory answer.
+	// and left out of the directory. That takes 1.4 s. It must take less than two seconds: the
+	// second that callers allow for a new connection and the TTL of a directory answer.
 	suspectAfter = 2
 	// storeSilence is how long the store must not have answered before a peer's instance list
 	// is used instead.
@@ -30,8 +30,8 @@
 	// announceRetry is the interval between attempts to write this daemon's row or to load the
 	// quarantine.
 	announceRetry = 2 * time.Second
-	// noPeersTime is how long this daemon must know no peers before it looks for some in the
-	// store, and the interval between such reads.
+	// noPeersTime is the time from the start to the first search for peers in the store, and
+	// between two searches. A daemon searches only while it knows no peers.
 	noPeersTime = 1500 * time.Millisecond
 	// heartbeatBatchDelay combines the changes of a short time into one round of heartbeats.
 	// Otherwise each of many daemons that start at the same time would trigger many rounds.
@@ -72,8 +72,9 @@
 	return err
 }
 
-// findPeers returns addresses at which to look for peers: the seeds and, if no peer has been
-// known for noPeersTime, the addresses in the rows of other daemons.
+// findPeers returns addresses at which to look for peers: the seeds and, if this daemon knows
+// no peers and has not searched the store for noPeersTime, the addresses in the rows of other
+// daemons.
 func (n *Node) findPeers(ctx context.Context) []string {
 	noPeers := len(n.registry.All()) == 1
 	if !noPeers || n.clock.Since(n.lastPeerSearch) < noPeersTime {
@@ -160,22 +161,25 @@
 
 // heartbeat returns a heartbeat with the current state of this daemon.
 func (n *Node) heartbeat() peer.RoutesHeartbeat {
-	b := peer.RoutesHeartbeat{
+	h := peer.RoutesHeartbeat{
 		From: n.registry.Self(), News: n.registry.NextUpdates(), Digest: n.registry.Digest(),
 		Config: n.configVersion(), List: n.table.Revision(), Quarantine: n.quarantine.list.Checksum(), Left: n.table.RecentlyLeaving(),
 		Evacuated: n.evacuations.Checksum(), Limits: n.table.RecentLimits(),
 	}
-	_, b.Limited = n.table.LimitsInForce()
+	_, h.Limited = n.table.LimitsInForce()
 	_, states := n.rollouts.Orders()
 	for _, s := range states {
-		b.Shifts += max(s.Order, s.Restated) + int64(s.Step)
+		h.Shifts += max(s.Order, s.Restated) + int64(s.Step)
 		if s.Stopped {
-			b.Shifts += stoppedSteps
+			h.Shifts += stoppedSteps
 		}
 	}
-	return b
+	return h
 }
 
+// sendHeartbeat sends a heartbeat to the daemon at address and applies the reply. Another
+// incarnation in the reply counts as a miss, because that of the given daemon has then ended.
+// incarnation is empty for an address at which no daemon is known.
 func (n *Node) sendHeartbeat(ctx context.Context, address, incarnation string) {
 	call, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
@@ -196,29 +200,29 @@
 }
 
 // applyHeartbeat applies a heartbeat or a reply to one.
-func (n *Node) applyHeartbeat(b peer.RoutesHeartbeat) {
+func (n *Node) applyHeartbeat(h peer.RoutesHeartbeat) {
 	n.missedMu.Lock()
-	delete(n.missedHeartbeats, b.From.Incarnation)
+	delete(n.missedHeartbeats, h.From.Incarnation)
 	n.missedMu.Unlock()
-	n.store.NoteRevision(b.List)
-	n.mergeLeaving(b)
-	n.mergeLimits(b.Limits, b.From.PeerAddress)
+	n.store.NoteRevision(h.List)
+	n.mergeLeaving(h)
+	n.mergeLimits(h.Limits, h.From.PeerAddress)
 	before := n.registry.Epoch()
-	n.registry.Merge(append(b.News, b.From))
+	n.registry.Merge(append(h.News, h.From))
 	if n.registry.Epoch() != before {
-		slog.Info("daemons.changed", "live", len(n.registry.Live()), "from", b.From.PeerAddress)
+		slog.Info("daemons.changed", "live", len(n.registry.Live()), "from", h.From.PeerAddress)
 		n.requestHeartbeat()
 	}
 }
 
 // mergeLeaving merges the instances that a peer found to be leaving, and triggers heartbeats
 // if there are new ones.
-func (n *Node) mergeLeaving(b peer.RoutesHeartbeat) {
+func (n *Node) mergeLeaving(h peer.RoutesHeartbeat) {
 	changed := false
-	for _, life := range b.Left {
-		if n.table.NoteLeaving(life) {
+	for _, leaving := range h.Left {
+		if n.table.NoteLeaving(leaving) {
 			changed = true
-			slog.Info("instance.leaving", "instance", life.ID, "source", b.From.PeerAddress)
+			slog.Info("instance.leaving", "instance", leaving.ID, "source", h.From.PeerAddress)
 		}
 	}
 	if changed {
@@ -238,20 +242,21 @@
 	}
 }
 
-// missingFrom compares a peer's heartbeat b with this daemon's heartbeat mine and returns a
+// missingFrom compares a peer's heartbeat h with this daemon's heartbeat mine and returns a
 // request for the state that only the peer has. lacking is false if there is none.
-func (n *Node) missingFrom(b, mine peer.RoutesHeartbeat) (request peer.SyncRequest, lacking bool) {
+func (n *Node) missingFrom(h, mine peer.RoutesHeartbeat) (request peer.SyncRequest, lacking bool) {
 	request = peer.SyncRequest{
 		Config: mine.Config, List: mine.List,
-		Instances: b.List > mine.List && n.useListFromPeers(),
-		Shifts:    b.Shifts > mine.Shifts,
-		Members:   b.Digest != n.registry.Digest() && n.membersSettled(),
-		// The checksum 0 stands for an empty list, which has nothing to fetch.
-		Quarantine:  b.Quarantine != 0 && b.Quarantine != mine.Quarantine,
-		Evacuations: b.Evacuated != 0 && b.Evacuated != mine.Evacuated,
-		Limits:      b.Limited != mine.Limited,
-	}
-	return request, b.Config > mine.Config || request.Instances || request.Shifts || request.Members || request.Quarantine || request.Evacuations || request.Limits
+		Instances: h.List > mine.List && n.useListFromPeers(),
+		Shifts:    h.Shifts > mine.Shifts,
+		Members:   h.Digest != n.registry.Digest() && n.membersSettled(),
+		// The checksum 0 means that the peer has no quarantined requests or does not know the
+		// evacuations, so there is nothing to fetch.
+		Quarantine:  h.Quarantine != 0 && h.Quarantine != mine.Quarantine,
+		Evacuations: h.Evacuated != 0 && h.Evacuated != mine.Evacuated,
+		Limits:      h.Limited != mine.Limited,
+	}
+	return request, h.Config > mine.Config || request.Instances || request.Shifts || request.Members || request.Quarantine || request.Evacuations || request.Limits
 }
 
 // useListFromPeers reports whether this daemon uses instance lists of peers: it has none, or
@@ -275,30 +280,30 @@
 func (n *Node) syncFromPeer(ctx context.Context, address string, request peer.SyncRequest) {
 	call, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
-	b, err := n.peers.Sync(call, address, request)
+	reply, err := n.peers.Sync(call, address, request)
 	if err != nil {
 		slog.Debug("peer.sync_failed", "peer", address, "error", err)
 		return
 	}
-	n.registry.Merge(b.Members)
-	if b.EvacuationsKnown {
-		n.mergeEvacuations(b.Evacuations, address)
+	n.registry.Merge(reply.Members)
+	if reply.EvacuationsKnown {
+		n.mergeEvacuations(reply.Evacuations, address)
 	}
-	n.mergeLimits(b.Limits, address)
-	n.applyManifest(b.Manifest, address)
-	if b.Instances != nil && n.useListFromPeers() {
-		graceEnd := n.readerGrace.limit(n.clock.Now().Add(b.Doubted), n.storeHealth.lastLostAt())
-		if n.table.Replace(*b.Instances, graceEnd) {
-			slog.Info("instances.from_peer", "peer", address, "revision", b.Instances.Revision, "count", len(b.Instances.Instances))
+	n.mergeLimits(reply.Limits, address)
+	n.applyManifest(reply.Manifest, address)
+	if reply.Instances != nil && n.useListFromPeers() {
+		graceEnd := n.readerGrace.limit(n.clock.Now().Add(reply.Doubted), n.storeHealth.lastLostAt())
+		if n.table.Replace(*reply.Instances, graceEnd) {
+			slog.Info("instances.from_peer", "peer", address, "revision", reply.Instances.Revision, "count", len(reply.Instances.Instances))
 		}
 	}
-	for _, o := range b.Orders {
+	for _, o := range reply.Orders {
 		n.addOrder(o, address)
 	}
-	for _, s := range b.States {
+	for _, s := range reply.States {
 		n.applyRolloutState(s, address)
 	}
-	n.quarantine.applyEntries(b.Quarantine, address)
+	n.quarantine.applyEntries(reply.Quarantine, address)
 	n.publishCallerURL()
 }
 
@@ -354,40 +359,40 @@
 const stoppedSteps = 1 << 20
 
 // OnHeartbeat implements peer.RoutesHandler.
-func (n *Node) OnHeartbeat(b peer.RoutesHeartbeat) peer.RoutesHeartbeat {
-	n.applyHeartbeat(b)
+func (n *Node) OnHeartbeat(h peer.RoutesHeartbeat) peer.RoutesHeartbeat {
+	n.applyHeartbeat(h)
 	return n.heartbeat()
 }
 
 // OnSync implements peer.RoutesHandler.
 func (n *Node) OnSync(r peer.SyncRequest) peer.SyncReply {
-	var b peer.SyncReply
+	var reply peer.SyncReply
 	if r.Members {
-		b.Members = n.registry.All()
+		reply.Members = n.registry.All()
 	}
 	if r.Shifts {
-		b.Orders, b.States = n.rollouts.Orders()
+		reply.Orders, reply.States = n.rollouts.Orders()
 	}
 	if r.Quarantine {
-		b.Quarantine = n.quarantine.list.Entries()
+		reply.Quarantine = n.quarantine.list.Entries()
 	}
 	if r.Evacuations {
-		b.Evacuations, b.EvacuationsKnown = n.evacuations.Orders(), n.evacuations.Loaded()
+		reply.Evacuations, reply.EvacuationsKnown = n.evacuations.Orders(), n.evacuations.Loaded()
 	}
 	if r.Limits {
-		b.Limits = n.table.Limits()
+		reply.Limits = n.table.Limits()
 	}
 	n.configMu.Lock()
 	if c := n.current.Load(); c != nil && c.Version > r.Config {
-		b.Manifest = n.manifest
+		reply.Manifest = n.manifest
 	}
 	n.configMu.Unlock()
 	if r.Instances {
 		if s := n.table.Snapshot(); s.Revision > r.List {
-			b.Instances, b.Doubted = &s, n.graceLeft()
+			reply.Instances, reply.Doubted = &s, n.graceLeft()
 		}
 	}
-	return b
+	return reply
 }
 
 // OnEvidence implements peer.RoutesHandler.
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -135,8 +135,8 @@
 	return len(judges)
 }
 
-// judge quarantines the requests that the evidence of all daemons convicts. It reports whether
-// suspects are left that more evidence may convict.
+// judge quarantines the requests that crash instances according to the evidence of all daemons.
+// It reports whether suspects are left for which the evidence does not suffice yet.
 func (q *quarantineManager) judge(ctx context.Context) (undecided bool) {
 	refused := func(d quarantine.Digest) bool {
 		_, yes := q.list.Refused(d)
@@ -162,8 +162,9 @@
 // crashes that they may have been unable to report. It returns how far back the evidence is
 // complete.
 //
-// A request that only ran beside the culprit is cleared by having finished, or by a crash it
-// had no part in. A daemon that does not answer may know of either, so the result is 0 then.
+// A request that only ran beside the culprit is cleared by having finished, or by the crash of
+// an instance that did not run it. A daemon that does not answer may know of either, so the
+// result is 0 then.
 func (q *quarantineManager) collectEvidence(ctx context.Context, suspected []quarantine.Digest) (complete time.Duration) {
 	request := peer.QuarantineEvidenceRequest{Within: inquiryWindow, Digests: suspected}
 	own := q.OnQuarantineEvidence(request)
--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -15,8 +15,8 @@
 
 var suspect = quarantine.Suspect{Digest: quarantine.NewDigest("POST", "shop.example", "/notes/one", "visrad", nil), Route: "notes"}
 
-// Guards against a request that stays quarantined for the crashes of others: a run of it that
-// began before the quarantine finishes, so it does not crash instances and is released.
+// Guards against a request that stays quarantined for the crashes of others. A run of it that
+// had begun before it was quarantined finishes, which shows that it does not crash instances.
 func TestQuarantinedRequestIsReleasedWhenItFinishes(t *testing.T) {
 	n := newTestNode(clockwork.NewRealClock(), nil)
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/entry/readers.go
+++ b/internal/entry/readers.go
@@ -16,10 +16,10 @@
 // so that readers that crash, freeze or are rejected by the store delay no daemon beyond the
 // required times.
 const (
-	// maxFleetGroup is the number of daemons up to which the whole fleet is one reader group,
-	// so that a reader serves no more daemons than a failure domain of a large fleet has. In a
-	// larger fleet each failure domain is a group, and updates cross domains only through the
-	// store.
+	// maxFleetGroup is the number of daemons up to which the whole fleet is one reader group.
+	// In a larger fleet each failure domain is a group, and updates cross domains only through
+	// the store. A reader thus sends updates to no more daemons than a failure domain of a
+	// large fleet has.
 	maxFleetGroup = 100
 	// maxFleetWorkGroup is the same limit for the exchange of outstanding work at upstream
 	// instances. These updates are sent ten times as often and take most of a reader's
@@ -107,9 +107,10 @@
 // maxUpdateAge is the age of the last update from which it counts as late.
 func (n *Node) maxUpdateAge() time.Duration { return n.listInterval() + lateUpdateMargin }
 
-// mustReadOperator reports whether this daemon has to read the operator's rows itself. While
-// the store is unavailable only readers do; another daemon notices through its reads of the
-// list that the store is available again.
+// mustReadOperator reports whether this daemon has to read the operator's rows itself. Daemons
+// that have not read any or lack rows that a peer has always do. While the store is unavailable
+// only readers do otherwise; another daemon notices through its reads of the list that the
+// store is available again.
 func (n *Node) mustReadOperator() bool {
 	view := n.freshness.view()
 	switch {
@@ -192,8 +193,9 @@
 	})
 }
 
-// applyFreshness confirms this daemon's operator rows by those of a reader if this daemon has
-// the same ones. Otherwise it marks this daemon as behind, so that it reads the rows itself.
+// applyFreshness records this daemon's operator rows as current when the reader confirmed its
+// own, if this daemon has the same rows after applying the update. Otherwise it marks this
+// daemon as behind, so that it reads the rows itself.
 func (n *Node) applyFreshness(update peer.StoreUpdate) {
 	view := n.freshness.view()
 	if view.confirmedAt.IsZero() {
--- a/internal/entry/readers_test.go
+++ b/internal/entry/readers_test.go
@@ -11,7 +11,7 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/settings"
 )
 
-// One instance in ten has a link of 200 Mbit/s, the others have 20 Mbit/s. Guards against
+// One daemon in ten has a link of 200 Mbit/s, the others have 20 Mbit/s. Guards against
 // readers with slow links, whose callers' answers wait behind the updates to 30 daemons. If
 // all daemons with fast links fail at once, others become readers.
 func TestReadersHaveFastLinks(t *testing.T) {
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -34,7 +34,7 @@
 // late. Relaying is safe because each write is conditional on the revisions of the rows it
 // depends on, including the lease, regardless of which daemon sends it.
 //
-// Lock order: mu is taken alone.
+// Lock order: mu is held while that of storeHealth is taken.
 type relayedTable struct {
 	*Node
 
@@ -67,7 +67,8 @@
 	return replyError(r.do(ctx, peer.StoreCall{Publish: &peer.RolloutStatusWrite{Service: service, To: to, Phase: phase, Guard: guard}}))
 }
 
-// do makes a call to the store directly or through a peer.
+// do makes a call to the store directly or through a peer. A write is not tried again after a
+// call whose outcome is unknown, since it may have been applied.
 func (r *relayedTable) do(ctx context.Context, call peer.StoreCall) peer.StoreReply {
 	why := "a direct call to the store failed recently"
 	if !r.failedRecently() {
--- a/internal/entry/spread_test.go
+++ b/internal/entry/spread_test.go
@@ -63,7 +63,7 @@
 	from.registry.Merge(b.Members)
 }
 
-// runUntil runs rounds until seen is true for all daemons and returns their number.
+// runUntil runs rounds until done is true for all daemons and returns the number of rounds.
 func (f *testFleet) runUntil(t *testing.T, maxRounds int, done func(n *Node) bool) int {
 	t.Helper()
 	for round := 1; round <= maxRounds; round++ {
@@ -82,8 +82,9 @@
 
 // Guards against slow or costly spreading of membership. 88 daemons that start together with
 // two seeds find each other within some rounds without sending full lists all the time. When
-// one leaves, all others know within a second, two rounds beyond its own, although updates are
-// retransmitted less often than would suffice without the digest.
+// one leaves, all others must know within a second, which here is within four rounds, since a
+// change triggers the next round at once. The digest makes up for updates being retransmitted
+// less often than would suffice without it.
 func TestMembershipReachesALargeFleet(t *testing.T) {
 	const size = 88
 	f := newTestFleet(size)
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -57,23 +57,23 @@
 
 // Status returns the status of this daemon.
 func (n *Node) Status() DaemonStatus {
-	b := DaemonStatus{Instance: n.settings.Instance, Ready: n.Ready(), Reader: n.isReader(), Daemons: n.registry.All(), Evacuations: n.activeEvacuations()}
-	b.List.Revision, b.List.AgeMS = n.table.Revision(), n.table.Age().Milliseconds()
-	b.List.Instances = map[string][]inventory.View{}
-	_, b.Rollouts = n.rollouts.Orders()
+	s := DaemonStatus{Instance: n.settings.Instance, Ready: n.Ready(), Reader: n.isReader(), Daemons: n.registry.All(), Evacuations: n.activeEvacuations()}
+	s.List.Revision, s.List.AgeMS = n.table.Revision(), n.table.Age().Milliseconds()
+	s.List.Instances = map[string][]inventory.View{}
+	_, s.Rollouts = n.rollouts.Orders()
 	c := n.current.Load()
 	if c == nil {
-		return b
+		return s
 	}
-	b.Config.Version, b.Config.AgeMS = c.Version, n.clock.Since(n.freshness.view().confirmedAt).Milliseconds()
-	b.Config.Limits = c.Limits
+	s.Config.Version, s.Config.AgeMS = c.Version, n.clock.Since(n.freshness.view().confirmedAt).Milliseconds()
+	s.Config.Limits = c.Limits
 	for _, r := range c.Routes() {
-		b.Config.Routes = append(b.Config.Routes, *r)
+		s.Config.Routes = append(s.Config.Routes, *r)
 		for _, backend := range r.Backends {
-			b.List.Instances[backend.Service] = n.table.Usable(backend.Service)
+			s.List.Instances[backend.Service] = n.table.Usable(backend.Service)
 		}
 	}
-	return b
+	return s
 }
 
 // Paths served by the metrics listener.
@@ -103,6 +103,6 @@
 
 // Stale reports whether the instance list or the configuration was last confirmed more than
 // staleAfter ago.
-func (b DaemonStatus) Stale() bool {
-	return b.List.AgeMS > staleAfter.Milliseconds() || b.Config.AgeMS > staleAfter.Milliseconds()
+func (s DaemonStatus) Stale() bool {
+	return s.List.AgeMS > staleAfter.Milliseconds() || s.Config.AgeMS > staleAfter.Milliseconds()
 }
--- a/internal/entry/store_health.go
+++ b/internal/entry/store_health.go
@@ -39,80 +39,80 @@
 }
 
 // lastLostAt returns when the store last became unavailable.
-func (c *storeHealth) lastLostAt() time.Time {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.lostAt
+func (h *storeHealth) lastLostAt() time.Time {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.lostAt
 }
 
 // record records the result of a call that started at asked and ended at now.
 //
 // A failure only shows that the store did not answer between asked and now. It is ignored if
-// the store has answered a later call: a long poll that was lost fails long after its cause
-// has passed. Each such failure would otherwise count as an outage and extend the grace period
-// of missing entries by missingEntryGrace, during which requests go to instances that have
-// left. If the store really is unavailable, the next call shows it.
-func (c *storeHealth) record(asked, now time.Time, err error) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+// the store has answered another call since asked: a long poll that was lost fails long after
+// its cause has passed. Each such failure would otherwise count as an outage and extend the
+// grace period of missing entries by missingEntryGrace, during which requests go to instances
+// that have left. If the store really is unavailable, the next call shows it.
+func (h *storeHealth) record(asked, now time.Time, err error) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	answered := err == nil || errors.Is(err, platform.ErrCompacted)
 	switch {
-	case !answered && !c.lost && !c.lastAnswer.After(asked):
-		c.lost, c.lostAt = true, now
+	case !answered && !h.lost && !h.lastAnswer.After(asked):
+		h.lost, h.lostAt = true, now
 		slog.Warn("store.lost", "error", err)
-	case answered && c.lost:
-		c.lost, c.regained = false, now
-		slog.Info("store.regained", "silent_ms", now.Sub(c.lastAnswer).Milliseconds())
+	case answered && h.lost:
+		h.lost, h.regained = false, now
+		slog.Info("store.regained", "silent_ms", now.Sub(h.lastAnswer).Milliseconds())
 	}
 	if answered {
-		c.lastAnswer = now
+		h.lastAnswer = now
 	}
 }
 
 // noteRestore records that the store was restored from an older copy, which may lack entries
 // of live instances, even if no call failed.
-func (c *storeHealth) noteRestore(now time.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.lostAt, c.regained = now, now
+func (h *storeHealth) noteRestore(now time.Time) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.lostAt, h.regained = now, now
 }
 
 // graceEnd returns until when entries missing from the instance list are kept because the list
 // may lack entries of live instances. It returns the zero time if the store has never been
 // lost.
-func (c *storeHealth) graceEnd(now time.Time) time.Time {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+func (h *storeHealth) graceEnd(now time.Time) time.Time {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	switch {
-	case c.lost:
+	case h.lost:
 		return now.Add(missingEntryGrace)
-	case c.regained.IsZero():
+	case h.regained.IsZero():
 		return time.Time{}
 	default:
-		return c.regained.Add(missingEntryGrace)
+		return h.regained.Add(missingEntryGrace)
 	}
 }
 
 // answeredAfter reports whether the store has answered a call after t.
-func (c *storeHealth) answeredAfter(t time.Time) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.lastAnswer.After(t)
+func (h *storeHealth) answeredAfter(t time.Time) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.lastAnswer.After(t)
 }
 
 // isLost reports whether the store is considered unavailable: a call failed and none has been
 // answered since.
-func (c *storeHealth) isLost() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.lost
+func (h *storeHealth) isLost() bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.lost
 }
 
 // silentFor reports whether the last answer of the store is more than d ago.
-func (c *storeHealth) silentFor(now time.Time, d time.Duration) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return now.Sub(c.lastAnswer) > d
+func (h *storeHealth) silentFor(now time.Time, d time.Duration) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return now.Sub(h.lastAnswer) > d
 }
 
 // backoff is an exponential delay with jitter, so that daemons do not all return to the store
--- a/internal/entry/work.go
+++ b/internal/entry/work.go
@@ -32,7 +32,7 @@
 	maxPendingPrefixes = 4 * prefixesPerSecond
 )
 
-// workTotals add up the outstanding work of daemons at upstream instances and collect which
+// workTotals adds up the outstanding work of daemons at upstream instances and collects which
 // prompt prefixes they sent to which instance. A single daemon cannot tell a busy instance
 // from an idle one: in a large fleet it sends an instance one or two requests per minute.
 //
@@ -87,8 +87,8 @@
 // prefixesIn returns how many prefixes may be sent after a pause.
 func prefixesIn(pause time.Duration) int { return int(prefixesPerSecond * pause.Seconds()) }
 
-// fleetWork returns the work of all groups and removes and returns up to most prefixes to send
-// to the group.
+// fleetWork returns the work of all groups, and removes and returns up to maxPrefixes prefixes
+// to send to the group.
 func (w *workTotals) fleetWork(now time.Time, maxPrefixes int) (inventory.Work, []inventory.CachedPrefix) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -106,8 +106,8 @@
 	return out, prefixes
 }
 
-// groupWork returns the work of this group and removes and returns up to most prefixes to send
-// to other failure domains.
+// groupWork returns the work of this group, and removes and returns up to maxPrefixes prefixes
+// to send to other failure domains.
 func (w *workTotals) groupWork(now time.Time, maxPrefixes int) (inventory.Work, []inventory.CachedPrefix) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -138,12 +138,12 @@
 	return max(workInterval, time.Duration(instances)*workIntervalPerInstance)
 }
 
-// sendFleetWork sends the outstanding work of all daemons and up to the given number of
-// prefixes to the group, and collects the work of each daemon from the replies. It returns the
+// sendFleetWork sends the outstanding work of all daemons and up to maxPrefixes prefixes to the
+// group, and collects the work of each daemon from the replies. It returns the
 // number of instances sent.
-func (n *Node) sendFleetWork(ctx context.Context, readings int) int {
+func (n *Node) sendFleetWork(ctx context.Context, maxPrefixes int) int {
 	n.workTotals.add(n.ownWork(), n.clock.Now())
-	work, prefixes := n.workTotals.fleetWork(n.clock.Now(), readings)
+	work, prefixes := n.workTotals.fleetWork(n.clock.Now(), maxPrefixes)
 	n.table.SetFleetWork(work)
 	n.prefixes.Merge(prefixes)
 	update := peer.FleetWork{Amounts: peer.PackWork(work), Readings: peer.PackReadings(prefixes)}
@@ -158,10 +158,10 @@
 	return len(work)
 }
 
-// sendDomainWork sends the work of this group and up to the given number of prefixes to the
-// readers of other groups.
-func (n *Node) sendDomainWork(ctx context.Context, readings int) {
-	work, prefixes := n.workTotals.groupWork(n.clock.Now(), readings)
+// sendDomainWork sends the work of this group and up to maxPrefixes prefixes to the first
+// reader of each other failure domain.
+func (n *Node) sendDomainWork(ctx context.Context, maxPrefixes int) {
+	work, prefixes := n.workTotals.groupWork(n.clock.Now(), maxPrefixes)
 	mine := peer.DomainWork{
 		Domain: n.settings.FailureDomain, Amounts: peer.PackWork(work), Readings: peer.PackReadings(prefixes),
 	}
