--- a/internal/entry/restore.go
+++ b/internal/entry/restore.go
@@ -45,11 +45,11 @@
 func (s *staleWindow) takeListDue(now time.Time) bool { return s.take(&s.readList, now) }
 
 // take reports whether a requested read is due, and clears the request if so.
-func (s *staleWindow) take(asked *bool, now time.Time) bool {
+func (s *staleWindow) take(requested *bool, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	due := *asked && !now.Before(s.until)
-	*asked = *asked && !due
+	due := *requested && !now.Before(s.until)
+	*requested = *requested && !due
 	return due
 }
 
