--- a/internal/entry/evacuate.go
+++ b/internal/entry/evacuate.go
@@ -37,7 +37,7 @@
 // the address for callers, because this daemon may just have become ready.
 func (n *Node) enforceEvacuations(orders []evacuation.Order, source string) {
 	for _, o := range orders {
-		n.table.Evacuate(o.FailureDomain, !o.Lifted)
+		n.table.SetEvacuated(o.FailureDomain, !o.Lifted)
 		event := "evacuation.in_force"
 		if o.Lifted {
 			event = "evacuation.lifted"
--- a/internal/entry/link_test.go
+++ b/internal/entry/link_test.go
@@ -60,13 +60,13 @@
 	now := reader.clock.Now()
 	reader.workTotals.add(reader.ownWork(), now)
 	work, prefixes := reader.workTotals.fleetWork(now, prefixesIn(linkRoundInterval))
-	update := peer.FleetWork{Amounts: peer.PackWork(work), Readings: peer.PackReadings(prefixes)}
+	update := peer.FleetWork{Amounts: peer.PackWork(work), Readings: peer.PackPrefixes(prefixes)}
 	for _, n := range d.nodes[1:] {
 		d.sent += frameSize(t, update)
 		reader.workTotals.add(n.OnFleetWork(update), now)
 	}
 	work, prefixes = reader.workTotals.groupWork(now, prefixesIn(linkRoundInterval))
-	return peer.DomainWork{Amounts: peer.PackWork(work), Readings: peer.PackReadings(prefixes)}
+	return peer.DomainWork{Amounts: peer.PackWork(work), Readings: peer.PackPrefixes(prefixes)}
 }
 
 // frameSize returns the size of v as net/rpc sends it on a connection that has already sent
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -78,7 +78,7 @@
 // quarantine it again.
 func (q *quarantineManager) Finished(d quarantine.Digest) {
 	q.finished.Record(d)
-	if !q.list.Held(d) {
+	if !q.list.QuarantinedOrOnProbation(d) {
 		return
 	}
 	select {
--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -26,7 +26,7 @@
 	_, refused := n.quarantine.Refused(suspect.Digest)
 	require.True(t, refused)
 	n.quarantine.Finished(suspect.Digest)
-	require.Eventually(t, func() bool { return !n.quarantine.list.Held(suspect.Digest) }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return !n.quarantine.list.QuarantinedOrOnProbation(suspect.Digest) }, 10*time.Second, time.Millisecond)
 }
 
 // A newly chosen judge gets the reports of several crashes at once and not in order of time.
--- a/internal/entry/work.go
+++ b/internal/entry/work.go
@@ -60,7 +60,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.group.Add(own.Incarnation, peer.UnpackWork(own.Amounts), now)
-	prefixes := peer.UnpackReadings(own.Readings)
+	prefixes := peer.UnpackPrefixes(own.Readings)
 	w.pendingForGroup = newest(append(w.pendingForGroup, prefixes...), maxPendingPrefixes)
 	w.pendingForDomains = newest(append(w.pendingForDomains, prefixes...), maxPendingPrefixes)
 }
@@ -70,7 +70,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.domains[d.Domain] = domainWork{work: peer.UnpackWork(d.Amounts), at: now}
-	w.pendingForGroup = newest(append(w.pendingForGroup, peer.UnpackReadings(d.Readings)...), maxPendingPrefixes)
+	w.pendingForGroup = newest(append(w.pendingForGroup, peer.UnpackPrefixes(d.Readings)...), maxPendingPrefixes)
 }
 
 // newest returns the last n prefixes, or all if there are fewer.
@@ -146,7 +146,7 @@
 	work, prefixes := n.workTotals.fleetWork(n.clock.Now(), maxPrefixes)
 	n.table.SetFleetWork(work)
 	n.prefixes.Merge(prefixes)
-	update := peer.FleetWork{Amounts: peer.PackWork(work), Readings: peer.PackReadings(prefixes)}
+	update := peer.FleetWork{Amounts: peer.PackWork(work), Readings: peer.PackPrefixes(prefixes)}
 	n.callEach(ctx, peerCallTimeout, n.otherDaemons(n.workGroup()), func(call context.Context, address string) {
 		own, err := n.peers.SendFleetWork(call, address, update)
 		if err != nil {
@@ -163,7 +163,7 @@
 func (n *Node) sendDomainWork(ctx context.Context, maxPrefixes int) {
 	work, prefixes := n.workTotals.groupWork(n.clock.Now(), maxPrefixes)
 	mine := peer.DomainWork{
-		Domain: n.settings.FailureDomain, Amounts: peer.PackWork(work), Readings: peer.PackReadings(prefixes),
+		Domain: n.settings.FailureDomain, Amounts: peer.PackWork(work), Readings: peer.PackPrefixes(prefixes),
 	}
 	var readers []member.Daemon
 	for domain := range n.settings.FailureDomains {
@@ -185,14 +185,14 @@
 func (n *Node) ownWork() peer.DaemonWork {
 	return peer.DaemonWork{
 		Incarnation: n.registry.Self().Incarnation,
-		Amounts:     peer.PackWork(n.table.OwnWork()), Readings: peer.PackReadings(n.prefixes.TakePending()),
+		Amounts:     peer.PackWork(n.table.OwnWork()), Readings: peer.PackPrefixes(n.prefixes.TakePending()),
 	}
 }
 
 // OnFleetWork implements peer.RoutesHandler.
 func (n *Node) OnFleetWork(w peer.FleetWork) peer.DaemonWork {
 	n.table.SetFleetWork(peer.UnpackWork(w.Amounts))
-	n.prefixes.Merge(peer.UnpackReadings(w.Readings))
+	n.prefixes.Merge(peer.UnpackPrefixes(w.Readings))
 	return n.ownWork()
 }
 
--- a/internal/entry/work_test.go
+++ b/internal/entry/work_test.go
@@ -20,12 +20,12 @@
 	one, two := inventory.CachedPrefix{Key: 1, Instance: 5}, inventory.CachedPrefix{Key: 2, Instance: 5}
 	own := peer.DaemonWork{
 		Incarnation: "a", Amounts: peer.PackWork(inventory.Work{5: {Waiting: 1000, Open: 1}}),
-		Readings: peer.PackReadings([]inventory.CachedPrefix{one}),
+		Readings: peer.PackPrefixes([]inventory.CachedPrefix{one}),
 	}
 	w.add(own, now)
 	w.addDomain(peer.DomainWork{
 		Domain: "far", Amounts: peer.PackWork(inventory.Work{5: {Waiting: 500, Open: 2}}),
-		Readings: peer.PackReadings([]inventory.CachedPrefix{two}),
+		Readings: peer.PackPrefixes([]inventory.CachedPrefix{two}),
 	}, now)
 	work, read := w.fleetWork(now, 10)
 	require.Equal(t, inventory.Work{5: {Waiting: 1500, Open: 3}}, work)
@@ -50,7 +50,7 @@
 	for key := range inventory.PrefixHash(maxPendingPrefixes + 100) {
 		all = append(all, inventory.CachedPrefix{Key: key, Instance: 5})
 	}
-	w.add(peer.DaemonWork{Incarnation: "a", Readings: peer.PackReadings(all)}, time.Now())
+	w.add(peer.DaemonWork{Incarnation: "a", Readings: peer.PackPrefixes(all)}, time.Now())
 	_, read := w.fleetWork(time.Now(), 40)
 	require.Equal(t, all[len(all)-40:], read)
 	_, read = w.fleetWork(time.Now(), maxPendingPrefixes)
@@ -77,11 +77,11 @@
 	n.prefixes.NoteSent(i, []inventory.Prefix{{Key: 7, Work: 1000}})
 	update := peer.FleetWork{
 		Amounts:  peer.PackWork(inventory.Work{i.Hash(): {Waiting: 2000, Open: 3}}),
-		Readings: peer.PackReadings([]inventory.CachedPrefix{{Key: 9, Instance: i.Hash()}}),
+		Readings: peer.PackPrefixes([]inventory.CachedPrefix{{Key: 9, Instance: i.Hash()}}),
 	}
 	own := n.OnFleetWork(update)
 	require.Equal(t, inventory.Work{i.Hash(): {Waiting: 500, Open: 1}}, peer.UnpackWork(own.Amounts))
-	require.Equal(t, []inventory.CachedPrefix{{Key: 7, Instance: i.Hash()}}, peer.UnpackReadings(own.Readings))
+	require.Equal(t, []inventory.CachedPrefix{{Key: 7, Instance: i.Hash()}}, peer.UnpackPrefixes(own.Readings))
 	require.Empty(t, n.OnFleetWork(update).Readings)
 	require.Equal(t, 1, n.prefixes.CachedCount(i.Hash(), []inventory.Prefix{{Key: 9}}))
 	require.InDelta(t, 2000, n.table.Usable("s")[0].Waiting, 0.01)
--- a/internal/inventory/evacuated.go
+++ b/internal/inventory/evacuated.go
@@ -5,7 +5,7 @@
 // SetEvacuated starts or ends the evacuation of a failure domain, whose instances get no new
 // requests in the meantime; running requests continue. At the end of an evacuation, the
 // instances are assumed to be cold, because the list reports their warm-up late.
-func (t *Table) Evacuate(domain string, evacuated bool) {
+func (t *Table) SetEvacuated(domain string, evacuated bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if evacuated {
--- a/internal/inventory/warmup_test.go
+++ b/internal/inventory/warmup_test.go
@@ -77,10 +77,10 @@
 // entries were written before they became cold.
 func TestRestoredInstancesAreAssumedCold(t *testing.T) {
 	table, clock := newWarmTable()
-	table.Evacuate("a", true)
+	table.SetEvacuated("a", true)
 	require.Len(t, table.Usable("s"), 1)
 	require.False(t, table.MaySend(warmInstance("a")))
-	table.Evacuate("a", false)
+	table.SetEvacuated("a", false)
 	require.True(t, isWarming(table, "a"))
 	table.applyEntry(2, "a", 0)
 	require.True(t, isWarming(table, "a"))
@@ -88,8 +88,8 @@
 	clock.Advance(time.Second)
 	require.False(t, isWarming(table, "a"))
 
-	table.Evacuate("b", true)
-	table.Evacuate("b", false)
+	table.SetEvacuated("b", true)
+	table.SetEvacuated("b", false)
 	clock.Advance(coldTime)
 	require.False(t, isWarming(table, "b"), "the instance reported no warm-up")
 }
--- a/internal/peer/work.go
+++ b/internal/peer/work.go
@@ -78,12 +78,12 @@
 	instanceBytes = 4
 	keyBytes      = 4
 	// PrefixBytes is the encoded length of an inventory.CachedPrefix.
-	ReadingBytes = keyBytes + instanceBytes
+	PrefixBytes = keyBytes + instanceBytes
 )
 
 // PackPrefixes returns the encoding of prompt prefixes and the instances they were sent to.
-func PackReadings(all []inventory.CachedPrefix) []byte {
-	out := make([]byte, 0, ReadingBytes*len(all))
+func PackPrefixes(all []inventory.CachedPrefix) []byte {
+	out := make([]byte, 0, PrefixBytes*len(all))
 	for _, r := range all {
 		out = binary.BigEndian.AppendUint32(out, uint32(r.Key))
 		out = binary.BigEndian.AppendUint32(out, uint32(r.Instance))
@@ -92,9 +92,9 @@
 }
 
 // UnpackPrefixes decodes the output of PackPrefixes. It ignores an incomplete last record.
-func UnpackReadings(packed []byte) []inventory.CachedPrefix {
+func UnpackPrefixes(packed []byte) []inventory.CachedPrefix {
 	var out []inventory.CachedPrefix
-	for ; len(packed) >= ReadingBytes; packed = packed[ReadingBytes:] {
+	for ; len(packed) >= PrefixBytes; packed = packed[PrefixBytes:] {
 		out = append(out, inventory.CachedPrefix{
 			Key:      inventory.PrefixHash(binary.BigEndian.Uint32(packed)),
 			Instance: inventory.InstanceHash(binary.BigEndian.Uint32(packed[keyBytes:])),
--- a/internal/peer/work_test.go
+++ b/internal/peer/work_test.go
@@ -25,8 +25,8 @@
 // Prefixes must survive encoding, and an incomplete last record is ignored.
 func TestPackReadingsRoundTrip(t *testing.T) {
 	all := []inventory.CachedPrefix{{Key: 1, Instance: 2}, {Key: math.MaxUint32, Instance: math.MaxUint32}}
-	packed := PackReadings(all)
-	require.Equal(t, all, UnpackReadings(packed))
-	require.Len(t, packed, 2*ReadingBytes)
-	require.Equal(t, all[:1], UnpackReadings(packed[:len(packed)-1]))
+	packed := PackPrefixes(all)
+	require.Equal(t, all, UnpackPrefixes(packed))
+	require.Len(t, packed, 2*PrefixBytes)
+	require.Equal(t, all[:1], UnpackPrefixes(packed[:len(packed)-1]))
 }
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -74,7 +74,7 @@
 }
 
 // QuarantinedOrOnProbation reports whether a request is quarantined or on probation.
-func (l *List) Held(d Digest) bool {
+func (l *List) QuarantinedOrOnProbation(d Digest) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e, ok := l.entries[d]
