--- a/internal/daemon/answers.go
+++ b/internal/daemon/answers.go
@@ -57,7 +57,7 @@
 	return result, nil
 }
 
-// keyUnsettledError is returned when the daemon that stores a key is unreachable.
+// keyUnsettledError returns the error for a key whose daemon cannot be reached.
 func keyUnsettledError(incarnation string) error {
 	return fault.New(fault.KeyUnsettled, "Idempotency-Key: the daemon %s, which knows whether the key has run, cannot be reached", incarnation).WithRan(fault.RanUnknown)
 }
--- a/internal/daemon/duties.go
+++ b/internal/daemon/duties.go
@@ -16,7 +16,7 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/settings"
 )
 
-// stepRollouts advances the roll-outs for which this daemon has the duty, and
+// stepRollouts advances the roll-outs whose leases this daemon holds, and
 // activates the resulting configuration.
 func (n *Node) stepRollouts(ctx context.Context) {
 	before := n.follower.Generation()
@@ -29,8 +29,8 @@
 }
 
 // stopRegressedRollouts stops new sessions at this daemon for versions that the
-// ratings show to be below their quality target. It does not wait for the
-// daemon that has the duty for the roll-out, or for the store.
+// ratings show to be below their quality target. It does not wait for the lease
+// holder of the roll-out or for the store, which may be unavailable.
 func (n *Node) stopRegressedRollouts() {
 	snapshot := n.follower.Current()
 	if snapshot == nil {
@@ -48,8 +48,9 @@
 	}
 }
 
-// refillCredits requests credits for each roll-out from the daemon that has the
-// duty for it, and returns expired ones.
+// refillCredits requests credits for each roll-out from its lease holder, and
+// returns expired ones. It assumes that the live daemon that ranks first for the
+// lease holds it; any other daemon refuses the request.
 func (n *Node) refillCredits(ctx context.Context) {
 	snapshot := n.follower.Current()
 	if snapshot == nil {
@@ -127,8 +128,9 @@
 	requestedAt := n.clock.Now()
 	shares, err := n.peerClient.ReportDemand(ctx, d.PeerAddress, peer.DemandRequest{From: n.incarnation, Demands: demands})
 	for organisation, share := range shares {
-		// Until is in the time of the other daemon's clock. Computed from before the
-		// request in the own clock, the share expires here no later than there.
+		// The received Until is a time of the other daemon's clock. Counted from the
+		// time of the request on the own clock, the share expires here no later than
+		// there.
 		share.Until = requestedAt.Add(limit.ShareTTL)
 		shares[organisation] = share
 	}
@@ -155,9 +157,10 @@
 	}
 }
 
-// sealUnsealedLogs closes the bills of dead daemons that are in the store's
-// logs, of which no replica may be left. Only the daemon that ranks first for
-// this duty does so.
+// sealUnsealedLogs closes the bills of dead daemons that are open in the ledger
+// logs in the store. It finds bills that sealReplicated misses because no live
+// daemon has replicas of them. Only the daemon that ranks first for this duty
+// does so.
 func (n *Node) sealUnsealedLogs(ctx context.Context) {
 	if !n.registry.RanksFirst("ledger-sweep") {
 		return
@@ -176,7 +179,6 @@
 	}
 }
 
-// sealLog tries to seal the log of one daemon. A later round repeats what failed.
 // sealLog tries to seal the log of one daemon. A later round repeats what failed.
 func (n *Node) sealLog(ctx context.Context, owner string) {
 	if _, err := n.replicas.Seal(ctx, owner); err != nil {
--- a/internal/daemon/entries_test.go
+++ b/internal/daemon/entries_test.go
@@ -45,7 +45,7 @@
 func TestEntriesOfLargeSiteAreSampled(t *testing.T) {
 	s := settings.Defaults()
 	n := NewNode(s, backing.NewMemory(), clockwork.NewFakeClock())
-	var news []member.Daemon
+	var daemons []member.Daemon
 	for i := range 100 {
 		d := member.Daemon{Incarnation: fmt.Sprintf("d%d", i), Site: s.Site, CallerURL: fmt.Sprintf("http://d%d", i)}
 		switch {
@@ -54,9 +54,9 @@
 		case i%10 == 1:
 			d.Site = "other"
 		}
-		news = append(news, d)
+		daemons = append(daemons, d)
 	}
-	n.registry.Merge(news)
+	n.registry.Merge(daemons)
 	seen := map[string]bool{}
 	for range 200 {
 		entries, _ := n.Entries()
--- a/internal/daemon/fresh.go
+++ b/internal/daemon/fresh.go
@@ -74,7 +74,8 @@
 //   - If some of them do not answer, or a daemon is suspect, that daemon may have
 //     read a newer configuration from the store. Only proven versions may be used.
 //   - If at most half of them answer, proven versions may be used until refuseAge
-//     has passed since the last confirmation. After that Ensure returns an error.
+//     has passed since the last confirmation. After that UsableSnapshot returns an
+//     error.
 type freshness struct {
 	follower     *config.Follower
 	reachability *reachability
@@ -95,7 +96,7 @@
 	confirming chan struct{}
 }
 
-// Ensure implements dispatch.ConfigSource.
+// UsableSnapshot implements dispatch.ConfigSource.
 func (f *freshness) UsableSnapshot(ctx context.Context) (*config.Snapshot, bool, error) {
 	if f.follower.SinceConfirmed() > f.maxAge {
 		f.confirm(ctx)
@@ -145,7 +146,7 @@
 func (f *freshness) refreshOnce(done chan struct{}) {
 	ctx, cancel := context.WithTimeout(context.Background(), confirmWait)
 	defer cancel()
-	// After a failure, Ensure decides by the age and the reachable peers.
+	// After a failure, UsableSnapshot decides by the age and the reachable peers.
 	_ = f.refresh(ctx)
 	f.mu.Lock()
 	f.confirming = nil
--- a/internal/daemon/fresh_test.go
+++ b/internal/daemon/fresh_test.go
@@ -64,29 +64,29 @@
 // whether all, most or none of its peers answer.
 func TestFreshnessWithoutStore(t *testing.T) {
 	s := newStaleDaemon(t)
-	ensure := func() (bool, error) {
+	provenOnlyNow := func() (bool, error) {
 		_, provenOnly, err := s.UsableSnapshot(context.Background())
 		return provenOnly, err
 	}
 	s.reachability.recordReply("b", s.clock.Now())
 	s.reachability.recordReply("c", s.clock.Now())
-	provenOnly, err := ensure()
+	provenOnly, err := provenOnlyNow()
 	require.NoError(t, err)
 	require.False(t, provenOnly, "no daemon can have accepted a change")
 	s.suspected = true
-	provenOnly, err = ensure()
+	provenOnly, err = provenOnlyNow()
 	require.NoError(t, err)
 	require.True(t, provenOnly, "the suspect may have reached the store")
 	s.clock.Advance(4 * time.Second)
-	provenOnly, err = ensure()
+	provenOnly, err = provenOnlyNow()
 	require.NoError(t, err)
 	require.True(t, provenOnly, "cut off, within the limit")
 	s.clock.Advance(2 * time.Second)
-	_, err = ensure()
+	_, err = provenOnlyNow()
 	require.True(t, fault.Is(err, fault.ConfigStale), "cut off for too long")
 	s.reachability.recordReply("b", s.clock.Now())
 	s.reachability.recordReply("c", s.clock.Now())
-	provenOnly, err = ensure()
+	provenOnly, err = provenOnlyNow()
 	require.NoError(t, err)
 	require.True(t, provenOnly)
 }
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -94,8 +94,8 @@
 }
 
 // handleReply processes the reply to a heartbeat that was sent at sent. It fetches
-// the configuration, ratings and membership table that the reply shows to be
-// newer than or different from the own ones.
+// the configuration and the ratings if the peer has newer ones, and the membership
+// table if the peer's is different.
 func (n *Node) handleReply(ctx context.Context, reply peer.Heartbeat, sent time.Time) {
 	n.missedMu.Lock()
 	delete(n.missedHeartbeats, reply.From.Incarnation)
--- a/internal/daemon/handlers.go
+++ b/internal/daemon/handlers.go
@@ -18,7 +18,8 @@
 var _ peer.Handler = (*Node)(nil)
 
 // heartbeat returns the next heartbeat to a peer. It counts the membership
-// updates in it as sent.
+// updates in it as sent. ConfirmedMS is -1 if the configuration was not confirmed
+// within the last hour.
 func (n *Node) heartbeat() peer.Heartbeat {
 	confirmed := int64(-1)
 	if age := n.follower.SinceConfirmed(); age < time.Hour {
--- a/internal/daemon/loops.go
+++ b/internal/daemon/loops.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// fetchConfig requests from a peer what its configuration has newer, and
-// activates it.
+// fetchConfig requests from a peer the changes since this daemon's configuration,
+// and activates them.
 func (n *Node) fetchConfig(ctx context.Context, address string) {
 	requestedAt := n.clock.Now()
 	before := n.follower.Generation()
--- a/internal/daemon/module.go
+++ b/internal/daemon/module.go
@@ -181,7 +181,6 @@
 // headerTimeout bounds the time to read the headers of a request.
 const headerTimeout = 10 * time.Second
 
-// serve serves h on l in a goroutine, with TLS if it is enabled.
 // serve serves h on l in a goroutine, with TLS if it is enabled.
 func serve(l net.Listener, h http.Handler, t settings.TLS) *http.Server {
 	server := &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout}
--- a/internal/daemon/node.go
+++ b/internal/daemon/node.go
@@ -49,7 +49,7 @@
 const headListsPerSecond = 100
 
 // creditRequestsPerSecond limits the credit requests of all daemons together to
-// the daemon that has the duty for a roll-out.
+// the lease holder of a roll-out.
 const creditRequestsPerSecond = 200
 
 // Node is one daemon.
@@ -246,7 +246,6 @@
 	})
 }
 
-// anySuspect reports whether any daemon is suspect.
 // anySuspect reports whether any daemon is suspect.
 func (n *Node) anySuspect() bool {
 	for _, d := range n.registry.All() {
@@ -362,7 +361,7 @@
 	})
 }
 
-// Refusing implements caller.Directory.
+// CheckAccepting implements caller.Directory.
 func (n *Node) CheckAccepting() error {
 	if n.refusing.Load() {
 		return fault.New(fault.Stopping, "this daemon is stopping; use another one")
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -242,9 +242,9 @@
 	return nil
 }
 
-// billCloseTimeout limits how long the last event waits until peers hold
-// replicas of the closed bill. The open bill is durable by then, so a crash
-// after the timeout still results in one bill, with the usage that the upstream
+// billCloseTimeout limits how long the last event waits for peers to store
+// replicas of the closed bill. The open bill is durable by then, so a crash after
+// the timeout still results in one bill, with the usage that the upstream
 // reports.
 const billCloseTimeout = time.Second
 
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -13,9 +13,10 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/limit"
 )
 
-// The status is read while requests wait for a busy engine. If the dispatcher's
-// lock were held while a queue's lock is taken, this would deadlock with a queue
-// that takes the dispatcher's lock while it tries to start a request.
+// Guards against a deadlock when the status is read while requests wait for a
+// busy engine: a queue takes the dispatcher's lock while it holds its own lock
+// and tries to start a request, so a queue's lock must not be taken under the
+// dispatcher's.
 func TestStatusDoesNotDeadlockWithQueues(t *testing.T) {
 	d := New(Deps{Clock: clockwork.NewRealClock()})
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -23,8 +23,8 @@
 	"github.com/hornbeamsill/hornbeamsill/internal/shift"
 )
 
-// Guards against incomplete events that are passed on, and against a stream that was cut
-// inside an event and is taken for complete. A server may stop at any byte.
+// Guards against incomplete events being passed on, and against a stream that was cut inside
+// an event being taken for complete. A server may stop at any byte.
 func TestEventReaderAtEveryCut(t *testing.T) {
 	text := "id: 1\ndata: a\n\nweights: 2\nid: 2\r\ndata: b\r\n\r\n: note\n\n"
 	whole := []string{"1", "2", ""}
@@ -47,12 +47,14 @@
 	}
 }
 
+// Guards against an event without an end, which would use up the daemon's memory.
 func TestTooLongEventIsAnError(t *testing.T) {
 	s := newEventReader(strings.NewReader("data: " + strings.Repeat("x", maxEventBytes+1) + "\n\n"))
 	_, err := s.next()
 	require.ErrorIs(t, err, errEventTooLong)
 }
 
+// FuzzEvents reads arbitrary streams. The bytes of the events must be the start of the stream.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/internal/forward/pace_test.go
+++ b/internal/forward/pace_test.go
@@ -29,9 +29,9 @@
 	}
 }
 
-// Guards against a bad version that is found too late. Its streams take ten seconds and more.
-// If the pace were reported only at their ends, all callers would have used the version for
-// four seconds by then. The pace is reported once, after the first events.
+// Guards against detecting a slow version too late. Its streams take ten seconds and more. If
+// the pace were reported only at their ends, all callers would have used the version for four
+// seconds by then. The pace is reported once, after the first events.
 func TestPaceIsReportedBeforeStreamEnds(t *testing.T) {
 	v := &observationRecorder{}
 	a := newStreamAttempt(v)
@@ -63,9 +63,9 @@
 	require.GreaterOrEqual(t, o.Pace, time.Second/minPaceEvents)
 }
 
-// Guards against a version whose first events are late by seconds, and against which there is
-// no evidence until they arrive. A waiting request reports the time so far as a lower bound of
-// its latency. Each later observation replaces the one before.
+// Guards against a lack of evidence about a version whose first events are late by seconds,
+// until they arrive. A waiting request reports the time so far as a lower bound of its latency.
+// Each later observation replaces the one before.
 func TestOverdueRequestReportsTimeSoFar(t *testing.T) {
 	a := newStreamAttempt(&observationRecorder{})
 	now := time.Now()
--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -28,8 +28,8 @@
 	InstanceEnded(i inventory.Instance) bool
 }
 
-// quarantineDecisionTimeout bounds how long the next attempt of a request that was on two or
-// more ended instances waits for the quarantine decision.
+// quarantineDecisionTimeout bounds how long a request under which two or more instances have
+// ended waits for the quarantine decision before its next attempt.
 const quarantineDecisionTimeout = 300 * time.Millisecond
 
 // awaitQuarantineDecision waits for the quarantine decision on a request whose last connection
--- a/internal/operator/views.go
+++ b/internal/operator/views.go
@@ -37,7 +37,7 @@
 	StoppedVersions []config.VersionRef `json:"stopped_versions"`
 }
 
-// DaemonStatus describes another daemon.
+// DaemonStatus describes a daemon, as the daemon that responds knows it.
 type DaemonStatus struct {
 	Incarnation   string `json:"incarnation"`
 	PeerAddress   string `json:"peer_address"`
--- a/internal/rollout/credit.go
+++ b/internal/rollout/credit.go
@@ -208,7 +208,7 @@
 	return true
 }
 
-// Allow undoes Stop after an operator started the version again.
+// Allow undoes Stop.
 func (c *DaemonCredits) Allow(ref config.VersionRef) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/shift/counts.go
+++ b/internal/shift/counts.go
@@ -21,7 +21,8 @@
 	// Pace is the mean time per event of a stream; 0 if there were too few events.
 	Pace time.Duration
 	// Unfinished is set while the request is in flight, and when the caller left or the
-	// request timed out before the end of the answer. Latency and pace are then lower bounds.
+	// request's deadline passed before the end of the answer. Latency and pace are then lower
+	// bounds.
 	Unfinished bool
 	// Reported is what earlier observations of the same request reported. This observation
 	// replaces it.
--- a/internal/shift/exposure_test.go
+++ b/internal/shift/exposure_test.go
@@ -49,8 +49,8 @@
 			old.add(Observation{})
 		}
 		if i%18 == 0 {
-			k := DecisionInput{Elapsed: at, Fresh: Counts{"r": fresh}, Old: Counts{"r": old}, OldInFlight: 3}
-			s = NextState(s, order, k, limit)
+			in := DecisionInput{Elapsed: at, Fresh: Counts{"r": fresh}, Old: Counts{"r": old}, OldInFlight: 3}
+			s = NextState(s, order, in, limit)
 		}
 		if s.Phase == Completed && completed == 0 {
 			completed = at
@@ -59,31 +59,32 @@
 	return float64(fresh.Requests) / float64(fresh.Requests+old.Requests), completed
 }
 
-// Guards against completing a version that fails half of one kind of request in four. On the
-// first share that kind had 11 requests and 5 failures, too few to reject the version.
-// Completed at the decision after all sessions moved, its answers would not be counted yet. It
-// must stay on the first share for suspectGrace and is then rolled back, since it would go on
-// failing callers there. No version completes without answers given under full load.
+// Guards against completing a version that fails half of the requests of one kind, which is a
+// quarter of all. On the first share that kind had 11 requests and 5 failures, too few to
+// reject the version. If it completed at the decision right after all sessions moved, its
+// answers to them would not be counted. It must stay on the first share for suspectGrace and
+// is then rolled back, since it would go on failing callers there. No version completes
+// without answers given under full load.
 func TestVersionWithBadKindIsNotCompleted(t *testing.T) {
 	const couldMove = 22 * time.Second
 	old := Counts{"a": {Requests: 250, Bad: 2}, "b": {Requests: 700, Bad: 5}}
 	s := State{Order: 7, Service: "engines", To: "v2", Phase: Running, Share: limit.FirstShare(), Step: 1}
-	k := DecisionInput{Elapsed: allowed - time.Second, Fresh: Counts{"a": {Requests: 11, Bad: 5}, "b": {Requests: 31}}, Old: old}
-	require.False(t, Regressed(k.Fresh, k.Old))
-	k.Elapsed = couldMove
-	require.Equal(t, s, NextState(s, order, k, limit))
-	for _, k.Elapsed = range []time.Duration{couldMove + suspectGrace, allowed - time.Second, allowed + time.Second} {
-		require.Equal(t, RolledBack, NextState(s, order, k, limit).Phase, "its time on the first share is over")
+	in := DecisionInput{Elapsed: allowed - time.Second, Fresh: Counts{"a": {Requests: 11, Bad: 5}, "b": {Requests: 31}}, Old: old}
+	require.False(t, Regressed(in.Fresh, in.Old))
+	in.Elapsed = couldMove
+	require.Equal(t, s, NextState(s, order, in, limit))
+	for _, in.Elapsed = range []time.Duration{couldMove + suspectGrace, allowed - time.Second, allowed + time.Second} {
+		require.Equal(t, RolledBack, NextState(s, order, in, limit).Phase, "its time on the first share is over")
 	}
 
-	k = DecisionInput{Elapsed: allowed - time.Second, Fresh: Counts{"a": {Requests: 11}, "b": {Requests: 31}}, Old: old}
-	moved := NextState(s, order, k, limit)
+	in = DecisionInput{Elapsed: allowed - time.Second, Fresh: Counts{"a": {Requests: 11}, "b": {Requests: 31}}, Old: old}
+	moved := NextState(s, order, in, limit)
 	require.Equal(t, 1.0, moved.Share)
-	require.Equal(t, Running, NextState(moved, order, k, limit).Phase, "nothing answered since")
-	k.Fresh = Counts{"a": {Requests: 20}, "b": {Requests: 60}}
-	require.Equal(t, Completed, NextState(moved, order, k, limit).Phase)
-	k.Fresh = Counts{"a": {Requests: 24, Bad: 10}, "b": {Requests: 60}}
-	require.Equal(t, RolledBack, NextState(moved, order, k, limit).Phase)
+	require.Equal(t, Running, NextState(moved, order, in, limit).Phase, "nothing answered since")
+	in.Fresh = Counts{"a": {Requests: 20}, "b": {Requests: 60}}
+	require.Equal(t, Completed, NextState(moved, order, in, limit).Phase)
+	in.Fresh = Counts{"a": {Requests: 24, Bad: 10}, "b": {Requests: 60}}
+	require.Equal(t, RolledBack, NextState(moved, order, in, limit).Phase)
 }
 
 // Guards against a session changing versions when it begins after the lease holder asked the
@@ -95,9 +96,9 @@
 	one, two := newTracker(clock), newTracker(clock)
 	one.AddOrder(order)
 	two.AddOrder(order)
-	k := inputFrom(one, two)
-	k.Elapsed = settleTime
-	opened := NextState(fresh(), order, k, limit)
+	in := inputFrom(one, two)
+	in.Elapsed = settleTime
+	opened := NextState(fresh(), order, in, limit)
 	require.Equal(t, limit.FirstShare(), opened.Share)
 	session := inFirstShare()
 	require.Equal(t, "v1", preferredVersion(one, session))
@@ -106,33 +107,33 @@
 	two.ApplyState(opened)
 	require.Equal(t, "v1", preferredVersion(one, session))
 
-	k = inputFrom(one, two)
-	require.Equal(t, []uint64{Hash(session)}, k.Held)
-	k.Elapsed = settleTime + 300*time.Millisecond
-	extended := NextState(opened, order, k, limit)
+	in = inputFrom(one, two)
+	require.Equal(t, []uint64{Hash(session)}, in.Held)
+	in.Elapsed = settleTime + 300*time.Millisecond
+	extended := NextState(opened, order, in, limit)
 	require.Equal(t, opened.Step+1, extended.Step)
 	require.True(t, one.ApplyState(extended))
 	require.True(t, two.ApplyState(extended))
 	require.Equal(t, "v1", preferredVersion(two, session))
 
-	k = inputFrom(one, two)
-	k.Elapsed = settleTime + 600*time.Millisecond
-	require.Equal(t, extended, NextState(extended, order, k, limit), "added only once")
+	in = inputFrom(one, two)
+	in.Elapsed = settleTime + 600*time.Millisecond
+	require.Equal(t, extended, NextState(extended, order, in, limit), "added only once")
 }
 
-// Guards against a request in flight when a roll-out begins that keeps its first rule, which
-// accepts any version. When the small model's answer is weak and the request goes on to the
-// large model, it must stay on the version on which its session began.
+// Guards against a request that is in flight when a roll-out begins and keeps its first rule,
+// which accepts any version. When the small model's answer has a low confidence and the
+// request is sent to the large model, it must stay on the version on which its session began.
 func TestRequestInFlightWhenRolloutBegins(t *testing.T) {
-	b := newTracker(clockwork.NewFakeClock())
+	tracker := newTracker(clockwork.NewFakeClock())
 	session := inFirstShare()
-	b.BeginRequest("engines", session)
-	require.Len(t, b.Rule("engines", session).Groups(), 1, "any version")
-	b.AddOrder(order)
-	b.ApplyState(State{Order: 7, Service: "engines", To: "v2", Phase: Running, Share: limit.FirstShare(), Step: 1})
-	sides := b.Rule("engines", session).Groups()
-	require.False(t, sides[0].Accept("v2"))
-	require.Equal(t, []uint64{Hash(session)}, b.Evidence("engines").Held)
+	tracker.BeginRequest("engines", session)
+	require.Len(t, tracker.Rule("engines", session).Groups(), 1, "any version")
+	tracker.AddOrder(order)
+	tracker.ApplyState(State{Order: 7, Service: "engines", To: "v2", Phase: Running, Share: limit.FirstShare(), Step: 1})
+	groups := tracker.Rule("engines", session).Groups()
+	require.False(t, groups[0].Accept("v2"))
+	require.Equal(t, []uint64{Hash(session)}, tracker.Evidence("engines").Held)
 }
 
 // inFirstShare returns a session that belongs to the first share.
@@ -148,15 +149,15 @@
 // ordered. The new version of the first order is the old one of the second, and the session
 // stays on it.
 func TestSessionsUnderWayAtTheNextOrder(t *testing.T) {
-	b := newTracker(clockwork.NewFakeClock())
+	tracker := newTracker(clockwork.NewFakeClock())
 	session := inFirstShare()
-	b.AddOrder(order)
-	b.ApplyState(State{Order: 7, Service: "engines", To: "v2", Phase: Completed, Share: 1, Told: true, Step: 4})
-	require.Equal(t, "v2", preferredVersion(b, session))
-	b.AddOrder(Order{ID: 9, Service: "engines", To: "v3", Allowed: allowed})
-	require.Equal(t, []uint64{Hash(session)}, b.Evidence("engines").Held)
-	b.ApplyState(State{Order: 9, Service: "engines", To: "v3", Phase: Running, Share: limit.FirstShare(), Step: 1})
-	require.True(t, b.Rule("engines", session).Groups()[0].Accept("v2"))
+	tracker.AddOrder(order)
+	tracker.ApplyState(State{Order: 7, Service: "engines", To: "v2", Phase: Completed, Share: 1, Told: true, Step: 4})
+	require.Equal(t, "v2", preferredVersion(tracker, session))
+	tracker.AddOrder(Order{ID: 9, Service: "engines", To: "v3", Allowed: allowed})
+	require.Equal(t, []uint64{Hash(session)}, tracker.Evidence("engines").Held)
+	tracker.ApplyState(State{Order: 9, Service: "engines", To: "v3", Phase: Running, Share: limit.FirstShare(), Step: 1})
+	require.True(t, tracker.Rule("engines", session).Groups()[0].Accept("v2"))
 }
 
 // Guards against a late roll-out by a daemon that starts 10 s into the allowed 24 s, takes the
--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -31,9 +31,9 @@
 	Allowed time.Duration
 	// Age is how long ago the order was given, as measured by the sender.
 	Age time.Duration
-	// Era increases when the store that holds the orders is restored from an older copy. An
-	// order of an earlier era that is found there, or is written there again, then has another
-	// ID, which is Restated; 0 means that the order has no such ID.
+	// Era increases when the store that holds the orders is restored from an older copy. The
+	// restored store gives the orders that it contains, and those that are written to it again,
+	// new IDs. Restated is such a later ID of this order; 0 means that it has none.
 	Era      int64
 	Restated int64
 }
@@ -41,7 +41,7 @@
 // latestID returns the order's ID in the latest era.
 func (o Order) latestID() int64 { return max(o.ID, o.Restated) }
 
-// isRestatementOf reports whether o is the order earlier under its ID of a later era.
+// isRestatementOf reports whether o is the same order as earlier, with its ID of a later era.
 func (o Order) isRestatementOf(earlier Order) bool {
 	return o.Era > earlier.Era && o.sameRequest(earlier)
 }
@@ -111,7 +111,7 @@
 	Old   Counts
 	// OldInFlight is the number of requests in flight at old instances, over all daemons.
 	OldInFlight int
-	// Held are the sessions under way that began on the old version.
+	// Held are the hashes of sessions under way that began on the old version.
 	Held []uint64
 }
 
@@ -180,9 +180,9 @@
 // mayComplete reports whether a version may complete: it has answered enough requests under
 // full load, and is not suspect.
 //
-// On the first share, a version that fails one kind of request may have had too few requests
-// to show it, so the answers to all sessions count first, even if that makes the roll-out
-// late. A holder that takes the lease after the allowed time moves all sessions first, so
+// On the first share, a version that fails one kind of request may get too few requests to
+// show it. So it must also answer requests of all sessions, even if that makes the roll-out
+// late. A daemon that acquires the lease after the allowed time moves all sessions first, so
 // completionGrace starts no earlier than that move.
 func mayComplete(s State, o Order, in DecisionInput) bool {
 	if SuspectRegression(in.Fresh, in.Old) {
--- a/internal/shift/shift_test.go
+++ b/internal/shift/shift_test.go
@@ -28,16 +28,16 @@
 	s := fresh()
 	var shares []float64
 	for at := time.Duration(0); at < allowed; at += 300 * time.Millisecond {
-		k := DecisionInput{Elapsed: at, Fresh: counts(40, 0), Old: counts(960, 9), OldInFlight: 5, Held: []uint64{3}}
+		in := DecisionInput{Elapsed: at, Fresh: counts(40, 0), Old: counts(960, 9), OldInFlight: 5, Held: []uint64{3}}
 		if at > 22500*time.Millisecond {
-			k.OldInFlight = 0
+			in.OldInFlight = 0
 		}
 		if s.Share >= 1 {
 			// The requests answered after all sessions moved.
-			k.Fresh = counts(100, 1)
+			in.Fresh = counts(100, 1)
 		}
 		before := s
-		s = NextState(s, order, k, limit)
+		s = NextState(s, order, in, limit)
 		require.GreaterOrEqual(t, s.Share, before.Share)
 		if at < allowed/2 {
 			require.LessOrEqual(t, s.Share, limit.FirstShare())
@@ -57,11 +57,11 @@
 func TestCompletedInTime(t *testing.T) {
 	s := fresh()
 	for at := time.Duration(0); at < allowed; at += 300 * time.Millisecond {
-		k := DecisionInput{Elapsed: at, Fresh: counts(40, 0), Old: counts(960, 0), OldInFlight: 1}
+		in := DecisionInput{Elapsed: at, Fresh: counts(40, 0), Old: counts(960, 0), OldInFlight: 1}
 		if s.Share >= 1 {
-			k.Fresh = counts(80, 0)
+			in.Fresh = counts(80, 0)
 		}
-		s = NextState(s, order, k, limit)
+		s = NextState(s, order, in, limit)
 	}
 	require.Equal(t, Completed, s.Phase)
 }
@@ -101,9 +101,9 @@
 	}
 }
 
-// A version that takes eight times as long, for all requests or for one kind, is rejected on
-// as many answers as the first share brings in a few seconds. A version whose answers only
-// vary in length is not.
+// A version that takes eight times as long, for all requests or for one kind, is rejected
+// after as many answers as the first share brings in a few seconds. A version whose answers
+// only vary in length is not.
 func TestSlowVersionIsRejected(t *testing.T) {
 	sample := func(random *rand.Rand, factor float64, n int) Count {
 		var c Count
@@ -136,18 +136,18 @@
 // version: each request finds an idle instance. The fraction of the instances must equal the
 // share of the sessions, so that each instance has the load that it will have later.
 func TestFirstRequestsGoToFewInstances(t *testing.T) {
-	b := newTracker(clockwork.NewFakeClock())
-	b.AddOrder(order)
-	b.ApplyState(State{Order: 7, Service: "engines", To: "v2", Phase: Running, Share: 0.3, Step: 2})
+	tracker := newTracker(clockwork.NewFakeClock())
+	tracker.AddOrder(order)
+	tracker.ApplyState(State{Order: 7, Service: "engines", To: "v2", Phase: Running, Share: 0.3, Step: 2})
 	found := false
 	for i := 0; !found; i++ {
-		side := b.Rule("engines", fmt.Sprint(i)).Groups()[0]
-		if found = side.Accept("v2"); found {
-			require.InDelta(t, 0.3, side.InstanceFraction, 0.001)
+		group := tracker.Rule("engines", fmt.Sprint(i)).Groups()[0]
+		if found = group.Accept("v2"); found {
+			require.InDelta(t, 0.3, group.InstanceFraction, 0.001)
 		}
 	}
-	b.ApplyState(State{Order: 7, Service: "engines", To: "v2", Phase: Running, Share: 1, Step: 3})
-	require.Zero(t, b.Rule("engines", "x").Groups()[0].InstanceFraction)
+	tracker.ApplyState(State{Order: 7, Service: "engines", To: "v2", Phase: Running, Share: 1, Step: 3})
+	require.Zero(t, tracker.Rule("engines", "x").Groups()[0].InstanceFraction)
 }
 
 // Whatever the evidence, steps increase, the share never falls while the roll-out runs, and a
@@ -158,11 +158,11 @@
 		at := time.Duration(0)
 		for range rapid.IntRange(1, 60).Draw(t, "looks") {
 			at += time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause")) * time.Millisecond
-			k := DecisionInput{
+			in := DecisionInput{
 				Elapsed: at, OldInFlight: rapid.IntRange(0, 2).Draw(t, "old"),
 				Fresh: counts(100, rapid.IntRange(0, 30).Draw(t, "bad")), Old: counts(100, 2),
 			}
-			next := NextState(s, order, k, limit)
+			next := NextState(s, order, in, limit)
 			if next.Step < s.Step || next.Step > s.Step+1 {
 				t.Fatalf("step %d after %d", next.Step, s.Step)
 			}
@@ -185,11 +185,11 @@
 }
 
 // inputFrom returns the decision input that a lease holder has from some daemons.
-func inputFrom(books ...*Tracker) DecisionInput {
+func inputFrom(trackers ...*Tracker) DecisionInput {
 	tally := NewTally(order.ID)
 	var all []Evidence
-	for i, b := range books {
-		e := b.Evidence("engines")
+	for i, tracker := range trackers {
+		e := tracker.Evidence("engines")
 		e.From = fmt.Sprint("daemon-", i)
 		tally.Update(e)
 		all = append(all, e)
@@ -198,9 +198,9 @@
 }
 
 // preferredVersion begins a request of a session and returns the version that it prefers.
-func preferredVersion(b *Tracker, session string) string {
-	b.BeginRequest("engines", session)
-	if b.Rule("engines", session).Groups()[0].Accept("v2") {
+func preferredVersion(tracker *Tracker, session string) string {
+	tracker.BeginRequest("engines", session)
+	if tracker.Rule("engines", session).Groups()[0].Accept("v2") {
 		return "v2"
 	}
 	return "v1"
@@ -222,9 +222,9 @@
 	}
 	one.AddOrder(order)
 	two.AddOrder(order)
-	k := inputFrom(one, two)
-	k.Elapsed = settleTime
-	s := NextState(fresh(), order, k, limit)
+	in := inputFrom(one, two)
+	in.Elapsed = settleTime
+	s := NextState(fresh(), order, in, limit)
 	require.Equal(t, limit.FirstShare(), s.Share)
 	one.ApplyState(s)
 	two.ApplyState(s)
@@ -247,38 +247,38 @@
 // of the answer, not from its start.
 func TestLongAnswersKeepTheirSession(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	b := newTracker(clock)
+	tracker := newTracker(clock)
 	session := ""
 	for i := 0; session == ""; i++ {
 		if s := fmt.Sprint("session-", i); inShare(Hash(s), limit.FirstShare()) {
 			session = s
 		}
 	}
-	b.BeginRequest("engines", session)
+	tracker.BeginRequest("engines", session)
 	clock.Advance(20 * time.Second)
-	b.ExpireSessions()
-	b.EndRequest("engines", session)
+	tracker.ExpireSessions()
+	tracker.EndRequest("engines", session)
 	clock.Advance(4 * time.Second)
-	b.ExpireSessions()
-	b.AddOrder(order)
-	require.Equal(t, []uint64{Hash(session)}, b.Evidence("engines").Held)
+	tracker.ExpireSessions()
+	tracker.AddOrder(order)
+	require.Equal(t, []uint64{Hash(session)}, tracker.Evidence("engines").Held)
 	clock.Advance(2 * time.Second)
-	b.ExpireSessions()
-	require.Empty(t, b.Evidence("engines").Held)
+	tracker.ExpireSessions()
+	require.Empty(t, tracker.Evidence("engines").Held)
 }
 
 // While the lease holder is away and the new version fails, each daemon stops using it on its
 // own evidence.
 func TestEachDaemonStopsABadVersion(t *testing.T) {
-	b := newTracker(clockwork.NewFakeClock())
-	b.AddOrder(order)
-	b.ApplyState(State{Order: 7, Service: "engines", To: "v2", Phase: Running, Share: 1, Step: 3})
-	require.Equal(t, "v2", preferredVersion(b, "x"))
+	tracker := newTracker(clockwork.NewFakeClock())
+	tracker.AddOrder(order)
+	tracker.ApplyState(State{Order: 7, Service: "engines", To: "v2", Phase: Running, Share: 1, Step: 3})
+	require.Equal(t, "v2", preferredVersion(tracker, "x"))
 	for range 100 {
-		b.Observe("engines", Observation{Version: "v1", Route: "r"})
-		b.Observe("engines", Observation{Version: "v2", Route: "r", Bad: true})
+		tracker.Observe("engines", Observation{Version: "v1", Route: "r"})
+		tracker.Observe("engines", Observation{Version: "v2", Route: "r", Bad: true})
 	}
-	require.Equal(t, "v1", preferredVersion(b, "x"))
+	require.Equal(t, "v1", preferredVersion(tracker, "x"))
 }
 
 // Guards against a rolled-back version getting requests again after the next order, while its
@@ -287,9 +287,9 @@
 func TestRolledBackVersionStaysOutAfterTheNextOrder(t *testing.T) {
 	back := State{Order: 7, Service: "engines", To: "v2", Phase: RolledBack, Told: true, Step: 3}
 	next := Order{ID: 9, Service: "engines", To: "v3", Allowed: allowed}
-	uses := func(b *Tracker, version string) bool {
-		for _, side := range b.Rule("engines", "x").Groups() {
-			if side.Accept(version) {
+	uses := func(tracker *Tracker, version string) bool {
+		for _, group := range tracker.Rule("engines", "x").Groups() {
+			if group.Accept(version) {
 				return true
 			}
 		}
@@ -319,10 +319,10 @@
 
 // Guards against an older state that arrives late and brings a rolled-back version back.
 func TestOlderStatesAreIgnored(t *testing.T) {
-	b := newTracker(clockwork.NewFakeClock())
-	b.AddOrder(order)
-	require.True(t, b.ApplyState(State{Order: 7, Service: "engines", To: "v2", Phase: RolledBack, Step: 4}))
-	require.False(t, b.ApplyState(State{Order: 7, Service: "engines", To: "v2", Phase: Running, Share: 1, Step: 3}))
-	require.Equal(t, "v1", preferredVersion(b, "x"))
-	require.False(t, b.AddOrder(Order{ID: 6, Service: "engines", To: "v0"}))
+	tracker := newTracker(clockwork.NewFakeClock())
+	tracker.AddOrder(order)
+	require.True(t, tracker.ApplyState(State{Order: 7, Service: "engines", To: "v2", Phase: RolledBack, Step: 4}))
+	require.False(t, tracker.ApplyState(State{Order: 7, Service: "engines", To: "v2", Phase: Running, Share: 1, Step: 3}))
+	require.Equal(t, "v1", preferredVersion(tracker, "x"))
+	require.False(t, tracker.AddOrder(Order{ID: 6, Service: "engines", To: "v0"}))
 }
--- a/internal/shift/slow_test.go
+++ b/internal/shift/slow_test.go
@@ -188,18 +188,18 @@
 // Guards against counting a request several times when it reports latencies while it is in
 // flight.
 func TestLaterObservationReplacesTheEarlier(t *testing.T) {
-	var under, once Count
-	word := Observation{Expected: time.Second, Latency: 2 * time.Second, Unfinished: true}
-	under.add(word)
-	word.Reported, word.Latency = Reported{Latency: word.Latency}, 3*time.Second
-	under.add(word)
+	var replaced, once Count
+	o := Observation{Expected: time.Second, Latency: 2 * time.Second, Unfinished: true}
+	replaced.add(o)
+	o.Reported, o.Latency = Reported{Latency: o.Latency}, 3*time.Second
+	replaced.add(o)
 	last := Observation{Expected: time.Second, Latency: 4 * time.Second, Pace: time.Second, Reported: Reported{Latency: 3 * time.Second}}
-	under.add(last)
+	replaced.add(last)
 	last.Reported = Reported{}
 	once.add(last)
-	require.Equal(t, once.Requests, under.Requests)
-	require.Equal(t, once.Timed, under.Timed)
-	require.InDelta(t, once.LogSum, under.LogSum, 1e-9)
-	require.InDelta(t, once.LogSquares, under.LogSquares, 1e-9)
-	require.Equal(t, once.Paced, under.Paced)
+	require.Equal(t, once.Requests, replaced.Requests)
+	require.Equal(t, once.Timed, replaced.Timed)
+	require.InDelta(t, once.LogSum, replaced.LogSum, 1e-9)
+	require.InDelta(t, once.LogSquares, replaced.LogSquares, 1e-9)
+	require.Equal(t, once.Paced, replaced.Paced)
 }
--- a/internal/shift/tally_test.go
+++ b/internal/shift/tally_test.go
@@ -42,33 +42,33 @@
 // move all sessions and complete the version in one decision.
 func TestLateRolloutIsNotCompletedWithoutAnswers(t *testing.T) {
 	s := State{Order: 7, Service: "engines", To: "v2", Phase: Running, Share: limit.FirstShare(), Step: 1}
-	k := DecisionInput{Elapsed: allowed + 13*time.Second, Fresh: counts(31, 1), Old: counts(438, 8)}
-	moved := NextState(s, order, k, limit)
+	in := DecisionInput{Elapsed: allowed + 13*time.Second, Fresh: counts(31, 1), Old: counts(438, 8)}
+	moved := NextState(s, order, in, limit)
 	require.Equal(t, 1.0, moved.Share)
-	require.Equal(t, Running, NextState(moved, order, k, limit).Phase, "nothing answered since")
-	k.Fresh = counts(31+maxCompletionRequests, 1)
-	require.Equal(t, Completed, NextState(moved, order, k, limit).Phase)
+	require.Equal(t, Running, NextState(moved, order, in, limit).Phase, "nothing answered since")
+	in.Fresh = counts(31+maxCompletionRequests, 1)
+	require.Equal(t, Completed, NextState(moved, order, in, limit).Phase)
 }
 
 // Guards against a bad version staying in use while no daemon holds the lease and the store is
 // unavailable. A stop applies whatever step a daemon has seen, a daemon that starts later
 // receives it with the state, and the next lease holder rolls the version back.
 func TestStopWithoutLeaseHolder(t *testing.T) {
-	b := newTracker(clockwork.NewFakeClock())
-	b.AddOrder(order)
+	tracker := newTracker(clockwork.NewFakeClock())
+	tracker.AddOrder(order)
 	running := State{Order: 7, Service: "engines", To: "v2", Phase: Running, Share: 1, Step: 3}
-	require.True(t, b.ApplyState(running))
-	require.Equal(t, "v2", preferredVersion(b, "x"))
+	require.True(t, tracker.ApplyState(running))
+	require.Equal(t, "v2", preferredVersion(tracker, "x"))
 	stop := running
 	stop.Step, stop.Stopped = 2, true
-	require.True(t, b.ApplyState(stop))
-	require.False(t, b.ApplyState(stop))
-	require.Equal(t, "v1", preferredVersion(b, "x"))
+	require.True(t, tracker.ApplyState(stop))
+	require.False(t, tracker.ApplyState(stop))
+	require.Equal(t, "v1", preferredVersion(tracker, "x"))
 	running.Step = 4
-	require.True(t, b.ApplyState(running))
-	require.Equal(t, "v1", preferredVersion(b, "x"), "a later step without the stop does not undo it")
+	require.True(t, tracker.ApplyState(running))
+	require.Equal(t, "v1", preferredVersion(tracker, "x"), "a later step without the stop does not undo it")
 
-	_, states := b.Orders()
+	_, states := tracker.Orders()
 	started := newTracker(clockwork.NewFakeClock())
 	started.AddOrder(order)
 	require.True(t, started.ApplyState(states[0]))
@@ -111,9 +111,10 @@
 	require.Greater(t, held, 95)
 }
 
-// Guards against a version that fails or lags twice as often as an old one that loses 20% of
-// its answers. Tested against twice the old rate, such a version is never rejected. The counts
-// are those of 88 daemons after ten seconds of a first share of 12 requests a second.
+// Guards against a version that fails twice as often as an old one that fails 20% of its
+// requests. If the test compared it with twice the old rate only, it would never reject such a
+// version. The counts are those of 88 daemons after ten seconds of a first share of 12 requests
+// a second.
 func TestVersionThatFailsTwiceAsOftenIsRejected(t *testing.T) {
 	fresh := Counts{"r/m": {Requests: 233, Bad: 96}}
 	old := Counts{"r/m": {Requests: 16457, Bad: 3395}}
@@ -140,8 +141,8 @@
 }
 
 // Guards against a version that takes twice the expected time to the first event and writes
-// five times as slowly, while 14% of all requests fail. Its streams end too late or are given
-// up by their callers, and the time to the first event alone does not reject it. A version
+// five times as slowly, while 14% of all requests fail. Its streams end too late or are
+// abandoned by their callers, and the time to the first event alone does not reject it. A version
 // whose streams take 1.5 times as long, on instances that read every prompt again, is kept.
 func TestVersionThatWritesSlowlyIsRejected(t *testing.T) {
 	sample := func(random *rand.Rand, requests int, head float64, paces ...float64) Counts {
@@ -159,12 +160,12 @@
 		}
 		return c
 	}
-	condemned, oneKind, kept := 0, 0, 0
+	rejected, oneKind, kept := 0, 0, 0
 	for seed := range uint64(100) {
 		random := rand.New(rand.NewPCG(seed, 4))
 		old := sample(random, 3000, 1, 1, 1)
 		if Regressed(sample(random, 40, 2, 5, 5), old) {
-			condemned++
+			rejected++
 		}
 		if Regressed(sample(random, 40, 1, 1, 5), old) {
 			oneKind++
@@ -173,7 +174,7 @@
 			kept++
 		}
 	}
-	require.Equal(t, 100, condemned)
+	require.Equal(t, 100, rejected)
 	require.Greater(t, oneKind, 95, "only one kind of request is written slowly")
 	require.Equal(t, 100, kept)
 }
--- a/internal/shift/tracker.go
+++ b/internal/shift/tracker.go
@@ -35,7 +35,7 @@
 // inheritWithdrawn adds the versions that an older state excludes from use.
 //
 // A version that was rolled back is neither the new version of the next order nor the old one.
-// Counted as old, it would get requests again while its servers run.
+// If it counted as old, it would get requests again while its servers run.
 func (r *rollout) inheritWithdrawn(older State) {
 	versions := older.Withdrawn
 	if older.Phase != Completed {
--- a/internal/shift/verdict.go
+++ b/internal/shift/verdict.go
@@ -25,9 +25,9 @@
 	// decisions.
 	falseAlarmProbability = 1e-5
 	// suspectMinFailures, suspectFalseAlarm and suspectFailureRatio are the same for holding a
-	// version back, which a sound version can be for a few decisions. The ratio is close to 1:
-	// where the old version fails often, a new one that fails twice as often may not be
-	// rejected, and must not get all sessions either.
+	// version back. False alarms may be more frequent here, since a sound version may be held
+	// back for a few decisions. The ratio is close to 1: if the old version fails often, a new
+	// one that fails twice as often may escape rejection, and must not get all sessions.
 	suspectMinFailures  = 2
 	suspectFalseAlarm   = 0.003
 	suspectFailureRatio = 1.1
@@ -45,9 +45,9 @@
 	// slowSigmas is by how many standard errors the new version must exceed slowRatio.
 	slowSigmas = 3.0
 	// suspectSlowRatio and suspectSigmas are the same for holding a version back. The few
-	// answers of a first share do not reject a version that is slow for part of its requests,
-	// and it would pass one of several decisions if holding it back took a whole standard
-	// error. A sound version passes them all, because its ratio is far smaller.
+	// answers of a first share do not reject a version that is slow for part of its requests.
+	// If holding it back required a whole standard error, it would pass at least one of several
+	// decisions. A sound version passes them all, because its ratio is far smaller.
 	suspectSlowRatio = 1.4
 	suspectSigmas    = 0.5
 )
--- a/internal/upconn/exchange.go
+++ b/internal/upconn/exchange.go
@@ -179,9 +179,9 @@
 	return e.resp.ContentLength >= 0 || len(e.resp.TransferEncoding) > 0
 }
 
-// Read reads the body. It returns io.EOF only at the end of a complete body. A body that is
-// shorter than stated ends with io.ErrUnexpectedEOF. A body without a length ends with the
-// error of the connection if the connection is reset.
+// Read reads the body. If the answer marks the end of its body, Read returns io.EOF only
+// there, and io.ErrUnexpectedEOF if the body is shorter than stated. Otherwise it returns io.EOF
+// when the server closes the connection, and an error if the connection is reset.
 func (e *Exchange) Read(p []byte) (int, error) {
 	n, err := e.resp.Body.Read(p)
 	if err == io.EOF {
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -154,7 +154,7 @@
 	return c.callJSON(ctx, http.MethodDelete, address, "/v1/attempts/"+url.PathEscape(attempt), nil, nil)
 }
 
-// LoadReport requests the load report of an engine.
+// LoadReport requests the load report of an engine or plain service.
 func (c *Client) LoadReport(ctx context.Context, address string) (LoadReport, error) {
 	var report LoadReport
 	err := c.callJSON(ctx, http.MethodGet, address, "/v1/load", nil, &report)
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -87,22 +87,22 @@
 
 // push adds an event. It drops duplicates and events of other attempts. It returns
 // false if more than reorderWindow events are buffered.
-func (a *reorderBuffer) push(e Event) bool {
-	if e.Attempt != a.attempt || e.Offset < a.next {
+func (b *reorderBuffer) push(e Event) bool {
+	if e.Attempt != b.attempt || e.Offset < b.next {
 		return true
 	}
-	a.pending[e.Offset] = e
-	return len(a.pending) <= reorderWindow
+	b.pending[e.Offset] = e
+	return len(b.pending) <= reorderWindow
 }
 
 // pop removes and returns the next event in order. It returns false if that event
 // has not arrived yet.
-func (a *reorderBuffer) pop() (Event, bool) {
-	e, ok := a.pending[a.next]
+func (b *reorderBuffer) pop() (Event, bool) {
+	e, ok := b.pending[b.next]
 	if !ok {
 		return Event{}, false
 	}
-	delete(a.pending, a.next)
-	a.next++
+	delete(b.pending, b.next)
+	b.next++
 	return e, true
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -15,9 +15,9 @@
 	"pgregory.net/rapid"
 )
 
-// A server reads a call on a reused connection, runs it, and closes the connection
-// without an answer. net/http repeats such a call if it has an Idempotency-Key
-// header. A reply draft would be sent twice.
+// Guards against running a call twice. A server reads a call on a reused connection,
+// runs it, and closes the connection without an answer. net/http would repeat such a
+// call if it has an Idempotency-Key header, and a reply draft would be sent twice.
 func TestTransportDoesNotRepeatCalls(t *testing.T) {
 	for _, body := range []string{"", "draft"} {
 		var calls atomic.Int32
@@ -77,8 +77,8 @@
 	}
 }
 
-// Nothing listens at the address. An attempt that could not be sent must be
-// reported as not run, so that it can be retried elsewhere.
+// An attempt that could not be sent, because nothing listens at the address, must be
+// reported as not run, so that it can be retried at another upstream.
 func TestRefusedConnectionIsNotRun(t *testing.T) {
 	c := NewClient(time.Second)
 	_, err := c.Start(context.Background(), "127.0.0.1:1", Attempt{ID: "a"})
--- a/internal/upstream/wire.go
+++ b/internal/upstream/wire.go
@@ -99,7 +99,8 @@
 	Ready bool `json:"ready"`
 }
 
-// LoadReport is the load that an engine reports. It is always somewhat outdated.
+// LoadReport is the load that an upstream reports. It is always somewhat outdated. A plain
+// service reports no versions.
 type LoadReport struct {
 	Instance string        `json:"instance"`
 	Versions []VersionLoad `json:"versions"`
