--- a/internal/daemon/handlers.go
+++ b/internal/daemon/handlers.go
@@ -59,7 +59,7 @@
 }
 
 // stopVersion stops new sessions of a version at this daemon while it is being
-// rolled out. It triggers a heartbeat, which tells the peers to do the same.
+// rolled out. It triggers a heartbeat, upon which the peers do the same.
 func (n *Node) stopVersion(ref config.VersionRef) {
 	snapshot := n.follower.Current()
 	if snapshot == nil || snapshot.Rollouts[ref].State != config.RollingOut {
--- a/internal/daemon/loops.go
+++ b/internal/daemon/loops.go
@@ -136,7 +136,7 @@
 		if n.follower.Current().Rollouts[ref].State != "" {
 			continue
 		}
-		n.credits.Allow(ref)
+		n.credits.Resume(ref)
 	}
 	n.TriggerHeartbeat()
 }
--- a/internal/daemon/node.go
+++ b/internal/daemon/node.go
@@ -292,7 +292,7 @@
 }
 
 // OnConfigAccepted activates an accepted change at this daemon and triggers a
-// heartbeat, by which the peers learn the new generation.
+// heartbeat, which announces the new generation to the peers.
 func (n *Node) OnConfigAccepted(ctx context.Context) {
 	if err := n.follower.Refresh(ctx); err != nil {
 		slog.Warn("config.refresh_failed", "error", err)
--- a/internal/forward/turn.go
+++ b/internal/forward/turn.go
@@ -20,7 +20,7 @@
 	// maxTurns bounds the turns that an attempt waits for, since each of them may be revoked.
 	maxTurns = 16
 	// evacuatedRetryAfter is the retry time sent to callers if all instances are in evacuated
-	// failure domains. A daemon learns of the operator's changes within that time.
+	// failure domains. The operator's changes reach a daemon within that time.
 	evacuatedRetryAfter = 2 * time.Second
 )
 
--- a/internal/rollout/credit.go
+++ b/internal/rollout/credit.go
@@ -208,8 +208,8 @@
 	return true
 }
 
-// Allow undoes Stop.
-func (c *DaemonCredits) Allow(ref config.VersionRef) {
+// Resume undoes Stop.
+func (c *DaemonCredits) Resume(ref config.VersionRef) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.stopped, ref)
--- a/internal/shift/shift.go
+++ b/internal/shift/shift.go
@@ -150,13 +150,13 @@
 	return next
 }
 
-// suspectGrace is the extra time for more answers, one decision more, for a suspect version
-// that could otherwise move to all sessions.
+// suspectGrace is how long a suspect version may stay on the first share after all sessions
+// could have moved to it. It leaves time for more answers and for one more decision.
 const suspectGrace = 300 * time.Millisecond
 
-// suspectTooLong reports whether a version on the first share is still suspect suspectGrace
-// after all sessions could have moved to it. Left on the first share, it would keep failing a
-// few callers; the operator can order it again.
+// suspectTooLong reports whether a version on the first share is still suspect when
+// suspectGrace is over. If it stayed on the first share, it would keep failing a few callers.
+// The operator can order it again after the rollback.
 func suspectTooLong(s State, o Order, in DecisionInput, limit ExposureLimit) bool {
 	if s.Share >= 1 || s.Share == 0 || !SuspectRegression(in.Fresh, in.Old) {
 		return false
--- a/internal/shift/shift_test.go
+++ b/internal/shift/shift_test.go
@@ -283,7 +283,7 @@
 
 // Guards against a rolled-back version getting requests again after the next order, while its
 // servers still run: any version other than the new one would count as old. A daemon that
-// starts in between learns of the rollback from the stored state.
+// starts in between gets the rollback from the stored state.
 func TestRolledBackVersionStaysOutAfterTheNextOrder(t *testing.T) {
 	back := State{Order: 7, Service: "engines", To: "v2", Phase: RolledBack, Told: true, Step: 3}
 	next := Order{ID: 9, Service: "engines", To: "v3", Allowed: allowed}
