--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -423,9 +423,9 @@
 	case q.checkQuarantine() != nil:
 		return "quarantined"
 	case notSent:
-		// Nothing was sent, so the retry that this attempt took from the budget remains
-		// available for the next one. Otherwise each unreachable instance would cost a retry,
-		// until none is left for requests whose small model's answer has been dropped.
+		// Nothing was sent, so the next attempt may use the retry that this one took from the
+		// budget. Otherwise each unreachable instance would cost a retry, until none is left
+		// for requests whose small model's answer has been dropped.
 		return ""
 	case !q.Retries.Take(q.service.Name):
 		return "budget"
--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -20,9 +20,9 @@
 	// Finished is called when an instance has run a request to its end.
 	Finished(d quarantine.Digest)
 	// ConnectionBroken is called when the connection on which an instance ran a request broke.
-	// The channel is closed once the request may be tried again, if that is known soon: when the
-	// instance turns out not to have ended, when no other instance has ended under the request,
-	// or when the quarantine decision is known.
+	// The channel is closed once the request may be tried again: when the instance turns out not
+	// to have ended, when no other instance has ended under the request, or when the quarantine
+	// decision is known. This can take too long for a request, so the caller limits its wait.
 	ConnectionBroken(i inventory.Instance, s quarantine.Suspect) (decided <-chan struct{})
 	// InstanceEnded reports whether an instance ended while it ran a request of this daemon.
 	InstanceEnded(i inventory.Instance) bool
