--- a/internal/daemon/handlers.go
+++ b/internal/daemon/handlers.go
@@ -18,7 +18,8 @@
 var _ peer.Handler = (*Node)(nil)
 
 // heartbeat returns the next heartbeat to a peer. It counts the membership
-// updates in it as sent.
+// updates in it as sent. ConfirmedMS is -1 if the configuration was not confirmed
+// within the last hour.
 func (n *Node) heartbeat() peer.Heartbeat {
 	confirmed := int64(-1)
 	if age := n.follower.SinceConfirmed(); age < time.Hour {
@@ -58,7 +59,7 @@
 }
 
 // stopVersion stops new sessions of a version at this daemon while it is being
-// rolled out. It triggers a heartbeat, which tells the peers to do the same.
+// rolled out. It triggers a heartbeat, upon which the peers do the same.
 func (n *Node) stopVersion(ref config.VersionRef) {
 	snapshot := n.follower.Current()
 	if snapshot == nil || snapshot.Rollouts[ref].State != config.RollingOut {
--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -20,16 +20,16 @@
 	// Finished is called when an instance has run a request to its end.
 	Finished(d quarantine.Digest)
 	// ConnectionBroken is called when the connection on which an instance ran a request broke.
-	// The channel is closed once the request may be tried again, if that is known soon: when the
-	// instance turns out not to have ended, when no other instance has ended under the request,
-	// or when the quarantine decision is known.
+	// The channel is closed once the request may be tried again: when the instance turns out not
+	// to have ended, when no other instance has ended under the request, or when the quarantine
+	// decision is known. This can take too long for a request, so the caller limits its wait.
 	ConnectionBroken(i inventory.Instance, s quarantine.Suspect) (decided <-chan struct{})
 	// InstanceEnded reports whether an instance ended while it ran a request of this daemon.
 	InstanceEnded(i inventory.Instance) bool
 }
 
-// quarantineDecisionTimeout bounds how long the next attempt of a request that was on two or
-// more ended instances waits for the quarantine decision.
+// quarantineDecisionTimeout bounds how long a request under which two or more instances have
+// ended waits for the quarantine decision before its next attempt.
 const quarantineDecisionTimeout = 300 * time.Millisecond
 
 // awaitQuarantineDecision waits for the quarantine decision on a request whose last connection
