--- a/internal/backing/memory.go
+++ b/internal/backing/memory.go
@@ -11,7 +11,8 @@
 )
 
 // Memory is an in-memory fake of all platform services, for tests and for the
-// stand-in of the platform. It is safe for concurrent use. The zero value is not usable; use NewMemory.
+// stand-in of the platform. It is safe for concurrent use. The zero value is not
+// usable; use NewMemory.
 type Memory struct {
 	mu        sync.Mutex
 	revision  int64
@@ -128,7 +129,8 @@
 	case FaultLoseRequest:
 		return 0, &UnknownOutcomeError{Cause: errRefused}
 	case FaultLoseAnswer:
-		// The caller learns neither a success nor a failed check.
+		// The result is discarded: the caller must see neither a success nor a
+		// failed check.
 		_, _ = m.apply(txn)
 		return 0, &UnknownOutcomeError{Cause: errRefused}
 	}
--- a/internal/cli/entry.go
+++ b/internal/cli/entry.go
@@ -64,11 +64,11 @@
 }
 
 func (c *entryShow) run(a *app) error {
-	var b entry.DaemonStatus
-	if err := c.get(entry.StatusPath, &b); err != nil {
+	var status entry.DaemonStatus
+	if err := c.get(entry.StatusPath, &status); err != nil {
 		return err
 	}
-	return a.print(b, func(w io.Writer) { printStatus(w, b) })
+	return a.print(status, func(w io.Writer) { printStatus(w, status) })
 }
 
 // formatLimit formats the request rate limit that an instance has reported, in requests per
@@ -80,25 +80,25 @@
 	return fmt.Sprintf("%g/s", v.Limit)
 }
 
-func printStatus(w io.Writer, b entry.DaemonStatus) {
-	printLine(w, "daemon\t%s\tready %v\treads the store %v\tstale %v", b.Instance, b.Ready, b.Reader, b.Stale())
-	printLine(w, "config\tversion %d\t%d ms old\tbody limit %d bytes", b.Config.Version, b.Config.AgeMS, b.Config.Limits.BodyBytes)
-	for _, r := range b.Config.Routes {
+func printStatus(w io.Writer, status entry.DaemonStatus) {
+	printLine(w, "daemon\t%s\tready %v\treads the store %v\tstale %v", status.Instance, status.Ready, status.Reader, status.Stale())
+	printLine(w, "config\tversion %d\t%d ms old\tbody limit %d bytes", status.Config.Version, status.Config.AgeMS, status.Config.Limits.BodyBytes)
+	for _, r := range status.Config.Routes {
 		printLine(w, "route\t%s\t%s%s\t%s\t%v", r.Name, r.Host, r.Prefix, r.Kind, r.Backends)
 	}
-	printLine(w, "list\trevision %d\t%d ms old", b.List.Revision, b.List.AgeMS)
-	for service, views := range b.List.Instances {
+	printLine(w, "list\trevision %d\t%d ms old", status.List.Revision, status.List.AgeMS)
+	for service, views := range status.List.Instances {
 		for _, v := range views {
 			printLine(w, "upstream\t%s\t%s\t%s\t%s\topen %d\tejected %v\twarming %v\tlimit %s", service, v.Instance.ID, v.Instance.Address, v.Instance.Version, v.Open, v.Ejected, v.Warming, formatLimit(v))
 		}
 	}
-	for _, e := range b.Evacuations {
+	for _, e := range status.Evacuations {
 		printLine(w, "evacuated\t%s\tfor %d ms\topen %d", e.FailureDomain, e.SinceMS, e.Open)
 	}
-	for _, s := range b.Rollouts {
+	for _, s := range status.Rollouts {
 		printLine(w, "rollout\t%s\tto %s\t%s\tshare %.2f", s.Service, s.To, s.Phase, s.Share)
 	}
-	for _, d := range b.Daemons {
+	for _, d := range status.Daemons {
 		printLine(w, "daemon\t%s\t%s\t%s\t%s", d.PeerAddress, d.State, d.FailureDomain, d.CallerURL)
 	}
 }
--- a/internal/cli/evacuate.go
+++ b/internal/cli/evacuate.go
@@ -110,11 +110,11 @@
 }
 
 func (c *entryEvacuated) run(a *app) error {
-	var b entry.DaemonStatus
-	if err := c.get(entry.StatusPath, &b); err != nil {
+	var status entry.DaemonStatus
+	if err := c.get(entry.StatusPath, &status); err != nil {
 		return err
 	}
-	return a.printEvacuations(b.Evacuations)
+	return a.printEvacuations(status.Evacuations)
 }
 
 func (a *app) printEvacuations(rows []entry.Evacuation) error {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -78,8 +78,9 @@
 	// confirmed. Default 3000.
 	FreshMS int64 `json:"fresh_ms"`
 	// RefuseMS is how long a daemon without contact to the store and to peers
-	// still serves proven versions, counted from the last confirmation of its
-	// configuration. Default 15000.
+	// still serves proven versions, which are those that have passed their
+	// roll-out. It counts from the last confirmation of the configuration.
+	// Default 15000.
 	RefuseMS int64 `json:"refuse_ms"`
 	// ListMS is the minimum time between two reads of the instance list. Default
 	// 1000.
@@ -104,8 +105,8 @@
 	EntriesTTLMS int64 `json:"entries_ttl_ms"`
 	// AnswerRetentionMS is how long complete answers are kept. Default 300000.
 	AnswerRetentionMS int64 `json:"answer_retention_ms"`
-	// AbandonMS is how long an answer continues that no caller is reading. Default
-	// 10000.
+	// AbandonMS is how long the daemon continues an answer that no caller reads.
+	// Default 10000.
 	AbandonMS int64 `json:"abandon_ms"`
 	// SessionMS is the lifetime of a session. Default 86400000.
 	SessionMS int64 `json:"session_ms"`
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -320,8 +320,8 @@
 	return out
 }
 
-// EngineCounts counts what an engine has done. Tests compare it with what callers were told
-// and with the bills.
+// EngineCounts counts what an engine has done. Tests compare it with the responses that callers
+// got and with the bills.
 type EngineCounts struct {
 	// Started and Finished count attempts by request ID.
 	Started  map[string]int `json:"started"`
--- a/test/capacity/project.go
+++ b/test/capacity/project.go
@@ -21,11 +21,12 @@
 	answerSeconds          = 8.0 // 218 tokens at 36 ms
 	// keyedShare is the share of requests with an idempotency key. It is an assumption.
 	keyedShare = 0.3
-	keySeconds = 2 * 3600.0
-	ratedKinds = 19 * 6.0 // 19 versions, 6 kinds of requests
+	keySeconds = 2 * 3600.0 // time for which a daemon keeps an idempotency key
+	ratedKinds = 19 * 6.0   // 19 versions, 6 kinds of requests
 )
 
-// printProjection prints the cost per daemon at that size, extrapolated from the slopes.
+// printProjection prints the cost per daemon, extrapolated from the slopes to the system size
+// above.
 func printProjection(all []slope) {
 	by := map[string]slope{}
 	for _, s := range all {
--- a/test/faults/trial.go
+++ b/test/faults/trial.go
@@ -305,7 +305,8 @@
 }
 
 // engineCounts adds up the counts of the engines once they are idle. started and finished
-// count by prompt, finishedIDs by request ID. The counts of a killed engine are lost with it.
+// count by prompt, finishedIDs by request ID. Engines keep their counts only in memory, so no
+// fault may kill an engine.
 func (l *loadGenerator) engineCounts() (started, finishedIDs, finished map[string]int, err error) {
 	err = cluster.Eventually(func() error {
 		started, finishedIDs, finished = map[string]int{}, map[string]int{}, map[string]int{}
--- a/test/process/at_most_once_test.go
+++ b/test/process/at_most_once_test.go
@@ -84,8 +84,8 @@
 }
 
 // The home of a key is paused while another daemon tries to take the key over. When
-// it resumes, it gets the old call of that daemon and the client's repeats at the
-// same time. Guards against more than one run.
+// it resumes, it gets the delayed call of that daemon and the client's repeats at
+// the same time. Guards against more than one run.
 func TestHomeDaemonPausedAndResumed(t *testing.T) {
 	s := newSite(t, 3, nil)
 	a := clearanceRequest("song 5", keyWithHome(t, s.Daemons[0], "five"))
--- a/test/process/config_test.go
+++ b/test/process/config_test.go
@@ -85,8 +85,9 @@
 	s := newSite(t, 2, nil)
 	request := config.ApplyRequest{Site: "gothenburg", FromRevision: 1, ChangeID: "lost", Text: readExample(t, "overlay-gothenburg.jsonc")}
 	require.NoError(t, cluster.Eventually(func() error {
-		// The first write whose answer is lost may be a different one. Then the
-		// change is rejected before it is sent, and the loop tries it again.
+		// The first write whose answer is lost may be a different one. After it
+		// the stand-in refuses reads, so the daemon rejects the change before
+		// it writes anything, and the loop tries again.
 		s.setPlatformFault(standin.FaultLoseAnswer)
 		err := cluster.Post(s.Daemons[0].OperatorURL+"/v1/config/apply", request, nil)
 		if err == nil || !strings.Contains(err.Error(), string(fault.ConfigUnknown)) {
--- a/test/routes/failures_test.go
+++ b/test/routes/failures_test.go
@@ -139,8 +139,8 @@
 	}
 }
 
-// Guards against answers without Content-Length, which end with the connection, that are taken
-// for broken.
+// Guards against treating an answer without Content-Length, which ends when the connection is
+// closed, as truncated.
 func TestAnswerWithoutLength(t *testing.T) {
 	s := newTestbed(t)
 	s.startServer(platformtest.ServerOptions{ID: "cat-1", Service: plainService, Behave: always(platformtest.NoLength)})
@@ -386,8 +386,8 @@
 }
 
 // Guards against the retry budget being spent on instances that refuse the connection: the
-// answer of the small model was discarded, the instance of the large model refused the
-// connection, and the caller got 502.
+// answer of the small model is discarded, the instance of the large model refuses the
+// connection, no retry is left, and the caller gets 502.
 func TestUnreachableInstancesUseNoRetries(t *testing.T) {
 	s := newTestbed(t)
 	const pieces = 3
--- a/test/routes/limit_test.go
+++ b/test/routes/limit_test.go
@@ -190,8 +190,8 @@
 		require.LessOrEqual(t, server.MaxReceivedIn(limitWindow, from), maxRequests(2), id)
 		arrived += len(server.ReceivedSince(from))
 	}
-	named := 2 * counted.Seconds() * float64(len(s.servers))
-	require.GreaterOrEqual(t, float64(arrived), 0.8*named)
+	allowed := 2 * counted.Seconds() * float64(len(s.servers))
+	require.GreaterOrEqual(t, float64(arrived), 0.8*allowed)
 	refused := 0
 	for _, r := range replies {
 		require.NoError(t, r.reply.Err)
@@ -209,8 +209,9 @@
 	require.Positive(t, refused)
 }
 
-// Guards against invalid rate limits that limit a server. Daemons ignore them; they do not
-// lift an earlier limit either.
+// Guards against invalid or excessive rate limits that limit a server. Daemons ignore invalid
+// ones, which do not lift an earlier limit either, and reduce excessive ones to a rate that no
+// server reaches.
 func TestInvalidRateLimitsAreIgnored(t *testing.T) {
 	for _, text := range []string{"soon", "-3", "NaN", "1e300", "Inf"} {
 		t.Run(text, func(t *testing.T) {
--- a/test/routes/path_test.go
+++ b/test/routes/path_test.go
@@ -59,12 +59,12 @@
 	d := s.startReadyDaemon()
 	out, err := exec.Command(binaries.Path("hornbeamsill"), "--output", "json", "entry", "show", "--metrics", d.metricsAddress).Output()
 	require.NoError(t, err)
-	var b entry.DaemonStatus
-	require.NoError(t, json.Unmarshal(out, &b))
-	require.True(t, b.Ready)
-	require.EqualValues(t, 3, b.Config.Version)
-	require.Len(t, b.Config.Routes, 3)
-	require.Equal(t, "cat-1", b.List.Instances[plainService][0].Instance.ID)
+	var status entry.DaemonStatus
+	require.NoError(t, json.Unmarshal(out, &status))
+	require.True(t, status.Ready)
+	require.EqualValues(t, 3, status.Config.Version)
+	require.Len(t, status.Config.Routes, 3)
+	require.Equal(t, "cat-1", status.List.Instances[plainService][0].Instance.ID)
 	text, err := exec.Command(binaries.Path("hornbeamsill"), "entry", "show", "--metrics", d.metricsAddress).Output()
 	require.NoError(t, err)
 	require.Contains(t, string(text), host+"/lookup/")
--- a/test/routes/poison_test.go
+++ b/test/routes/poison_test.go
@@ -32,11 +32,11 @@
 }
 
 // Guards against a request that crashes each server that starts to run it, and that its client
-// repeats with a new request ID, each time at another daemon. When each daemon treated each
-// repeat as a new request and sent it to up to three servers, 12 repeats crashed servers 24
-// times in a pool of nine, and one in four requests of other callers failed. The repeats have
-// the same method, address, organisation and body. The request is told from those that ran
-// beside it by having been on every crashed server and never having completed.
+// repeats with a new request ID, each time at another daemon. If each daemon treats each repeat
+// as a new request and sends it to up to three servers, 12 repeats crash servers 24 times in a
+// pool of nine, and one in four requests of other callers fails. Daemons must recognise the
+// repeats by their method, address, organisation and body, and distinguish the request from
+// those that ran beside it: only this request was on every crashed server and never completed.
 func TestRequestThatCrashesServersIsRefused(t *testing.T) {
 	for name, path := range map[string]string{"stream": pathStream, "look-up": pathSafe, "statement": pathUnsafe} {
 		t.Run(name, func(t *testing.T) { repeatPoison(t, path) })
@@ -110,9 +110,9 @@
 	require.Equal(t, ended, p.endedServers())
 }
 
-// Guards against requests that are quarantined because of power losses. Racks of three servers
-// end three times under a load of streams. Many streams were on three servers that ended, but
-// none is the cause: each was on only a few of the servers that ended at the same time.
+// Guards against requests that are quarantined because of power losses. Three times, a rack of
+// three servers ends under a load of streams. Many streams are on three servers that end, but
+// none is the cause: each is on only a few of the servers that end at the same time.
 func TestPowerLossQuarantinesNoRequest(t *testing.T) {
 	const size, rack, workers, losses = 9, 3, 24, 3
 	s := newTestbed(t)
--- a/test/routes/restore_test.go
+++ b/test/routes/restore_test.go
@@ -12,11 +12,12 @@
 	"github.com/hornbeamsill/hornbeamsill/platform/wire"
 )
 
-// leavePropagation is the time from the acknowledged row of a draining server until no daemon
-// may send requests to it.
+// leavePropagation is how long after the store has acknowledged the row of a draining server
+// daemons may still send requests to it.
 const leavePropagation = 2 * time.Second
 
-// raiseRevision raises the revision of the store by writing operator rows without a meaning.
+// raiseRevision raises the revision of the store by writing an operator row whose key daemons
+// ignore.
 func (s *testbed) raiseRevision(revisions int) {
 	for range revisions {
 		s.store.Put(wire.TableOperator, "note", "nothing")
--- a/test/routes/rollout_test.go
+++ b/test/routes/rollout_test.go
@@ -64,9 +64,9 @@
 	require.Len(t, old.Received(), before)
 }
 
-// Guards against a version that fails its requests and is not rolled back, or gets requests
-// after it was. The daemon that holds the lease of the roll-out is killed on the way; another
-// one must continue from the stored state.
+// Guards against a version that fails its requests and is not rolled back, or that gets
+// requests after its roll-back. The daemon that holds the lease of the roll-out is killed
+// during the roll-out; another one must continue from the stored state.
 func TestBadVersionIsRolledBack(t *testing.T) {
 	s := newTestbed(t)
 	s.startServer(platformtest.ServerOptions{ID: "old", Service: engineService, Events: 3, Delay: time.Millisecond})
@@ -136,9 +136,9 @@
 }
 
 // Guards against daemons that refuse all requests when they restart after a completed
-// roll-out, with the old servers gone. With the order alone, without the stored state, they
-// took the roll-out for one that has just started and refused everything until the lease of
-// the killed holder expired.
+// roll-out, with the old servers gone. A daemon that reads only the order, and not the stored
+// state, treats the roll-out as one that has just started and refuses everything until the
+// lease of the killed holder expires.
 func TestAllDaemonsRestartAfterRollout(t *testing.T) {
 	s := newTestbed(t)
 	old := s.startServer(platformtest.ServerOptions{ID: "old", Service: engineService, Events: 3, Delay: time.Millisecond})
@@ -159,8 +159,8 @@
 }
 
 // Guards against a roll-out whose time starts anew when the only daemon restarts. The store
-// has the order and the state but not the time of the order; a daemon that counted from its
-// own start reported the result late.
+// has the order and the state but not the time of the order; a daemon that counts from its
+// own start reports the result late.
 func TestDaemonRestartsDuringRollout(t *testing.T) {
 	s := newTestbed(t)
 	s.startServer(platformtest.ServerOptions{ID: "old", Service: engineService, Events: 3, Delay: time.Millisecond})
@@ -181,7 +181,7 @@
 
 // Guards against a roll-out that is delayed because the holder of its lease cannot reach the
 // store while all other daemons can. The holder must renew the lease and report through its
-// peers. Without that, the lease expired and another daemon acquired it seven seconds later.
+// peers. Otherwise the lease expires, and another daemon acquires it only seven seconds later.
 func TestLeaseHolderLosesStore(t *testing.T) {
 	s := newTestbed(t)
 	s.startServer(platformtest.ServerOptions{ID: "old", Service: engineService, Events: 3, Delay: time.Millisecond})
@@ -216,8 +216,8 @@
 
 // Guards against a version that starts to fail while the store is down, after the holder of
 // the lease was killed, so that no daemon can acquire the lease. Only one daemon sees the
-// failures; without a stop by the daemons themselves, they used the version until the end of
-// the outage and beyond. All daemons must stop using it, including those that saw no failure.
+// failures. If the daemons wait for a lease holder to stop the version, they use it until the
+// end of the outage and beyond. All must stop using it, including those that saw no failure.
 func TestBadVersionStopsWithoutLeaseHolderAndStore(t *testing.T) {
 	s := newTestbed(t)
 	s.startServer(platformtest.ServerOptions{ID: "old", Service: engineService, Events: 3, Delay: time.Millisecond})
--- a/test/routes/server_headers_test.go
+++ b/test/routes/server_headers_test.go
@@ -49,11 +49,11 @@
 	})
 }
 
-// Guards against requests to a server that has said in its answers that it is leaving while
-// the store is down and its row still says "ready". A daemon that had forwarded such an answer
-// sent to it for five more seconds, until the store was back, and requests failed when the
-// server ended. The answers are newer than any row: a row that says "ready", or one that is
-// written again after it has expired, does not bring the server back into use.
+// Guards against requests to a server whose answers announce that it is leaving while the
+// store is down and its row still has the state "ready". A daemon that relies on the row sends
+// requests to the server until the store is back, and they fail when the server ends. The
+// answers are newer than any row: neither a row with the state "ready" nor one that is written
+// again after its removal brings the server back into use.
 func TestServerLeavesWhileStoreIsDown(t *testing.T) {
 	s := newTestbed(t)
 	leaving := s.startThreeServers("", nil)
@@ -93,7 +93,8 @@
 }
 
 // Guards against requests to an overloaded server that has refused one with Retry-After: 3. A
-// daemon went on sending it a third of all its requests, each of which it refused.
+// daemon that ignores the header goes on sending it a third of all its requests, and the server
+// refuses each of them.
 func TestRetryAfterIsObeyed(t *testing.T) {
 	s := newTestbed(t)
 	busy := s.startThreeServers("3", firstOnly(platformtest.RefuseWithRetryAfter))
@@ -117,8 +118,8 @@
 }
 
 // Guards against callers that wait until their deadline, or get a wrong Retry-After, when all
-// servers of a service have sent Retry-After. The answer must come at once and name the time
-// of the server that is available first.
+// servers of a service have sent Retry-After. The answer must come at once, with the
+// Retry-After of the server that is available first.
 func TestAllServersSendRetryAfter(t *testing.T) {
 	s := newTestbed(t)
 	for id, retryAfter := range map[string]string{"cat-1": "30", "cat-2": "7.5"} {
@@ -160,18 +161,18 @@
 // status returns the status that a daemon reports to operators.
 func (s *testbed) status(d *daemon) entry.DaemonStatus {
 	s.t.Helper()
-	b, err := s.fetchStatus(d)
+	status, err := s.fetchStatus(d)
 	require.NoError(s.t, err)
-	return b
+	return status
 }
 
 // fetchStatus is like status but returns an error, for a daemon that may have exited.
-func (s *testbed) fetchStatus(d *daemon) (b entry.DaemonStatus, err error) {
+func (s *testbed) fetchStatus(d *daemon) (status entry.DaemonStatus, err error) {
 	resp, err := s.client.Get("http://" + d.metricsAddress + entry.StatusPath)
 	if err != nil {
-		return b, err
+		return status, err
 	}
 	defer resp.Body.Close()
-	err = json.NewDecoder(resp.Body).Decode(&b)
-	return b, err
+	err = json.NewDecoder(resp.Body).Decode(&status)
+	return status, err
 }
--- a/test/routes/soak_test.go
+++ b/test/routes/soak_test.go
@@ -39,7 +39,8 @@
 // soakFaultKinds is the number of kinds of faults in injectFault.
 const soakFaultKinds = 17
 
-// soakCase is a seed with the number of kinds of faults that are drawn.
+// soakCase is a seed with the number of kinds of faults. The draws depend on both, so the
+// number of a listed seed does not change when injectFault gets more kinds.
 type soakCase struct {
 	seed  uint64
 	kinds int
@@ -102,8 +103,8 @@
 	// server, how many requests it had received when it began to leave.
 	serverIDs map[string]string
 	leaving   map[*platformtest.Server]int
-	// limited has how many requests a server had received when its rate limit began, and
-	// requestsWhileLimited how many it received until the limit ended.
+	// limited has, for each server with a rate limit, how many requests it had received when
+	// the limit began, and requestsWhileLimited how many it received until the limit ended.
 	limited, requestsWhileLimited map[*platformtest.Server]int
 
 	serversStarted int
@@ -334,7 +335,7 @@
 		s.store.Remove(wire.TableInstances, s.serverIDAt(place))
 		s.undoLater(func() { s.serverAt(place).Register(s.store, wire.StateReady) })
 	case 10:
-		d.Signal(1)
+		d.Signal(1) // SIGHUP
 	case 11:
 		s.store.HangWaitingFeeds()
 	case 12:
@@ -403,9 +404,10 @@
 const (
 	// soakRepeats is how often a caller sends the poison request, each time to any daemon.
 	soakRepeats = 6
-	// maxSoakCrashes bounds the servers that it may crash: 5 while some daemons do not
-	// answer, 3 attempts of the request that crashes the last of them, and 6 in the second
-	// in which other daemons are chosen as judges, since both judges may be killed.
+	// maxSoakCrashes bounds the servers that it may crash: 5 before it is quarantined, as
+	// some daemons may not answer; 3 by the attempts of the call that causes the last of
+	// these crashes; and 6 in the second that it takes to choose other judges, which are the
+	// daemons that decide on quarantine, since the faults may kill both.
 	maxSoakCrashes = 5 + 3 + 6
 	// soakRetryAfter is the Retry-After of servers that refuse with it, in seconds.
 	soakRetryAfter = "0.3"
@@ -421,8 +423,8 @@
 	}
 }
 
-// leaveServer makes a server say in its answers that it is leaving, and starts a new one in
-// its place. The row of the old server says "ready" until it is removed.
+// leaveServer makes a server announce in its answers that it is leaving, and starts a new one
+// in its place. The row of the old server has the state "ready" until it is removed.
 func (s *soak) leaveServer(place string) {
 	server := s.serverAt(place)
 	old := s.serverIDAt(place)
@@ -486,18 +488,18 @@
 }
 
 // checkEvacuated returns an error until a daemon has the evacuation in force and has no open
-// request in the failure domain. Other daemons send no updates to a stopping daemon: it reads
-// the evacuation itself or exits before.
+// request in the failure domain, or, if it is not live, has exited. A stopping daemon gets no
+// updates from other daemons: it reads the evacuation from the store itself or exits before.
 func (s *soak) checkEvacuated(d *daemon, live bool) error {
-	b, err := s.fetchStatus(d)
+	status, err := s.fetchStatus(d)
 	switch {
-	case b.Instance != d.Name && !live:
+	case status.Instance != d.Name && !live:
 		// The daemon has exited. Another process may have its port.
 		return nil
 	case err != nil:
 		return trace.Wrap(err)
 	}
-	for _, e := range b.Evacuations {
+	for _, e := range status.Evacuations {
 		if e.FailureDomain == soakDomain && e.Open == 0 {
 			return nil
 		}
@@ -526,13 +528,14 @@
 	defer s.mu.Unlock()
 	require.LessOrEqual(s.t, s.serversCrashed, maxSoakCrashes, "servers crashed by the poison request")
 	for server, before := range s.leaving {
-		// The requests that each daemon had in progress when it got the first such answer.
+		// Allows the requests that each daemon had in progress when it got the first answer
+		// that announced the leave.
 		require.LessOrEqual(s.t, len(server.Received())-before, soakWorkers*s.daemonsStarted, "requests at a leaving server")
 	}
 	for _, got := range s.requestsWhileLimited {
-		// The requests that each daemon had in progress when it got the first answer with a
-		// limit, and the most that the highest limit of the soak (2) allows in the longest
-		// time.
+		// Allows the requests that each daemon had in progress when it got the first answer
+		// with a limit, and as many as the highest limit of the soak (2) allows in
+		// limitWindow, which is longer than the longest time of a limit, soakFaultTime.
 		require.LessOrEqual(s.t, got, soakWorkers*s.daemonsStarted+maxRequests(2), "requests at a server with a rate limit")
 	}
 	for id, server := range s.servers {
