--- a/internal/telemetry/bounded.go
+++ b/internal/telemetry/bounded.go
@@ -33,38 +33,38 @@
 
 // NewLineWriter returns a LineWriter that writes to w until Close.
 func NewLineWriter(w io.Writer) *LineWriter {
-	b := &LineWriter{lines: make(chan []byte, queueLength), done: make(chan struct{})}
-	go b.run(w)
-	return b
+	l := &LineWriter{lines: make(chan []byte, queueLength), done: make(chan struct{})}
+	go l.run(w)
+	return l
 }
 
 // Write implements io.Writer. It queues line and never blocks or fails.
-func (b *LineWriter) Write(line []byte) (int, error) {
+func (l *LineWriter) Write(line []byte) (int, error) {
 	select {
-	case b.lines <- append([]byte(nil), line...):
+	case l.lines <- append([]byte(nil), line...):
 	default:
-		b.dropped.Add(1)
+		l.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
 // Dropped returns the number of lines that were not written.
-func (b *LineWriter) Dropped() int64 { return b.dropped.Load() }
+func (l *LineWriter) Dropped() int64 { return l.dropped.Load() }
 
 // Close writes the queued lines and stops the writer. Write must not be called after Close.
-func (b *LineWriter) Close() {
-	close(b.lines)
-	<-b.done
+func (l *LineWriter) Close() {
+	close(l.lines)
+	<-l.done
 }
 
-func (b *LineWriter) run(w io.Writer) {
-	defer close(b.done)
+func (l *LineWriter) run(w io.Writer) {
+	defer close(l.done)
 	second, reported := time.Now(), int64(0)
 	requests, others := 0, 0
-	for line := range b.lines {
+	for line := range l.lines {
 		if now := time.Now(); now.Sub(second) >= time.Second {
 			second, requests, others = now, 0, 0
-			if dropped := b.dropped.Load(); dropped > reported {
+			if dropped := l.dropped.Load(); dropped > reported {
 				fmt.Fprintf(w, "time=%s level=WARN msg=log.dropped lines=%d\n", now.Format(time.RFC3339Nano), dropped-reported)
 				reported = dropped
 			}
@@ -77,12 +77,12 @@
 			written, limit = &requests, requestLinesPerSecond
 		}
 		if *written++; *written > limit {
-			b.dropped.Add(1)
+			l.dropped.Add(1)
 			continue
 		}
 		// A failure to write the log cannot be logged; it only shows in the count.
 		if _, err := w.Write(line); err != nil {
-			b.dropped.Add(1)
+			l.dropped.Add(1)
 		}
 	}
 }
--- a/test/cluster/client.go
+++ b/test/cluster/client.go
@@ -50,25 +50,25 @@
 func (r Reply) RequestID() string { return r.Header.Get(caller.HeaderRequest) }
 
 // Body returns the JSON body of the request.
-func (a ChatRequest) Body() []byte {
+func (r ChatRequest) Body() []byte {
 	data, _ := json.Marshal(map[string]any{
-		"model":    a.Model,
-		"stream":   a.Stream,
-		"messages": []map[string]string{{"role": "user", "content": a.Prompt}},
+		"model":    r.Model,
+		"stream":   r.Stream,
+		"messages": []map[string]string{{"role": "user", "content": r.Prompt}},
 	})
 	return data
 }
 
 // Send sends the request to a daemon and reads the answer as Do does.
-func (a ChatRequest) Send(ctx context.Context, url string, onEvent func(Reply)) (Reply, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url+"/v1/chat/completions", bytes.NewReader(a.Body()))
+func (r ChatRequest) Send(ctx context.Context, url string, onEvent func(Reply)) (Reply, error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url+"/v1/chat/completions", bytes.NewReader(r.Body()))
 	if err != nil {
 		return Reply{}, trace.Wrap(err)
 	}
 	req.Header.Set("Content-Type", "application/json")
-	req.Header.Set("Authorization", "Bearer "+a.APIKey)
+	req.Header.Set("Authorization", "Bearer "+r.APIKey)
 	for name, value := range map[string]string{
-		caller.HeaderKind: a.Kind, caller.HeaderIdempotencyKey: a.IdempotencyKey, caller.HeaderSession: a.Session, caller.HeaderDeadline: a.DeadlineMS,
+		caller.HeaderKind: r.Kind, caller.HeaderIdempotencyKey: r.IdempotencyKey, caller.HeaderSession: r.Session, caller.HeaderDeadline: r.DeadlineMS,
 	} {
 		if value != "" {
 			req.Header.Set(name, value)
--- a/test/cluster/cluster.go
+++ b/test/cluster/cluster.go
@@ -43,6 +43,7 @@
 	bin      Binaries
 	dir      string
 	Platform string // address of the platform stand-in
+	// Settings are the settings of daemons that StartDaemon starts, unless it changes them.
 	Settings settings.Settings
 
 	procs []*Process
--- a/test/routes/evacuation_test.go
+++ b/test/routes/evacuation_test.go
@@ -18,7 +18,7 @@
 	"github.com/hornbeamsill/hornbeamsill/platform/wire"
 )
 
-// failureDomains are those of startTwoPerDomain.
+// failureDomains are the failure domains in which startTwoPerDomain starts servers.
 var failureDomains = []string{"hall-a", "hall-b", "hall-c"}
 
 // startTwoPerDomain starts two servers of the plain service in each failure domain.
--- a/test/routes/poison_test.go
+++ b/test/routes/poison_test.go
@@ -22,7 +22,8 @@
 const poison = "poison"
 
 // poisonCall returns a call of the poison request. All calls for a path are the same request
-// except for their request ID.
+// except for their request ID. The servers crash because of its header X-Poison; without the
+// header it is the same request at servers that were fixed.
 func (s *testbed) poisonCall(path string) platformtest.Call {
 	c := s.newCall(path)
 	c.Path += "-" + poison
