--- a/test/routes/restore_test.go
+++ b/test/routes/restore_test.go
@@ -12,8 +12,8 @@
 	"github.com/hornbeamsill/hornbeamsill/platform/wire"
 )
 
-// leavePropagation is how long after the store has acknowledged the row of a draining server
-// daemons may still send requests to it.
+// leavePropagation is the time for which daemons may still send requests to a server after the
+// store has acknowledged the row that says that it is draining.
 const leavePropagation = 2 * time.Second
 
 // raiseRevision raises the revision of the store by writing an operator row whose key daemons
