--- a/internal/entry/readers.go
+++ b/internal/entry/readers.go
@@ -11,10 +11,10 @@
 	"github.com/hornbeamsill/hornbeamsill/platform"
 )
 
-// Only a few daemons, the readers, read the store; they send updates to the other daemons of
-// their group. A daemon that has not received an update for too long reads the store itself,
-// so that readers that crash, freeze or are rejected by the store delay no daemon beyond the
-// required times.
+// Only a few daemons, the readers, read the store; they send store updates (peer.StoreUpdate)
+// to the other daemons of their group. A daemon that has not received an update for too long
+// reads the store itself, so that readers that crash, freeze or are rejected by the store delay
+// no daemon beyond the required times.
 const (
 	// maxFleetGroup is the number of daemons up to which the whole fleet is one reader group.
 	// In a larger fleet each failure domain is a group, and updates cross domains only through
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -42,7 +42,8 @@
 	FailureDomain string `json:"failure_domain"`
 	// SinceMS is how long the evacuation has been active, in milliseconds.
 	SinceMS int64 `json:"since_ms"`
-	// Open is the number of requests of this daemon that still run in the failure domain.
+	// Open is the number of open requests of all daemons in the failure domain. A daemon without
+	// a recent report of the others counts only its own.
 	Open int `json:"open"`
 }
 
--- a/internal/inventory/evacuated.go
+++ b/internal/inventory/evacuated.go
@@ -60,7 +60,8 @@
 }
 
 // OpenRequestsIn returns the number of open requests of all daemons at the instances of a
-// failure domain, from the work that daemons report to each other.
+// failure domain, from the work that daemons report to each other. Without a recent report it
+// counts only those of this daemon.
 func (t *Table) OpenRequestsIn(domain string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -1,7 +1,7 @@
 // Package member keeps two tables: the daemons, with gossip membership and failure detection,
 // and the upstreams. It also ranks daemons for duties, which are tasks that one daemon
 // performs for all. If two daemons must never perform a duty at the same time, the ranking only
-// decides which one tries to acquire the duty's lease; see package lease.
+// decides which ones try to acquire the duty's lease; see package lease.
 package member
 
 import (
--- a/internal/peer/routes.go
+++ b/internal/peer/routes.go
@@ -16,8 +16,8 @@
 const routesName = "Routes"
 
 // RoutesHeartbeat is used both as the request and as the reply of a heartbeat of the Routes
-// service. Its versions, revisions and digests let the receiver find out what it lacks; it
-// fetches that with a SyncRequest.
+// service. Its versions, revisions, digest and checksums let the receiver find out what it
+// lacks; it fetches that with a SyncRequest.
 type RoutesHeartbeat struct {
 	From member.Daemon
 	// News are recent membership changes.
@@ -30,14 +30,14 @@
 	Config int64
 	List   int64
 	Shifts int64
-	// Quarantine is a digest of the quarantined requests; 0 if there are none.
+	// Quarantine is a checksum of the quarantined requests; 0 if there are none.
 	Quarantine uint64
-	// Evacuated is a digest of the evacuations in force; 0 if they are not known.
+	// Evacuated is a checksum of the evacuations in force; 0 if they are not known.
 	Evacuated uint64
 	// Left are upstream instances that were found to be leaving within the last seconds.
 	Left []inventory.Incarnation
 	// Limits are rate limits of upstream instances that changed within the last seconds.
-	// Limited is a digest of all limits in force; 0 if there are none.
+	// Limited is a checksum of all limits in force; 0 if there are none.
 	Limits  []inventory.Limit
 	Limited uint64
 }
@@ -105,7 +105,7 @@
 	OperatorBase  int64
 	OperatorWhole bool
 	// Evacuations are all evacuation orders; empty if they have not changed. Evacuated is a
-	// digest of the evacuations in force that the sender knows.
+	// checksum of the evacuations in force that the sender knows.
 	Evacuations []evacuation.Order
 	Evacuated   uint64
 	// Whole is the full list of upstream instances, set after the sender has read it in full.
--- a/internal/place/load_test.go
+++ b/internal/place/load_test.go
@@ -30,8 +30,8 @@
 type simulation struct {
 	random *rand.Rand
 	now    float64
-	// idleAt is when each engine will have processed all its prompts. recentWork is the work sent
-	// to it, decayed with a half-life of 1.5 s.
+	// idleAt is when each engine will have processed all its prompts. recentWork is the work
+	// sent to it, decayed with a half-life of 1.5 s.
 	idleAt     []float64
 	recentWork []float64
 	cached     []map[int]bool
